--- a/internal/loadshare/cold.go
+++ b/internal/loadshare/cold.go
@@ -18,7 +18,7 @@
 const maxColdOwners = 4096
 
 // CallsCold reports whether it is this box that calls a cold server of a zone.
-func (s *Share) CallsCold(zone, server string) bool {
+func (s *Share) OwnsColdServer(zone, server string) bool {
 	if !s.cfg.MayCallCold() {
 		return false
 	}
--- a/internal/waiting/signal.go
+++ b/internal/waiting/signal.go
@@ -13,7 +13,7 @@
 }
 
 // Wait gives a channel that is closed by the next Send.
-func (s *Signal) Wait() <-chan struct{} {
+func (s *Signal) Chan() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wake == nil {
@@ -23,7 +23,7 @@
 }
 
 // Send wakes all that wait now.
-func (s *Signal) Send() {
+func (s *Signal) Broadcast() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wake != nil {
@@ -33,7 +33,7 @@
 }
 
 // ForOr waits for a time, or until wake is closed or ctx ends when that comes first.
-func ForOr(ctx context.Context, length time.Duration, wake <-chan struct{}) {
+func ForOrSignal(ctx context.Context, length time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
