--- a/internal/loadshare/hear.go
+++ b/internal/loadshare/hear.go
@@ -85,7 +85,7 @@
 	if m.Snapshot != nil {
 		s.cfg.ApplySnapshot(*m.Snapshot)
 	}
-	s.cfg.Quarantine.Hear(m.Suspects) // before they are acknowledged
+	s.cfg.Quarantine.Merge(m.Suspects) // before they are acknowledged
 	s.cfg.MergeNamedVersions(m.Named, s.note(m))
 	s.cfg.Fleet.SetRemoteLoads(m.Box, m.Loads)
 	if !m.FarKept {
--- a/internal/partindex/doubt.go
+++ b/internal/partindex/doubt.go
@@ -34,7 +34,7 @@
 }
 
 // Doubted lists the store boxes of which saves of this box are overdue.
-func (x *Index) Doubted() []string {
+func (x *Index) OverdueStores() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := boottime.Now()
@@ -58,7 +58,7 @@
 }
 
 // Doubt notes that another box doubts what is known of store boxes.
-func (x *Index) Doubt(addresses []string) {
+func (x *Index) MarkOverdue(addresses []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, address := range addresses {
@@ -69,7 +69,7 @@
 }
 
 // WantsList reports whether a store box is to be listed for doubt.
-func (x *Index) WantsList(address string) bool {
+func (x *Index) NeedsList(address string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := x.find(address)
