--- a/internal/api/services.go
+++ b/internal/api/services.go
@@ -155,7 +155,7 @@
 			continue
 		}
 		failure = apierror.Failed("no_answer", apierror.Unknown, "the plain service took the call and gave no answer")
-		if !call.request.Repeatable || call.length != 0 || !s.budget.Take() {
+		if !call.request.Repeatable || call.length != 0 || !s.budget.TryWithdraw() {
 			return nil, failure
 		}
 	}
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -69,7 +69,7 @@
 
 // OnWake has a function told how long the machine was suspended, on the goroutine that finds it
 // out. It must not wait.
-func OnWake(told func(length time.Duration)) {
+func OnResume(told func(length time.Duration)) {
 	system.mu.Lock()
 	defer system.mu.Unlock()
 	system.woke = told
@@ -77,7 +77,7 @@
 
 // Pretend has the clock believe that the machine was suspended for as long as a function says,
 // until restore is called; for tests.
-func Pretend(suspended func() time.Duration) (restore func()) {
+func FakeSuspension(suspended func() time.Duration) (restore func()) {
 	system.pretended.Store(&suspended)
 	return func() { system.pretended.Store(nil) }
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		suspended := time.Duration(0)
-		defer Pretend(func() time.Duration { return suspended })()
+		defer FakeSuspension(func() time.Duration { return suspended })()
 		begun := Now()
 		time.Sleep(time.Second)
 		suspended = 5 * time.Second
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -20,7 +20,7 @@
 // Limit is what a platform says of the cold servers of a service. The zero value bounds nothing.
 type Limit struct {
 	// Length is how long a server is cold after its start.
-	Length time.Duration
+	ColdTime time.Duration
 	// PerSecond is how many calls a second a cold server bears; all boxes together may send it
 	// Overage times as many, and Slack more, in any second.
 	PerSecond, Overage, Slack float64
@@ -38,7 +38,7 @@
 	sendMargin = 300 * time.Millisecond
 	// AdmittedFor is how long an admitted call may take until it is handed over. A box that was
 	// suspended or lacked the processor for longer has to admit it anew.
-	AdmittedFor = 150 * time.Millisecond
+	AdmissionValidity = 150 * time.Millisecond
 )
 
 // windowLength is the time over which a Window counts: a call admitted within it may arrive in the
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -53,6 +53,6 @@
 
 func TestALimitWithoutARateBoundsNothing(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(coldstart.Limit{Length: time.Second, Overage: 1}.Bounded()).To(BeFalse())
+	g.Expect(coldstart.Limit{ColdTime: time.Second, Overage: 1}.Bounded()).To(BeFalse())
 	g.Expect(coldstart.Limit{PerSecond: 1}.Bounded()).To(BeTrue())
 }
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -62,7 +62,7 @@
 	// first. Nil is for servers of the box's own zone alone, where no cut lies between.
 	Near func(server fleet.Server) []string
 	// Fate says what the registry knows of a life of a server.
-	Fate func(incarnation string) fleet.Fate
+	Fate func(incarnation string) fleet.RegistryStatus
 	// Ended is told of each call under which a server ended.
 	Ended func(Loss)
 }
@@ -98,7 +98,7 @@
 // Judge reports whether the server of a call that broke off has ended. What is not known now
 // may be found out later; either way Ended is told.
 func (d *Detector) Judge(ctx context.Context, loss Loss) bool {
-	if d.cfg.Fate(loss.Server.Incarnation) == fleet.FateLeft {
+	if d.cfg.Fate(loss.Server.Incarnation) == fleet.StatusLeft {
 		return false
 	}
 	if d.ended(ctx, loss.Server) {
@@ -221,13 +221,13 @@
 	for _, loss := range d.open {
 		fate := d.cfg.Fate(loss.Server.Incarnation)
 		switch {
-		case fate == fleet.FateReplaced:
+		case fate == fleet.StatusReplaced:
 			proved = append(proved, loss.Loss)
 			if incarnation := loss.Server.Incarnation; !told[incarnation] {
 				told[incarnation] = true
 				d.cfg.Logger.Warn().Str("server", incarnation).Str("service", loss.Server.Service).Str("address", loss.Server.Address).Str("proof", "registry").Msg("server_crashed")
 			}
-		case fate != fleet.FateLeft && now.Before(loss.until):
+		case fate != fleet.StatusLeft && now.Before(loss.until):
 			kept = append(kept, loss)
 		}
 	}
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -28,12 +28,12 @@
 	refuses bool
 	// near is what the other server of its zone answers.
 	near  error
-	fate  fleet.Fate
+	fate  fleet.RegistryStatus
 	asked int
 	ended []crash.Loss
 }
 
-func (o *outside) set(refuses bool, fate fleet.Fate) {
+func (o *outside) set(refuses bool, fate fleet.RegistryStatus) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.refuses, o.fate = refuses, fate
@@ -67,7 +67,7 @@
 			return nil
 		},
 		Near: func(fleet.Server) []string { return []string{nearAddress} },
-		Fate: func(string) fleet.Fate {
+		Fate: func(string) fleet.RegistryStatus {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			return o.fate
@@ -101,20 +101,20 @@
 		name    string
 		refuses bool
 		near    error
-		fate    fleet.Fate
+		fate    fleet.RegistryStatus
 		// later is what the registry says two seconds after the loss.
-		later       fleet.Fate
+		later       fleet.RegistryStatus
 		atOnce, all int
 	}{
-		{"it refuses connections", true, nil, fleet.FateListed, fleet.FateListed, 1, 1},
-		{"it refuses connections, and so do others of its zone: a cut that resets", true, syscall.ECONNREFUSED, fleet.FateListed, fleet.FateListed, 0, 0},
-		{"it refuses connections, and others of its zone do not answer", true, context.DeadlineExceeded, fleet.FateListed, fleet.FateListed, 0, 0},
-		{"it refuses connections, so do others, and it did end", true, syscall.ECONNREFUSED, fleet.FateListed, fleet.FateReplaced, 0, 1},
-		{"it refuses connections, as it was to end", true, nil, fleet.FateLeft, fleet.FateLeft, 0, 0},
-		{"it takes connections: a reset, a cut, a garbled answer", false, nil, fleet.FateListed, fleet.FateListed, 0, 0},
-		{"it is back before anybody looks", false, nil, fleet.FateListed, fleet.FateReplaced, 0, 1},
-		{"another life is known before the loss is", false, nil, fleet.FateReplaced, fleet.FateReplaced, 0, 1},
-		{"its entry goes, and nothing says why", false, nil, fleet.FateListed, fleet.FateLeft, 0, 0},
+		{"it refuses connections", true, nil, fleet.StatusListed, fleet.StatusListed, 1, 1},
+		{"it refuses connections, and so do others of its zone: a cut that resets", true, syscall.ECONNREFUSED, fleet.StatusListed, fleet.StatusListed, 0, 0},
+		{"it refuses connections, and others of its zone do not answer", true, context.DeadlineExceeded, fleet.StatusListed, fleet.StatusListed, 0, 0},
+		{"it refuses connections, so do others, and it did end", true, syscall.ECONNREFUSED, fleet.StatusListed, fleet.StatusReplaced, 0, 1},
+		{"it refuses connections, as it was to end", true, nil, fleet.StatusLeft, fleet.StatusLeft, 0, 0},
+		{"it takes connections: a reset, a cut, a garbled answer", false, nil, fleet.StatusListed, fleet.StatusListed, 0, 0},
+		{"it is back before anybody looks", false, nil, fleet.StatusListed, fleet.StatusReplaced, 0, 1},
+		{"another life is known before the loss is", false, nil, fleet.StatusReplaced, fleet.StatusReplaced, 0, 1},
+		{"its entry goes, and nothing says why", false, nil, fleet.StatusListed, fleet.StatusLeft, 0, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -139,7 +139,7 @@
 func TestAServerIsAskedOnceForAllCallsThatItTookAlong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &outside{refuses: true, fate: fleet.FateListed}
+		o := &outside{refuses: true, fate: fleet.StatusListed}
 		detector := o.start(t)
 		var calls sync.WaitGroup
 		for i := range 10 {
@@ -158,11 +158,11 @@
 func TestAServerThatDidNotEndIsAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &outside{fate: fleet.FateListed}
+		o := &outside{fate: fleet.StatusListed}
 		detector := o.start(t)
 		g.Expect(detector.Judge(t.Context(), loss("reset"))).To(BeFalse())
 		time.Sleep(50 * time.Millisecond)
-		o.set(true, fleet.FateListed)
+		o.set(true, fleet.StatusListed)
 		g.Expect(detector.Judge(t.Context(), loss("r"))).To(BeTrue())
 	})
 }
@@ -172,7 +172,7 @@
 func TestACallerThatLeavesKeepsNobodyFromTheProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &outside{refuses: true, fate: fleet.FateListed}
+		o := &outside{refuses: true, fate: fleet.StatusListed}
 		detector := o.start(t)
 		leaving, leave := context.WithCancel(t.Context())
 		go detector.Judge(leaving, loss("first"))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -73,7 +73,7 @@
 // Open hands the request to the server of its placement, or to others as far
 // as that is allowed. It counts as a first try.
 func (d *Dispatcher) Open(request *flow.Request) (*Attempt, *apierror.Error) {
-	d.budget.Earn()
+	d.budget.Deposit()
 	request.Fingerprint = identify(request)
 	return d.open(request, nil, false)
 }
@@ -175,11 +175,11 @@
 // moveOn places the request on a server that was not tried, and reports whether
 // there is one and the budget allows it.
 func (d *Dispatcher) moveOn(request *flow.Request, tried []string) bool {
-	if len(tried) >= maxTries || !d.budget.Take() {
+	if len(tried) >= maxTries || !d.budget.TryWithdraw() {
 		return false
 	}
 	if d.choose(request, tried) != nil {
-		d.budget.Return() // a retry that is not made costs nothing
+		d.budget.Refund() // a retry that is not made costs nothing
 		return false
 	}
 	return true
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -103,5 +103,5 @@
 	})
 	_, failure := d.Open(request)
 	g.Expect(failure).NotTo(BeNil())
-	g.Expect(budget.State().Saved).To(BeEquivalentTo(retrybudget.DefaultBurst))
+	g.Expect(budget.State().Balance).To(BeEquivalentTo(retrybudget.DefaultBurst))
 }
--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -61,11 +61,11 @@
 }
 
 // fate says what is known of a server by its name.
-func (e *endings) fate(server string) fleet.Fate {
+func (e *endings) fate(server string) fleet.RegistryStatus {
 	if _, leaving := e.life(server); leaving {
-		return fleet.FateLeft
+		return fleet.StatusLeft
 	}
-	return fleet.FateListed
+	return fleet.StatusListed
 }
 
 func (e *endings) noteEnd(loss crash.Loss) {
--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -78,7 +78,7 @@
 	watcher  *storewatch.Watcher
 	share    *loadshare.Share
 	readers  *zonereader.Zone
-	places   *places.Places
+	places   *places.Placer
 	// news is woken when this box learns anything of a stream that boxes which follow it are
 	// told.
 	news waiting.Signal
@@ -157,9 +157,9 @@
 // the configuration.
 func (b *Box) assembleBeliefs() {
 	b.fleet = fleet.New(fleet.Config{
-		Logger: b.logger, Off: b.settings.Off, Heartbeat: b.settings.ServerHeartbeat,
-		CallsCold:     func(zone, server string) bool { return b.share.CallsCold(zone, server) },
-		LimitPosition: func(zone, server string) advisory.Position { return b.share.LimitPosition(zone, server) },
+		Logger: b.logger, Mechanisms: b.settings.Off, Heartbeat: b.settings.ServerHeartbeat,
+		OwnsColdServer: func(zone, server string) bool { return b.share.CallsCold(zone, server) },
+		LimitPosition:  func(zone, server string) advisory.Position { return b.share.LimitPosition(zone, server) },
 	})
 	b.parts = partindex.New(partindex.Config{News: &b.partNews, Off: b.settings.Off, FirstWait: b.firstWait()})
 	b.registry = registry.New(registry.Config{
@@ -191,7 +191,7 @@
 		Off: b.settings.Off, Self: zonereader.Box{Box: b.self(), Address: b.ReaderAddress()},
 	})
 	b.places = places.New(places.Config{
-		Fleet: b.fleet, Logger: b.logger, Off: b.settings.Off, Others: b.otherOwners, Active: b.hasOwners, Said: b.share.SaidAt,
+		Fleet: b.fleet, Logger: b.logger, Mechanisms: b.settings.Off, Others: b.otherOwners, Active: b.hasOwners, ReportedAt: b.share.SaidAt,
 		Self: places.Box{Box: b.self(), Address: b.PlacesAddress()},
 	})
 }
@@ -267,7 +267,7 @@
 	limits := make(map[string]coldstart.Limit, len(services))
 	for _, service := range services {
 		limits[service.Name] = coldstart.Limit{
-			Length: service.ColdStart, PerSecond: service.ColdPerSecond,
+			ColdTime: service.ColdStart, PerSecond: service.ColdPerSecond,
 			Overage: b.settings.ColdOverage, Slack: b.settings.ColdSlack,
 		}
 	}
@@ -302,7 +302,7 @@
 	b.loops.Go(func() { b.share.LoopAccept(b.background, b.ports.peers) })
 	b.loops.Go(func() { b.readers.LoopAccept(b.background, b.ports.readers) })
 	b.loops.Go(func() { b.places.LoopAccept(b.background, b.ports.places) })
-	boottime.OnWake(b.noteSuspension)
+	boottime.OnResume(b.noteSuspension)
 	b.serveAll()
 	b.logger.Info().Str("version", version.Version).Str("callers", b.CallerAddress()).Str("ready", b.ReadyAddress()).
 		Str("life", b.name).Stringer("off", b.settings.Off).Msg("started")
--- a/internal/entrybox/ports.go
+++ b/internal/entrybox/ports.go
@@ -152,7 +152,7 @@
 		return "leaving"
 	case b.registry.Catalog() == nil:
 		return "no configuration yet"
-	case b.fleet.Known() == 0:
+	case b.fleet.CountListed() == 0:
 		return "no backend servers yet"
 	default:
 		return ""
--- a/internal/entrybox/settings.go
+++ b/internal/entrybox/settings.go
@@ -44,7 +44,7 @@
 	ColdOverage float64
 	ColdSlack   float64
 	// Off holds mechanisms that are switched off.
-	Off mechanism.Off
+	Off mechanism.Switches
 	// SystemStarts says that the whole system starts for the first time.
 	SystemStarts bool
 	// Cores is the processor that the process may use; 0 where the platform does not say.
--- a/internal/entrybox/suspects.go
+++ b/internal/entrybox/suspects.go
@@ -19,7 +19,7 @@
 		Changed: b.suspectChanged,
 	})
 	b.crashes = crash.New(crash.Config{
-		Logger: b.logger, Fate: b.fleet.Fate, Connect: b.pool.Probe, Near: b.fleet.Near, Ended: b.noteEnd,
+		Logger: b.logger, Fate: b.fleet.RegistryStatus, Connect: b.pool.Probe, Near: b.fleet.ZonePeers, Ended: b.noteEnd,
 	})
 }
 
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -14,7 +14,7 @@
 type Change struct {
 	Zone string
 	// Active says that the zone is evacuated, rather than taken back.
-	Active bool
+	Evacuate bool
 	// Offset is the record's position in the log.
 	Offset int64
 }
@@ -39,7 +39,7 @@
 	if known && change.Offset < before.offset {
 		return false
 	}
-	next := state{active: change.Active, offset: change.Offset, endedAt: before.endedAt}
+	next := state{active: change.Evacuate, offset: change.Offset, endedAt: before.endedAt}
 	if before.active && !next.active {
 		next.endedAt = now
 	}
@@ -51,13 +51,13 @@
 }
 
 // Active reports whether a zone is evacuated.
-func (z *Zones) Active(zone string) bool { return z.zones[zone].active }
+func (z *Zones) IsEvacuated(zone string) bool { return z.zones[zone].active }
 
 // EndedAt gives when this process learned that a zone was taken back; zero if it never was.
 func (z *Zones) EndedAt(zone string) time.Time { return z.zones[zone].endedAt }
 
 // All lists the evacuated zones in the order of their names.
-func (z *Zones) All() []string {
+func (z *Zones) List() []string {
 	var active []string
 	for zone, state := range z.zones {
 		if state.active {
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestTheNewestRecordOnAZoneDecides(t *testing.T) {
-	begin, end := evacuation.Change{Zone: "a", Active: true, Offset: 3}, evacuation.Change{Zone: "a", Offset: 5}
+	begin, end := evacuation.Change{Zone: "a", Evacuate: true, Offset: 3}, evacuation.Change{Zone: "a", Offset: 5}
 	tests := []struct {
 		name    string
 		changes []evacuation.Change
@@ -22,8 +22,8 @@
 		{"taken back", []evacuation.Change{begin, end}, nil, true},
 		{"taken back before this process knew of it", []evacuation.Change{end, begin}, nil, false},
 		{"the same record again", []evacuation.Change{begin, begin}, []string{"a"}, false},
-		{"evacuated again", []evacuation.Change{begin, end, {Zone: "a", Active: true, Offset: 6}}, []string{"a"}, true},
-		{"two zones", []evacuation.Change{begin, {Zone: "b", Active: true, Offset: 4}}, []string{"a", "b"}, false},
+		{"evacuated again", []evacuation.Change{begin, end, {Zone: "a", Evacuate: true, Offset: 6}}, []string{"a"}, true},
+		{"two zones", []evacuation.Change{begin, {Zone: "b", Evacuate: true, Offset: 4}}, []string{"a", "b"}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,8 +33,8 @@
 			for _, change := range test.changes {
 				zones.Apply(change, now)
 			}
-			g.Expect(zones.All()).To(Equal(test.active))
-			g.Expect(zones.Active("a")).To(Equal(len(test.active) > 0))
+			g.Expect(zones.List()).To(Equal(test.active))
+			g.Expect(zones.IsEvacuated("a")).To(Equal(len(test.active) > 0))
 			g.Expect(!zones.EndedAt("a").IsZero()).To(Equal(test.ended))
 		})
 	}
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -16,7 +16,7 @@
 )
 
 // Advise takes over what an answer says of the incarnation that gave it.
-func (f *Fleet) Advise(incarnation string, answer advisory.Answer) {
+func (f *Fleet) ApplyAdvisory(incarnation string, answer advisory.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.servers[incarnation]
@@ -69,7 +69,7 @@
 
 // Limited counts the listed servers that name a rate limit, and those of them that this box has a share
 // of.
-func (f *Fleet) Limited() (limited, shared int) {
+func (f *Fleet) CountLimited() (limited, shared int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
@@ -99,7 +99,7 @@
 
 // Advised gives what servers said of themselves in answers to this box, by incarnation, where boxes do
 // not share their work.
-func (f *Fleet) Advised() map[string]*advisory.Report {
+func (f *Fleet) AdvisoryReports() map[string]*advisory.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
@@ -113,7 +113,7 @@
 }
 
 // TakeAdvised takes over what another box reports, by incarnation.
-func (f *Fleet) TakeAdvised(reports map[string]*advisory.Report) {
+func (f *Fleet) ApplyAdvisoryReports(reports map[string]*advisory.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -27,7 +27,7 @@
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if hold := place(); hold != nil {
 			count++
-			hold.Done(fleet.EndServed)
+			hold.Done(fleet.OutcomeServed)
 		}
 	}
 	return count
@@ -43,7 +43,7 @@
 		place func(f *fleet.Fleet) *fleet.Hold
 	}{
 		{"by itself", 21, func(f *fleet.Fleet) *fleet.Hold { return f.Choose(query) }},
-		{"where an owner says", 21, func(f *fleet.Fleet) *fleet.Hold { return f.Take(query, "one") }},
+		{"where an owner says", 21, func(f *fleet.Fleet) *fleet.Hold { return f.PlaceAt(query, "one") }},
 		{"beside another try", 0, func(f *fleet.Fleet) *fleet.Hold {
 			beside := query
 			beside.UncappedOnly = true
@@ -51,7 +51,7 @@
 		}},
 		{"for another box", 0, func(f *fleet.Fleet) *fleet.Hold {
 			if grant := f.Grant(query); grant != nil {
-				defer grant.End()
+				defer grant.Release()
 				return f.Choose(query)
 			}
 			return nil
@@ -62,10 +62,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet("one")
-				f.Advise("one", limitOf(2))
+				f.ApplyAdvisory("one", limitOf(2))
 				count := chosenIn(10*time.Second, func() *fleet.Hold { return test.place(f) })
 				g.Expect(count).To(BeNumerically("~", test.most, 1))
-				f.Advise("one", answerWith(advisory.Advisory{}))
+				f.ApplyAdvisory("one", answerWith(advisory.Advisory{}))
 				g.Expect(chosenIn(time.Second, func() *fleet.Hold { return test.place(f) })).To(BeNumerically(">", 50))
 			})
 		})
@@ -76,9 +76,9 @@
 func TestTheNextIncarnationHasNoLimit(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("one")
-	f.Advise("one", limitOf(0))
+	f.ApplyAdvisory("one", limitOf(0))
 	_, hold := choose(f)
-	hold.Done(fleet.EndServed)
+	hold.Done(fleet.OutcomeServed)
 	name, _ := choose(f)
 	g.Expect(name).To(BeEmpty())
 	f.Apply([]fleet.Update{{Key: "one", Offset: 9, Server: server("two")}})
@@ -94,15 +94,15 @@
 			Logger: zerolog.Nop(), LimitPosition: func(string, string) advisory.Position { return advisory.Position{Rank: 7, Present: 8, Listed: 8} },
 		})
 		second.Apply([]fleet.Update{{Key: "one", Offset: 1, Server: server("one")}})
-		first.Advise("one", limitOf(2))
-		second.SetRemote("first", first.Loads())
+		first.ApplyAdvisory("one", limitOf(2))
+		second.SetRemoteLoads("first", first.Loads())
 		name, _ := choose(second)
 		g.Expect(name).To(BeEmpty(), "it has no share")
 		g.Expect(second.Loads()).To(BeEmpty(), "only own answers are reported")
 
 		time.Sleep(time.Second)
-		first.Advise("one", answerWith(advisory.Advisory{}))
-		second.SetRemote("first", first.Loads())
+		first.ApplyAdvisory("one", answerWith(advisory.Advisory{}))
+		second.SetRemoteLoads("first", first.Loads())
 		name, _ = choose(second)
 		g.Expect(name).To(Equal("one"))
 	})
@@ -113,15 +113,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("one", "two")
-		g.Expect(f.Availability("runners", nil)).To(Equal(fleet.Availability{Servers: true, Here: true}))
-		f.Advise("one", limitOf(0.5))
+		g.Expect(f.Availability("runners", nil)).To(Equal(fleet.Availability{HasServers: true, ForThisBox: true}))
+		f.ApplyAdvisory("one", limitOf(0.5))
 		g.Expect(f.Availability("runners", nil).Wait).To(BeZero(), "the other one has none")
-		f.Advise("two", limitOf(0.25))
+		f.ApplyAdvisory("two", limitOf(0.25))
 		for range 2 {
 			_, hold := choose(f)
-			hold.Done(fleet.EndServed)
+			hold.Done(fleet.OutcomeServed)
 		}
-		g.Expect(f.Availability("runners", nil)).To(Equal(fleet.Availability{Servers: true, Here: true, Wait: 2 * time.Second}))
+		g.Expect(f.Availability("runners", nil)).To(Equal(fleet.Availability{HasServers: true, ForThisBox: true, Wait: 2 * time.Second}))
 		g.Expect(f.Availability("none", nil)).To(Equal(fleet.Availability{}))
 	})
 }
@@ -131,18 +131,18 @@
 	g := NewWithT(t)
 	f := newFleet("one")
 	_, placed := choose(f)
-	f.Advise("one", answerWith(advisory.Advisory{Draining: true}))
+	f.ApplyAdvisory("one", answerWith(advisory.Advisory{Draining: true}))
 	query := fleet.Query{Service: "runners", Zone: "a"}
 	g.Expect(f.Choose(query)).To(BeNil())
-	g.Expect(f.Take(query, "one")).To(BeNil())
+	g.Expect(f.PlaceAt(query, "one")).To(BeNil())
 	g.Expect(f.Grant(query)).To(BeNil())
 	g.Expect(placed.MayHandOver()).To(BeFalse(), "a call that was placed before")
-	g.Expect(f.Availability("runners", nil).Servers).To(BeFalse())
-	g.Expect(f.Behind("m", 2)).To(BeEmpty(), "no weights are loaded there")
-	g.Expect(f.Fate("one")).To(Equal(fleet.FateLeft), "its end is no crash")
+	g.Expect(f.Availability("runners", nil).HasServers).To(BeFalse())
+	g.Expect(f.ServersBehind("m", 2)).To(BeEmpty(), "no weights are loaded there")
+	g.Expect(f.RegistryStatus("one")).To(Equal(fleet.StatusLeft), "its end is no crash")
 
 	other := newFleet("one")
-	other.SetRemote("first", f.Loads())
+	other.SetRemoteLoads("first", f.Loads())
 	g.Expect(other.Choose(query)).To(BeNil(), "other boxes learn of it")
 
 	leaving, ready := server("one"), server("one")
@@ -160,18 +160,18 @@
 		query := fleet.Query{Service: "runners", Zone: "a"}
 		_, placed := choose(f)
 		_, answered := choose(f)
-		f.Advise("one", answerWith(advisory.Advisory{Pause: 3 * time.Second}))
-		f.Advise("one", answerWith(advisory.Advisory{Pause: time.Second}))
-		answered.Done(fleet.EndServed)
-		f.Advise("one", answerWith(advisory.Advisory{}))
+		f.ApplyAdvisory("one", answerWith(advisory.Advisory{Pause: 3 * time.Second}))
+		f.ApplyAdvisory("one", answerWith(advisory.Advisory{Pause: time.Second}))
+		answered.Done(fleet.OutcomeServed)
+		f.ApplyAdvisory("one", answerWith(advisory.Advisory{}))
 		g.Expect(f.Choose(query)).To(BeNil())
-		g.Expect(f.Take(query, "one")).To(BeNil())
+		g.Expect(f.PlaceAt(query, "one")).To(BeNil())
 		g.Expect(f.Grant(query)).To(BeNil())
 		g.Expect(placed.MayHandOver()).To(BeFalse(), "a call that was placed before")
-		g.Expect(f.Availability("runners", nil)).To(Equal(fleet.Availability{Servers: true, Wait: 3 * time.Second, Here: true}))
+		g.Expect(f.Availability("runners", nil)).To(Equal(fleet.Availability{HasServers: true, Wait: 3 * time.Second, ForThisBox: true}))
 
 		other := newFleet("one")
-		other.SetRemote("first", f.Loads())
+		other.SetRemoteLoads("first", f.Loads())
 		g.Expect(other.Choose(query)).NotTo(BeNil(), "it asked this box alone")
 
 		time.Sleep(3*time.Second - time.Millisecond)
--- a/internal/fleet/available.go
+++ b/internal/fleet/available.go
@@ -12,11 +12,11 @@
 type Availability struct {
 	// Servers reports whether any server may take calls now or soon: one that is listed, does not
 	// drain and is in no evacuated zone.
-	Servers bool
+	HasServers bool
 	// Wait is how long none of them takes a call by what it says of itself, and Here reports whether
 	// one then takes a call of this box.
-	Wait time.Duration
-	Here bool
+	Wait       time.Duration
+	ForThisBox bool
 }
 
 // Availability says when a service takes calls in some zones; in is nil for all.
@@ -26,12 +26,12 @@
 	now := boottime.Now()
 	found := Availability{}
 	for _, state := range f.byService[service] {
-		if state.isDraining() || !f.present(state, now) || f.evacuated.Active(state.Zone) || in != nil && !in(state.Zone) {
+		if state.isDraining() || !f.present(state, now) || f.evacuated.IsEvacuated(state.Zone) || in != nil && !in(state.Zone) {
 			continue
 		}
 		wait, here := state.advised.Wait(now, f.position(state, now))
-		if !found.Servers || here && !found.Here || here == found.Here && wait < found.Wait {
-			found = Availability{Servers: true, Wait: wait, Here: here}
+		if !found.HasServers || here && !found.ForThisBox || here == found.ForThisBox && wait < found.Wait {
+			found = Availability{HasServers: true, Wait: wait, ForThisBox: here}
 		}
 		if here && wait == 0 {
 			break
--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -25,13 +25,13 @@
 	Model string
 	// Outdated gives what answering by a version of its weights costs, in
 	// milliseconds of waiting, and whether that version may answer.
-	Outdated func(weights int) (cost float64, may bool)
+	VersionCost func(weights int) (cost float64, may bool)
 	// Load is the work that the call brings, as the policy weighs it; Choose sets its
 	// TokenCost, which the fleet learns.
 	Load placing.Query
 	// Work gives the prompt tokens that a runner would read itself, by the
 	// version of its weights; nil without a prompt.
-	Work func(weights int) int
+	PrefillWork func(weights int) int
 	// Fetch gives the zone that most of the prompt's parts are fetched from at a
 	// runner of a version, and how long that takes within it; nil without a prompt.
 	// It takes as long again from another zone.
@@ -39,17 +39,17 @@
 	// Lag is how old the word of other boxes of this zone on their work is, LagElsewhere
 	// that of boxes in other zones, and Boxes the number of all boxes.
 	Lag          time.Duration
-	LagElsewhere time.Duration
+	OtherZoneLag time.Duration
 	Boxes        int
 	// Headroom reports whether a server's headroom belongs to this box; nil means that
 	// none does.
-	Headroom func(incarnation string) bool
+	OwnsHeadroom func(incarnation string) bool
 	// ConnectionLimit bounds this box's calls at one server.
 	ConnectionLimit int
 	// In reports whether servers of a zone may be chosen; nil allows all.
-	In func(zone string) bool
+	ZoneAllowed func(zone string) bool
 	// SoundOnly leaves out servers that are suspected also when all are.
-	SoundOnly bool
+	HealthyOnly bool
 	// UncappedOnly leaves out servers whose calls this box counts, since they are cold or name a rate
 	// limit: the call is another box's, or is made beside another try.
 	UncappedOnly bool
@@ -65,7 +65,7 @@
 	if state == nil {
 		return nil
 	}
-	f.arrivals.note(float64(candidate.WorkTokens)*query.Load.TokenCost, now)
+	f.arrivals.note(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
 	return f.hold(state, candidate, query, now)
 }
 
@@ -81,10 +81,10 @@
 	if state == nil {
 		return nil, ""
 	}
-	if leave(&candidate, query.Load.Unseen) {
+	if leave(&candidate, query.Load.UnreportedWork) {
 		return nil, state.Zone
 	}
-	f.arrivals.note(float64(candidate.WorkTokens)*query.Load.TokenCost, now)
+	f.arrivals.note(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
 	return f.hold(state, candidate, query, now), state.Zone
 }
 
@@ -102,7 +102,7 @@
 
 // Take counts a call at a server that another box chose for it. It gives nil where this box
 // knows that the server may not take it.
-func (f *Fleet) Take(query Query, incarnation string) *Hold {
+func (f *Fleet) PlaceAt(query Query, incarnation string) *Hold {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
@@ -112,7 +112,7 @@
 	}
 	query.Load.TokenCost = f.tokenCost()
 	candidate := f.describe(state, query, now)
-	f.arrivals.note(float64(candidate.WorkTokens)*query.Load.TokenCost, now)
+	f.arrivals.note(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
 	return f.hold(state, candidate, query, now)
 }
 
@@ -130,8 +130,8 @@
 			candidates, kept = append(candidates, candidate), append(kept, state)
 		}
 	}
-	query.Load.Unseen = f.arrivals.unseen(query, len(candidates), now)
-	query.Load.LagElsewhere = float64(query.LagElsewhere) / float64(time.Millisecond)
+	query.Load.UnreportedWork = f.arrivals.unseen(query, len(candidates), now)
+	query.Load.OtherZoneLag = float64(query.OtherZoneLag) / float64(time.Millisecond)
 	at := placing.Choose(query.Load, candidates)
 	if at < 0 {
 		return nil, placing.Candidate{}, query
@@ -146,13 +146,13 @@
 	for _, state := range f.byService[query.Service] {
 		switch {
 		case !f.eligible(state, query, now):
-		case state.suspect(now) && f.cfg.Off.On(mechanism.Suspicion):
+		case state.suspect(now) && f.cfg.Mechanisms.Enabled(mechanism.Suspicion):
 			suspect = append(suspect, state)
 		default:
 			sound = append(sound, state)
 		}
 	}
-	if len(sound) == 0 && !query.SoundOnly {
+	if len(sound) == 0 && !query.HealthyOnly {
 		// When all look bad the cause may be load, or this box's own link.
 		return suspect
 	}
@@ -165,7 +165,7 @@
 	if state.isDraining() || state.advised.PausedFor(now) > 0 || !f.present(state, now) || now.Before(state.pausedUntil) || now.Before(state.orderedUntil) || now.Before(state.replacedUntil) {
 		return false
 	}
-	if f.evacuated.Active(state.Zone) || query.In != nil && !query.In(state.Zone) {
+	if f.evacuated.IsEvacuated(state.Zone) || query.ZoneAllowed != nil && !query.ZoneAllowed(state.Zone) {
 		return false
 	}
 	if f.isSpared(state, now) || !state.advised.HasRoom(now, f.position(state, now)) || query.UncappedOnly && f.isCapped(state, now) {
@@ -176,7 +176,7 @@
 	}
 	if query.Model != "" {
 		weights := state.weights(query.Model)
-		if _, may := query.Outdated(weights); weights == 0 || !may {
+		if _, may := query.VersionCost(weights); weights == 0 || !may {
 			return false
 		}
 	}
@@ -190,17 +190,17 @@
 	candidate := placing.Candidate{
 		Name: state.Incarnation, InFlight: state.inFlight + others.inFlight, Slots: state.Slots,
 		PendingTokens: state.pendingTokens + others.pendingTokens, HeldTokens: f.heldAt(state),
-		Headroom:  query.Headroom != nil && query.Headroom(state.Incarnation),
-		OtherZone: state.Zone != query.Zone, Failing: state.failing, Cold: f.isCold(state, now),
+		Headroom:  query.OwnsHeadroom != nil && query.OwnsHeadroom(state.Incarnation),
+		OtherZone: state.Zone != query.Zone, FailureRate: state.failing, Cold: f.isCold(state, now),
 		Exclusive: f.isCapped(state, now),
 	}
-	if f.cfg.Off.On(mechanism.ReadRates) {
+	if f.cfg.Mechanisms.Enabled(mechanism.ReadRates) {
 		candidate.TokenCost = state.readCost
 	}
 	if query.Model != "" {
 		weights := state.weights(query.Model)
-		candidate.WorkTokens = query.Work(weights)
-		candidate.ExtraCost, _ = query.Outdated(weights)
+		candidate.PrefillTokens = query.PrefillWork(weights)
+		candidate.ExtraCost, _ = query.VersionCost(weights)
 		if query.Fetch != nil {
 			if zone, within := query.Fetch(weights); zone != state.Zone {
 				candidate.ExtraCost += float64(within) / float64(time.Millisecond)
--- a/internal/fleet/choose_test.go
+++ b/internal/fleet/choose_test.go
@@ -13,9 +13,9 @@
 // prompt asks for a runner that holds at least the oldest version.
 func prompt(oldest, tokens int, limit time.Duration) fleet.Query {
 	return fleet.Query{
-		Service: "runners", Zone: "a", Model: "m", Load: placing.Query{ReadLimit: float64(limit.Milliseconds())},
-		Work: func(int) int { return tokens },
-		Outdated: func(weights int) (float64, bool) {
+		Service: "runners", Zone: "a", Model: "m", Load: placing.Query{PrefillLimit: float64(limit.Milliseconds())},
+		PrefillWork: func(int) int { return tokens },
+		VersionCost: func(weights int) (float64, bool) {
 			return 0, weights >= oldest
 		},
 	}
@@ -42,15 +42,15 @@
 	first := f.Choose(prompt(1, 50_000, limit))
 	g.Expect(first).NotTo(BeNil())
 	g.Expect(f.Choose(prompt(1, 100, limit))).To(BeNil())
-	first.Heard()
+	first.NoteEvent()
 	second := f.Choose(prompt(1, 3000, limit))
 	g.Expect(second).NotTo(BeNil())
 	g.Expect(f.Choose(prompt(1, 2000, limit))).NotTo(BeNil())
 	g.Expect(f.Choose(prompt(1, 2000, limit))).To(BeNil())
-	second.Done(fleet.EndServed)
-	f.SetRemote("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 5000}})
+	second.Done(fleet.OutcomeServed)
+	f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 5000}})
 	g.Expect(f.Choose(prompt(1, 2000, limit))).To(BeNil())
-	f.SetRemote("other", nil)
+	f.SetRemoteLoads("other", nil)
 	g.Expect(f.Choose(prompt(1, 2000, limit))).NotTo(BeNil())
 }
 
@@ -64,17 +64,17 @@
 	g.Expect(alone).NotTo(BeNil(), "alone it may try")
 	long.Load.Tokens = 1000
 	g.Expect(f.Choose(long)).To(BeNil())
-	alone.Done(fleet.EndServed)
+	alone.Done(fleet.OutcomeServed)
 	long.Load.Tokens = 30_000
 	first, second := f.Choose(long), f.Choose(long)
 	g.Expect(first).NotTo(BeNil())
 	g.Expect(second).NotTo(BeNil(), "both fit")
 	g.Expect(f.Choose(long)).To(BeNil())
-	first.Done(fleet.EndServed)
-	second.Done(fleet.EndServed)
-	f.SetRemote("other", []fleet.Load{{Incarnation: "s", InFlight: 1, HeldTokens: 46_000}})
+	first.Done(fleet.OutcomeServed)
+	second.Done(fleet.OutcomeServed)
+	f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, HeldTokens: 46_000}})
 	g.Expect(f.Choose(long)).To(BeNil(), "known calls take too much already")
-	f.SetRemote("other", []fleet.Load{{Incarnation: "s", InFlight: 1, HeldTokens: 30_000}})
+	f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, HeldTokens: 30_000}})
 	long.Load.Tokens = 51_000
 	g.Expect(f.Choose(long)).To(BeNil(), "it does not fit at all")
 	short := prompt(1, 0, 0)
@@ -89,7 +89,7 @@
 	limit := time.Second // 60,000 tokens at the rate first assumed
 	for _, tokens := range []int{30_000, 45_000} {
 		f := newFleet("s")
-		f.SetRemote("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 30_000, HeldTokens: 30_000}})
+		f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 30_000, HeldTokens: 30_000}})
 		query := prompt(1, tokens, limit)
 		query.Load.Tokens, query.Load.Memory = tokens, 100_000 // known calls may take 75,000
 		g.Expect(f.Choose(query)).NotTo(BeNil(), "%d tokens", tokens)
@@ -115,10 +115,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newFleet("s")
-			f.SetRemote("other", []fleet.Load{{Incarnation: "s", InFlight: 1, HeldTokens: c.others}})
+			f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, HeldTokens: c.others}})
 			query := prompt(1, 0, 0)
 			query.Load.Tokens, query.Load.Memory = 15_000, 100_000
-			query.Headroom = func(incarnation string) bool { return incarnation == c.owned }
+			query.OwnsHeadroom = func(incarnation string) bool { return incarnation == c.owned }
 			g.Expect(f.Choose(query) != nil).To(Equal(c.want))
 		})
 	}
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -24,7 +24,7 @@
 		return true
 	}
 	limit := f.coldLimits[state.Service]
-	return limit.Bounded() && now.Before(f.evacuated.EndedAt(state.Zone).Add(limit.Length))
+	return limit.Bounded() && now.Before(f.evacuated.EndedAt(state.Zone).Add(limit.ColdTime))
 }
 
 // isBounded reports whether the calls to a server are bounded now. The caller holds mu.
@@ -39,7 +39,7 @@
 }
 
 func (f *Fleet) callsCold(state *State) bool {
-	return f.cfg.CallsCold == nil || f.cfg.CallsCold(state.Zone, state.Incarnation)
+	return f.cfg.OwnsColdServer == nil || f.cfg.OwnsColdServer(state.Zone, state.Incarnation)
 }
 
 // noteCold counts a call that is placed at a server, and reports whether its calls are bounded since it
@@ -53,7 +53,7 @@
 }
 
 // Cold counts the listed servers that are cold, and those of them that this box calls.
-func (f *Fleet) Cold() (cold, own int) {
+func (f *Fleet) CountCold() (cold, own int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -18,8 +18,8 @@
 		limit   coldstart.Limit
 		granted bool
 	}{
-		{"no bound", coldstart.Limit{Length: time.Second}, true},
-		{"a bound", coldstart.Limit{Length: time.Second, PerSecond: 14, Overage: 1}, false},
+		{"no bound", coldstart.Limit{ColdTime: time.Second}, true},
+		{"a bound", coldstart.Limit{ColdTime: time.Second, PerSecond: 14, Overage: 1}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 			granted := f.Grant(grantQuery())
 			g.Expect(granted != nil).To(Equal(test.granted))
 			if granted != nil {
-				granted.End() // the runner's memory takes one prompt
+				granted.Release() // the runner's memory takes one prompt
 			}
 			g.Expect(f.Choose(grantQuery())).NotTo(BeNil(), "the box that calls it")
 		})
--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -8,7 +8,7 @@
 )
 
 // Evacuate takes over a record of the operators on a zone.
-func (f *Fleet) Evacuate(change evacuation.Change) {
+func (f *Fleet) ApplyEvacuation(change evacuation.Change) {
 	defer f.freed.Send() // waiting calls are placed anew, or end
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -16,7 +16,7 @@
 		return
 	}
 	event := "zone_returned"
-	if change.Active {
+	if change.Evacuate {
 		event = "zone_evacuated"
 	}
 	f.cfg.Logger.Info().Str("evacuated", change.Zone).Int64("offset", change.Offset).Int("calls", f.callsIn(change.Zone)).Msg(event)
@@ -34,8 +34,8 @@
 }
 
 // Evacuated lists the evacuated zones.
-func (f *Fleet) Evacuated() []string {
+func (f *Fleet) EvacuatedZones() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.evacuated.All()
+	return f.evacuated.List()
 }
--- a/internal/fleet/fate.go
+++ b/internal/fleet/fate.go
@@ -12,39 +12,39 @@
 )
 
 // Fate is what became of a life of a server.
-type Fate uint8
+type RegistryStatus uint8
 
 // Fates of a life.
 const (
 	// FateListed: it stands in the registry and is to stay.
-	FateListed Fate = iota + 1
+	StatusListed RegistryStatus = iota + 1
 	// FateLeft: it said that it leaves, or its entry went and nothing says more.
-	FateLeft
+	StatusLeft
 	// FateReplaced: without a word before, another life of the server is listed, or another
 	// server at its address.
-	FateReplaced
+	StatusReplaced
 )
 
 // Fate says what became of a life of a server.
-func (f *Fleet) Fate(incarnation string) Fate {
+func (f *Fleet) RegistryStatus(incarnation string) RegistryStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.servers[incarnation]
 	switch {
 	case state == nil || state.isDraining():
-		return FateLeft
+		return StatusLeft
 	case f.replaced(state):
-		return FateReplaced
+		return StatusReplaced
 	case !state.gone.IsZero():
-		return FateLeft
+		return StatusLeft
 	default:
-		return FateListed
+		return StatusListed
 	}
 }
 
 // Near gives the addresses of other servers of a server's zone that can be reached as far as
 // this box knows, those first that most of its calls are at.
-func (f *Fleet) Near(server Server) []string {
+func (f *Fleet) ZonePeers(server Server) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,15 +27,15 @@
 type Config struct {
 	Logger zerolog.Logger
 	// Off holds mechanisms that are switched off.
-	Off mechanism.Off
+	Mechanisms mechanism.Switches
 	// Returning is how long after the registry's return a server that it dropped
 	// meanwhile is still believed in: most living servers are back within it.
-	Returning time.Duration
+	ReregisterGrace time.Duration
 	// Heartbeat is how often servers write their entries.
 	Heartbeat time.Duration
 	// CallsCold reports whether it is this box that calls a cold server of a zone; nil stands for
 	// a box alone.
-	CallsCold func(zone, incarnation string) bool
+	OwnsColdServer func(zone, incarnation string) bool
 	// LimitPosition says where this box stands among those that share the rate limit of a server of a
 	// zone; nil stands for a box alone.
 	LimitPosition func(zone, incarnation string) advisory.Position
@@ -45,7 +45,7 @@
 	// DefaultReturning is below the two seconds after which nothing new may reach a server
 	// whose going was read, by the time that a call takes to reach it. Living servers enter
 	// themselves again within about as long.
-	DefaultReturning = 1800 * time.Millisecond
+	DefaultReregisterGrace = 1800 * time.Millisecond
 	// DefaultHeartbeat is that of servers whose platform does not say.
 	DefaultHeartbeat = 1200 * time.Millisecond
 )
@@ -97,7 +97,7 @@
 	// firstEvent is the time to the first event of a short prompt, as learnt, and readings are
 	// what was seen of runners and not reported yet.
 	firstEvent time.Duration
-	readings   []Reading
+	readings   []PrefillSample
 	// evacuated holds the zones whose servers get no calls.
 	evacuated evacuation.Zones
 	// coldLimits bounds the calls to cold servers, by service.
@@ -106,7 +106,7 @@
 
 // New makes a fleet without servers.
 func New(cfg Config) *Fleet {
-	cfg.Returning = cmp.Or(cfg.Returning, DefaultReturning)
+	cfg.ReregisterGrace = cmp.Or(cfg.ReregisterGrace, DefaultReregisterGrace)
 	cfg.Heartbeat = cmp.Or(cfg.Heartbeat, DefaultHeartbeat)
 	return &Fleet{
 		cfg: cfg, servers: map[string]*State{}, lives: map[string]string{}, byService: map[string][]*State{},
@@ -122,7 +122,7 @@
 	// Server is nil when the server is gone, or when what stands there names none, as Unclear
 	// says: then it has not lapsed, and is not to be used until it says of itself again.
 	Server  *Server
-	Unclear bool
+	Invalid bool
 }
 
 // Apply takes over words of the registry in their order.
@@ -195,7 +195,7 @@
 	}
 	state.offset = update.Offset
 	f.drop(state)
-	if update.Unclear {
+	if update.Invalid {
 		state.believedUntil = time.Time{}
 	}
 }
@@ -240,7 +240,7 @@
 }
 
 // RegistryLost notes that a question to the registry had no answer.
-func (f *Fleet) RegistryLost(asked time.Time) {
+func (f *Fleet) NoteRegistryFailure(asked time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.askedInVain = asked
@@ -251,7 +251,7 @@
 
 // RegistryBack notes that the registry is read again: if it was away for long, the servers
 // that still live enter it anew.
-func (f *Fleet) RegistryBack() {
+func (f *Fleet) NoteRegistryRecovery() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now := boottime.Now(); f.longLost(now) {
@@ -268,7 +268,7 @@
 
 // returnsFrom gives until when living servers come back if the registry is back now.
 func (f *Fleet) returnsFrom(now time.Time) time.Time {
-	return slices.MinFunc([]time.Time{now.Add(f.cfg.Returning), f.askedInVain.Add(returningAtMost)}, time.Time.Compare)
+	return slices.MinFunc([]time.Time{now.Add(f.cfg.ReregisterGrace), f.askedInVain.Add(returningAtMost)}, time.Time.Compare)
 }
 
 // mayHaveLapsedUntil gives until when a server that is found gone now is still believed in.
@@ -307,7 +307,7 @@
 }
 
 // Known counts the servers that are listed.
-func (f *Fleet) Known() int {
+func (f *Fleet) CountListed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -321,11 +321,11 @@
 
 // Freed gives a channel that is closed when a call ends at a server, or another box tells
 // of its work.
-func (f *Fleet) Freed() <-chan struct{} { return f.freed.Wait() }
+func (f *Fleet) CapacityChanged() <-chan struct{} { return f.freed.Wait() }
 
 // Changed gives a channel that is closed when this box places a call at a server or ends one
 // there.
-func (f *Fleet) Changed() <-chan struct{} { return f.changed.Wait() }
+func (f *Fleet) LoadsChanged() <-chan struct{} { return f.changed.Wait() }
 
 // fadeEvery is the time between two rounds of fading.
 const fadeEvery = 500 * time.Millisecond
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -29,13 +29,13 @@
 	if state == nil {
 		return nil
 	}
-	load := Load{Incarnation: state.Incarnation, InFlight: 1, PendingTokens: candidate.WorkTokens, HeldTokens: query.Load.Tokens}
+	load := Load{Incarnation: state.Incarnation, InFlight: 1, PendingTokens: candidate.PrefillTokens, HeldTokens: query.Load.Tokens}
 	addWork(f.granted, load, 1)
 	return &Grant{f, load}
 }
 
 // End has the call count no longer: its box tells of it itself, or does not use the place.
-func (g *Grant) End() {
+func (g *Grant) Release() {
 	defer g.fleet.freed.Send()
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
@@ -44,7 +44,7 @@
 
 // Versions lists the versions of a model's weights that servers of a service hold, so that a
 // call can be described for each of them.
-func (f *Fleet) Versions(service, model string) []int {
+func (f *Fleet) HeldVersions(service, model string) []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var versions []int
--- a/internal/fleet/grant_test.go
+++ b/internal/fleet/grant_test.go
@@ -11,8 +11,8 @@
 // grantQuery asks for a place for a prompt of which a runner's memory takes one.
 func grantQuery() Query {
 	return Query{
-		Service: "s", Model: "m", Load: placing.Query{Tokens: 60, Memory: 100, ReadLimit: 1000},
-		Outdated: func(int) (float64, bool) { return 0, true }, Work: func(int) int { return 10 },
+		Service: "s", Model: "m", Load: placing.Query{Tokens: 60, Memory: 100, PrefillLimit: 1000},
+		VersionCost: func(int) (float64, bool) { return 0, true }, PrefillWork: func(int) int { return 10 },
 	}
 }
 
@@ -33,7 +33,7 @@
 	g.Expect(f.Grant(grantQuery())).To(BeNil())
 	g.Expect(f.Choose(grantQuery())).To(BeNil())
 	g.Expect(f.Shortage(grantQuery()).HeldTokens).To(Equal(60))
-	granted.End()
+	granted.Release()
 	g.Expect(f.Shortage(grantQuery()).HeldTokens).To(BeZero())
 	g.Expect(f.Choose(grantQuery())).NotTo(BeNil())
 	g.Expect(f.granted).To(BeEmpty())
@@ -47,21 +47,21 @@
 		taken  bool
 	}{
 		{"all is well", func(*Fleet, *Query) {}, true},
-		{"its own word on the work is not asked", func(f *Fleet, _ *Query) { f.SetRemote("b", []Load{{Incarnation: "r", HeldTokens: 90}}) }, true},
+		{"its own word on the work is not asked", func(f *Fleet, _ *Query) { f.SetRemoteLoads("b", []Load{{Incarnation: "r", HeldTokens: 90}}) }, true},
 		{"it was tried already", func(_ *Fleet, query *Query) { query.Exclude = []string{"r"} }, false},
 		{"it is leaving", func(f *Fleet, _ *Query) {
 			f.Apply([]Update{{Key: "r", Offset: 2, Server: &Server{Incarnation: "r", Service: "s", Leaving: true, Weights: map[string]int{"m": 1}}}})
 		}, false},
-		{"it could not be reached just now", func(f *Fleet, _ *Query) { f.Choose(grantQuery()).Done(EndUnreachable) }, false},
+		{"it could not be reached just now", func(f *Fleet, _ *Query) { f.Choose(grantQuery()).Done(OutcomeUnreachable) }, false},
 		{"it is unknown", func(f *Fleet, _ *Query) { f.Replace(nil); clear(f.servers) }, false},
-		{"its weights may not answer", func(_ *Fleet, query *Query) { query.Outdated = func(int) (float64, bool) { return 0, false } }, false},
+		{"its weights may not answer", func(_ *Fleet, query *Query) { query.VersionCost = func(int) (float64, bool) { return 0, false } }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			f, query := withRunners("r"), grantQuery()
 			test.change(f, &query)
-			hold := f.Take(query, "r")
+			hold := f.PlaceAt(query, "r")
 			g.Expect(hold != nil).To(Equal(test.taken))
 			if hold != nil {
 				g.Expect(f.Loads()[0].HeldTokens).To(Equal(60))
@@ -74,11 +74,11 @@
 	g := NewWithT(t)
 	f := withRunners("r", "q")
 	query := grantQuery()
-	query.In = func(zone string) bool { return zone == "zone-q" }
+	query.ZoneAllowed = func(zone string) bool { return zone == "zone-q" }
 	best, zone, found := f.Best(query)
 	g.Expect(found).To(BeTrue())
 	g.Expect(best.Name).To(Equal("q"))
 	g.Expect(zone).To(Equal("zone-q"))
 	g.Expect(f.Loads()).To(BeEmpty())
-	g.Expect(f.Versions("s", "m")).To(Equal([]int{1}))
+	g.Expect(f.HeldVersions("s", "m")).To(Equal([]int{1}))
 }
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -45,7 +45,7 @@
 func (h *Hold) Overdue() time.Duration { return boottime.Since(h.since) - firstStep - h.reading }
 
 // Expected is how long after it was placed the call's first event was expected.
-func (h *Hold) Expected() time.Duration { return firstStep + h.reading }
+func (h *Hold) ExpectedFirstEvent() time.Duration { return firstStep + h.reading }
 
 // Server gives the server as it was when the call was placed.
 func (h *Hold) Server() Server { return h.server }
@@ -73,7 +73,7 @@
 func (h *Hold) Weights() int { return h.weights }
 
 // GoneFor is for how long the server had not been listed when it was chosen; zero if it was.
-func (h *Hold) GoneFor() time.Duration { return h.goneFor }
+func (h *Hold) DelistedFor() time.Duration { return h.goneFor }
 
 // hold counts a call at its server. The caller holds mu.
 func (f *Fleet) hold(state *State, candidate placing.Candidate, query Query, now time.Time) *Hold {
@@ -82,7 +82,7 @@
 	}
 	f.changed.Send()
 	state.inFlight++
-	state.pendingTokens += candidate.WorkTokens
+	state.pendingTokens += candidate.PrefillTokens
 	state.heldTokens += query.Load.Tokens
 	goneFor := time.Duration(0)
 	if !state.gone.IsZero() {
@@ -91,7 +91,7 @@
 	cold, limited := f.noteCold(state, now), state.advised.NoteSent(now, f.position(state, now))
 	handOverBy := time.Time{}
 	if cold || limited {
-		handOverBy = now.Add(coldstart.AdmittedFor)
+		handOverBy = now.Add(coldstart.AdmissionValidity)
 	}
 	weights := state.weights(query.Model)
 	fetches := false
@@ -102,14 +102,14 @@
 	cost := cmp.Or(candidate.TokenCost, query.Load.TokenCost)
 	return &Hold{
 		handOverBy: handOverBy, cold: cold, limited: limited,
-		fleet: f, state: state, tokens: candidate.WorkTokens, server: state.Server, weights: weights, fetches: fetches,
+		fleet: f, state: state, tokens: candidate.PrefillTokens, server: state.Server, weights: weights, fetches: fetches,
 		held: query.Load.Tokens, since: now, alone: candidate.PendingTokens == 0, goneFor: goneFor,
-		reading: time.Duration(float64(candidate.PendingTokens+candidate.WorkTokens) * cost * float64(time.Millisecond)),
+		reading: time.Duration(float64(candidate.PendingTokens+candidate.PrefillTokens) * cost * float64(time.Millisecond)),
 	}
 }
 
 // Heard notes an event of the answer: the prompt has been read.
-func (h *Hold) Heard() {
+func (h *Hold) NoteEvent() {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	now := boottime.Now()
@@ -131,32 +131,32 @@
 }
 
 // Speaks reports whether the server has given any sign lately, to whatever call.
-func (h *Hold) Speaks() bool {
+func (h *Hold) IsResponsive() bool {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	return !h.state.suspect(boottime.Now())
 }
 
 // End is what became of a call at a server.
-type End uint8
+type Outcome uint8
 
 // Ends of a call at a server.
 const (
 	// EndServed calls got an answer that speaks for the server.
-	EndServed End = iota + 1
+	OutcomeServed Outcome = iota + 1
 	// EndFailed calls got a failure of the server's own, or broke off.
-	EndFailed
+	OutcomeFailed
 	// EndUnreachable calls never got to the server, or it fell silent.
-	EndUnreachable
+	OutcomeUnreachable
 	// EndBusy calls were refused, not run, by a server without room.
-	EndBusy
+	OutcomeBusy
 	// EndMoved calls were refused since another incarnation, or other weights,
 	// are there now.
-	EndMoved
+	OutcomeMoved
 	// EndAbandoned calls were given up by the caller.
-	EndAbandoned
+	OutcomeAbandoned
 	// EndReplaced calls were refused by another incarnation at the server's address.
-	EndReplaced
+	OutcomeReplaced
 )
 
 // Pauses after refusals.
@@ -178,7 +178,7 @@
 }
 
 // Done gives the place back and notes what the call showed of the server.
-func (h *Hold) Done(end End) {
+func (h *Hold) Done(end Outcome) {
 	defer h.fleet.freed.Send()
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
@@ -187,22 +187,22 @@
 	h.state.inFlight--
 	h.state.heldTokens -= h.held
 	now := boottime.Now()
-	if end != EndUnreachable && end != EndAbandoned || h.state.inFlight == 0 {
+	if end != OutcomeUnreachable && end != OutcomeAbandoned || h.state.inFlight == 0 {
 		h.state.heard(now)
 	}
 	switch end {
-	case EndServed:
+	case OutcomeServed:
 		h.state.noteSuccess()
-	case EndFailed:
+	case OutcomeFailed:
 		h.state.noteFailure(now, false)
-	case EndUnreachable:
+	case OutcomeUnreachable:
 		h.state.noteFailure(now, true)
-	case EndBusy:
+	case OutcomeBusy:
 		h.state.pausedUntil = now.Add(busyPause)
-	case EndMoved:
+	case OutcomeMoved:
 		h.state.pausedUntil = now.Add(movedPause)
-	case EndReplaced:
+	case OutcomeReplaced:
 		h.state.replacedUntil = now.Add(lapseTime(h.fleet.cfg.Heartbeat))
-	case EndAbandoned:
+	case OutcomeAbandoned:
 	}
 }
--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -14,7 +14,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("only")
-		for _, end := range []fleet.End{fleet.EndBusy, fleet.EndMoved} {
+		for _, end := range []fleet.Outcome{fleet.OutcomeBusy, fleet.OutcomeMoved} {
 			_, hold := choose(f)
 			hold.Done(end)
 			name, _ := choose(f)
@@ -22,7 +22,7 @@
 			time.Sleep(time.Second)
 			name, hold = choose(f)
 			g.Expect(name).To(Equal("only"))
-			hold.Done(fleet.EndServed)
+			hold.Done(fleet.OutcomeServed)
 		}
 	})
 }
@@ -32,11 +32,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("s")
-		f.SetRemote("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 6000}}) // 100 ms at the rate first assumed
+		f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 6000}}) // 100 ms at the rate first assumed
 		hold := f.Choose(prompt(1, 3000, 0))
 		time.Sleep(400 * time.Millisecond)
 		// 30 ms are granted for all that is not reading.
 		g.Expect(hold.Overdue()).To(BeNumerically("~", 220*time.Millisecond, time.Millisecond))
-		hold.Done(fleet.EndServed)
+		hold.Done(fleet.OutcomeServed)
 	})
 }
--- a/internal/fleet/lapsed_test.go
+++ b/internal/fleet/lapsed_test.go
@@ -12,10 +12,10 @@
 
 // outage has the registry not answer for a time, in which a fleet goes on asking.
 func outage(f *fleet.Fleet, length time.Duration) {
-	f.RegistryLost(time.Now())
+	f.NoteRegistryFailure(time.Now())
 	time.Sleep(length)
-	f.RegistryLost(time.Now())
-	f.RegistryBack()
+	f.NoteRegistryFailure(time.Now())
+	f.NoteRegistryRecovery()
 }
 
 // A box handed a call to a server that it had read as gone eleven seconds before. Its zone
@@ -33,13 +33,13 @@
 		f := newFleet("s")
 		f.Apply([]fleet.Update{{Key: "s", Offset: 9}})
 		time.Sleep(11 * time.Second)
-		f.RegistryLost(time.Now())
+		f.NoteRegistryFailure(time.Now())
 		name, _ := choose(f)
 		g.Expect(name).To(BeEmpty(), "as soon as the registry is lost")
 		outage(f, 5*time.Second)
 		name, _ = choose(f)
 		g.Expect(name).To(BeEmpty(), "when it is back")
-		f.RegistryLost(time.Now())
+		f.NoteRegistryFailure(time.Now())
 		name, _ = choose(f)
 		g.Expect(name).To(BeEmpty(), "and when it is lost again at once")
 	})
@@ -53,9 +53,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("s")
-		f.RegistryLost(time.Now())
+		f.NoteRegistryFailure(time.Now())
 		time.Sleep(300 * time.Millisecond)
-		f.RegistryBack()
+		f.NoteRegistryRecovery()
 		f.Apply([]fleet.Update{{Key: "s", Offset: 9}})
 		name, _ := choose(f)
 		g.Expect(name).To(BeEmpty())
@@ -73,8 +73,8 @@
 		f.Apply([]fleet.Update{{Key: "s", Offset: 9}})
 		for range 6 {
 			time.Sleep(300 * time.Millisecond)
-			f.RegistryLost(time.Now())
-			f.RegistryBack()
+			f.NoteRegistryFailure(time.Now())
+			f.NoteRegistryRecovery()
 		}
 		time.Sleep(100 * time.Millisecond)
 		name, _ := choose(f)
@@ -95,17 +95,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("s")
-		f.RegistryLost(time.Now())
+		f.NoteRegistryFailure(time.Now())
 		time.Sleep(8 * time.Second)
 		backAt := time.Now() // just after the call was sent
 		time.Sleep(time.Second)
-		f.RegistryLost(backAt)
+		f.NoteRegistryFailure(backAt)
 		time.Sleep(600 * time.Millisecond)
-		f.RegistryBack()
+		f.NoteRegistryRecovery()
 		f.Apply([]fleet.Update{{Key: "s", Offset: 9}})
 		name, hold := choose(f)
 		g.Expect(name).To(Equal("s"), "it may be back at any moment")
-		hold.Done(fleet.EndServed)
+		hold.Done(fleet.OutcomeServed)
 		time.Sleep(time.Until(backAt.Add(2700 * time.Millisecond)))
 		name, _ = choose(f)
 		g.Expect(name).To(BeEmpty())
--- a/internal/fleet/readrate.go
+++ b/internal/fleet/readrate.go
@@ -30,7 +30,7 @@
 )
 
 // Reading is how long a runner took to read a prompt token, as one box saw it.
-type Reading struct {
+type PrefillSample struct {
 	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
 
 	Incarnation string `msgpack:"i"`
@@ -65,7 +65,7 @@
 		cost := float64(took-f.firstEvent) / float64(time.Millisecond) / float64(tokens)
 		state.learnCost(cost)
 		if len(f.readings) < mostReadings {
-			f.readings = append(f.readings, Reading{Incarnation: state.Incarnation, Cost: cost})
+			f.readings = append(f.readings, PrefillSample{Incarnation: state.Incarnation, Cost: cost})
 		}
 	}
 }
@@ -84,11 +84,11 @@
 }
 
 // TakeReadings gives the readings of a zone's runners that were not reported yet.
-func (f *Fleet) TakeReadings(zone string) []Reading {
+func (f *Fleet) TakePrefillSamples(zone string) []PrefillSample {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var taken []Reading
-	f.readings = slices.DeleteFunc(f.readings, func(r Reading) bool {
+	var taken []PrefillSample
+	f.readings = slices.DeleteFunc(f.readings, func(r PrefillSample) bool {
 		state := f.servers[r.Incarnation]
 		if state != nil && state.Zone == zone {
 			taken = append(taken, r)
@@ -99,7 +99,7 @@
 }
 
 // LearnReadings takes over what another box saw.
-func (f *Fleet) LearnReadings(readings []Reading) {
+func (f *Fleet) LearnPrefillSamples(readings []PrefillSample) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range readings {
--- a/internal/fleet/readrate_test.go
+++ b/internal/fleet/readrate_test.go
@@ -55,12 +55,12 @@
 
 // playReading plays prompts before such runners, and gives the part of those with more than some
 // tokens that came late.
-func playReading(t *testing.T, off mechanism.Off, seed uint64, largerThan float64) (late float64) {
+func playReading(t *testing.T, off mechanism.Switches, seed uint64, largerThan float64) (late float64) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		const runners, prompts, meanPause = 28, 900, 36 * time.Millisecond
 		chance := rand.New(rand.NewPCG(seed, 1))
-		f := New(Config{Off: off})
+		f := New(Config{Mechanisms: off})
 		byName := map[string]*readingRunner{}
 		for i := range runners {
 			name := fmt.Sprint("r", i)
@@ -78,13 +78,13 @@
 			tokens := min(4260*math.Exp(0.7*chance.NormFloat64()-0.245), 17000) + min(12800*math.Exp(0.6*chance.NormFloat64()-0.18), 34000)
 			began := time.Now()
 			hold := f.Choose(Query{
-				Service: "s", Model: "m", Load: placing.Query{Spread: uint64(number) * 0x9e3779b97f4a7c15},
-				Outdated: func(int) (float64, bool) { return 0, true }, Work: func(int) int { return int(tokens) },
+				Service: "s", Model: "m", Load: placing.Query{TieBreaker: uint64(number) * 0x9e3779b97f4a7c15},
+				VersionCost: func(int) (float64, bool) { return 0, true }, PrefillWork: func(int) int { return int(tokens) },
 			})
 			calls.Go(func() {
 				byName[hold.Server().Incarnation].read(tokens)
-				hold.Heard()
-				hold.Done(EndServed)
+				hold.NoteEvent()
+				hold.Done(OutcomeServed)
 				mu.Lock()
 				defer mu.Unlock()
 				if tokens > largerThan {
@@ -106,7 +106,7 @@
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	for seed := range uint64(3) {
 		g := NewWithT(t)
-		before, now := playReading(t, without, seed, 24_000), playReading(t, mechanism.Off{}, seed, 24_000)
+		before, now := playReading(t, without, seed, 24_000), playReading(t, mechanism.Switches{}, seed, 24_000)
 		t.Logf("late of prompts of more than 24,000 tokens: %.3f, without learning %.3f", now, before)
 		g.Expect(now).To(BeNumerically("<", before))
 	}
@@ -131,7 +131,7 @@
 			g := NewWithT(t)
 			f := withRunners("r")
 			for _, sample := range test.samples {
-				f.LearnReadings([]Reading{{Incarnation: "r", Cost: sample}, {Incarnation: "unknown", Cost: sample}})
+				f.LearnPrefillSamples([]PrefillSample{{Incarnation: "r", Cost: sample}, {Incarnation: "unknown", Cost: sample}})
 			}
 			g.Expect(f.servers["r"].readCost).To(BeNumerically(">=", test.least))
 			g.Expect(f.servers["r"].readCost).To(BeNumerically("<=", test.most))
--- a/internal/fleet/remote.go
+++ b/internal/fleet/remote.go
@@ -26,7 +26,7 @@
 	// Weights are versions that the box found the server to hold.
 	Weights map[string]int `msgpack:"w,omitempty"`
 	// Advised is what the server said of itself in answers to the box; nil when it said nothing.
-	Advised *advisory.Report `msgpack:"a,omitempty"`
+	Advisory *advisory.Report `msgpack:"a,omitempty"`
 }
 
 // Loads gives this box's work at all servers that have any, or about which other
@@ -44,14 +44,14 @@
 		}
 		loads = append(loads, Load{
 			Incarnation: state.Incarnation, InFlight: state.inFlight, PendingTokens: state.pendingTokens, HeldTokens: state.heldTokens,
-			PausedFor: paused, Weights: newer, Advised: advised,
+			PausedFor: paused, Weights: newer, Advisory: advised,
 		})
 	}
 	return loads
 }
 
 // Zones gives the availability zones of the servers, by incarnation.
-func (f *Fleet) Zones() map[string]string {
+func (f *Fleet) ServerZones() map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	zones := make(map[string]string, len(f.servers))
@@ -63,7 +63,7 @@
 
 // SetRemote takes over what another box last told of its work, in place of what it
 // told before; nil when the box has fallen silent.
-func (f *Fleet) SetRemote(box string, loads []Load) {
+func (f *Fleet) SetRemoteLoads(box string, loads []Load) {
 	defer f.freed.Send()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +75,7 @@
 		addWork(f.remoteTotals, load, 1)
 		if state := f.servers[load.Incarnation]; state != nil {
 			state.learn(load, now)
-			f.takeReport(state, load.Advised, now)
+			f.takeReport(state, load.Advisory, now)
 		}
 	}
 	if loads == nil {
--- a/internal/fleet/replaced_test.go
+++ b/internal/fleet/replaced_test.go
@@ -26,14 +26,14 @@
 			if hold == nil {
 				return false
 			}
-			hold.Done(EndAbandoned)
+			hold.Done(OutcomeAbandoned)
 			return true
 		}
 		told := func() bool {
-			other.SetRemote("finder", finder.Loads())
+			other.SetRemoteLoads("finder", finder.Loads())
 			return !serves(other)
 		}
-		finder.Choose(grantQuery()).Done(EndReplaced)
+		finder.Choose(grantQuery()).Done(OutcomeReplaced)
 		for range 40 {
 			g.Expect(serves(finder)).To(BeFalse())
 			g.Expect(told()).To(BeTrue())
@@ -49,7 +49,7 @@
 func TestALifeThatEntersItselfAgainIsCalled(t *testing.T) {
 	g := NewWithT(t)
 	f := withRunners("r")
-	f.Choose(grantQuery()).Done(EndReplaced)
+	f.Choose(grantQuery()).Done(OutcomeReplaced)
 	g.Expect(f.Choose(grantQuery())).To(BeNil())
 	f.Apply([]Update{{Key: "r", Offset: 2, Server: &Server{Incarnation: "r", Service: "s", Slots: 4, Weights: map[string]int{"m": 1}}}})
 	g.Expect(f.Choose(grantQuery())).NotTo(BeNil())
--- a/internal/fleet/report_size_test.go
+++ b/internal/fleet/report_size_test.go
@@ -23,7 +23,7 @@
 	}
 	load := fleet.Load{Incarnation: "i-3d7c277263", InFlight: 3}
 	without := size(load)
-	load.Advised = &advisory.Report{LimitKnown: true, PerSecond: 2.1, LimitAge: 1234567 * time.Microsecond}
+	load.Advisory = &advisory.Report{LimitKnown: true, PerSecond: 2.1, LimitAge: 1234567 * time.Microsecond}
 	t.Log(without, "bytes without a report,", size(load)-without, "more with one")
 	g.Expect(size(load) - without).To(BeNumerically("<=", mostReportBytes))
 }
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -23,11 +23,11 @@
 	// Born tells the lives of one name apart; zero where the server does not say. Which of
 	// two is there now goes by the order of the log: a server's clock may have been set back
 	// between them.
-	Born    int64
-	Service string
-	Address string
-	Zone    string
-	Slots   int
+	StartTime int64
+	Service   string
+	Address   string
+	Zone      string
+	Slots     int
 	// Leaving servers take nothing new.
 	Leaving bool
 	// ColdFor is how much longer the server is cold, as of its entry (package coldstart).
@@ -37,10 +37,10 @@
 }
 
 // CalledBy is the name that a call for this server carries.
-func (s Server) CalledBy() string { return cmp.Or(s.Name, s.Incarnation) }
+func (s Server) TargetName() string { return cmp.Or(s.Name, s.Incarnation) }
 
 // Same reports whether a backend server says the same of itself as before.
-func (s *Server) Same(other *Server) bool {
+func (s *Server) SameEntry(other *Server) bool {
 	return s.Incarnation == other.Incarnation && s.Service == other.Service && s.Address == other.Address && s.Zone == other.Zone &&
 		s.Slots == other.Slots && s.Leaving == other.Leaving && s.ColdFor == other.ColdFor && maps.Equal(s.Weights, other.Weights)
 }
--- a/internal/fleet/server_test.go
+++ b/internal/fleet/server_test.go
@@ -18,9 +18,9 @@
 		var pauses []time.Duration
 		for range 4 {
 			_, hold := choose(f)
-			hold.Done(fleet.EndUnreachable)
+			hold.Done(fleet.OutcomeUnreachable)
 			failed := time.Now()
-			for witness.Heard(); !witness.Speaks(); witness.Heard() {
+			for witness.NoteEvent(); !witness.IsResponsive(); witness.NoteEvent() {
 				time.Sleep(50 * time.Millisecond)
 			}
 			pauses = append(pauses, time.Since(failed))
@@ -35,7 +35,7 @@
 	g := NewWithT(t)
 	f := newFleet("only")
 	_, hold := choose(f)
-	hold.Done(fleet.EndUnreachable)
+	hold.Done(fleet.OutcomeUnreachable)
 	name, _ := choose(f)
 	g.Expect(name).To(Equal("only"))
 }
@@ -45,15 +45,15 @@
 		g := NewWithT(t)
 		f := newFleet("mute", "good")
 		_, hold := choose(f, "good")
-		g.Expect(hold.Speaks()).To(BeTrue())
+		g.Expect(hold.IsResponsive()).To(BeTrue())
 		time.Sleep(5 * time.Second)
-		g.Expect(hold.Speaks()).To(BeFalse())
+		g.Expect(hold.IsResponsive()).To(BeFalse())
 		for range 10 {
 			name, other := choose(f)
 			g.Expect(name).To(Equal("good"))
-			other.Done(fleet.EndServed)
+			other.Done(fleet.OutcomeServed)
 		}
-		hold.Heard()
-		g.Expect(hold.Speaks()).To(BeTrue())
+		hold.NoteEvent()
+		g.Expect(hold.IsResponsive()).To(BeTrue())
 	})
 }
--- a/internal/fleet/shortage.go
+++ b/internal/fleet/shortage.go
@@ -14,12 +14,12 @@
 // prompt soon enough, or the memory for it. InFlight and HeldTokens are the calls that are
 // known to run at those that are there, and the memory that these take.
 type Shortage struct {
-	Listed, Sound, WithoutTime, WithoutMemory int
-	InFlight, HeldTokens                      int
+	Listed, Usable, WithoutTime, WithoutMemory int
+	InFlight, HeldTokens                       int
 	// Evacuated are servers of evacuated zones, Spared cold ones that this box keeps calls from,
 	// Limited those whose rate limit leaves no room for this box, and Paused those that want nothing
 	// from it for a while.
-	Evacuated, Spared, Limited, Paused int
+	Evacuated, ColdExcluded, Limited, Paused int
 }
 
 // Shortage describes the servers that a call is not placed at.
@@ -29,13 +29,13 @@
 	now := boottime.Now()
 	sound := f.sound(query, now)
 	query.Load.TokenCost = f.tokenCost()
-	shortage := Shortage{Listed: len(f.byService[query.Service]), Sound: len(sound)}
+	shortage := Shortage{Listed: len(f.byService[query.Service]), Usable: len(sound)}
 	for _, state := range f.byService[query.Service] {
 		switch {
-		case f.evacuated.Active(state.Zone):
+		case f.evacuated.IsEvacuated(state.Zone):
 			shortage.Evacuated++
 		case f.isSpared(state, now):
-			shortage.Spared++
+			shortage.ColdExcluded++
 		case !state.advised.HasRoom(now, f.position(state, now)):
 			shortage.Limited++
 		case state.advised.PausedFor(now) > 0:
@@ -46,10 +46,10 @@
 		candidate := f.describe(state, query, now)
 		shortage.InFlight += candidate.InFlight
 		shortage.HeldTokens += candidate.HeldTokens
-		if !placing.HasTime(query.Load, &candidate) {
+		if !placing.HasPrefillTime(query.Load, &candidate) {
 			shortage.WithoutTime++
 		}
-		if !placing.Fits(query.Load, &candidate) {
+		if !placing.FitsMemory(query.Load, &candidate) {
 			shortage.WithoutMemory++
 		}
 	}
--- a/internal/fleet/weights.go
+++ b/internal/fleet/weights.go
@@ -15,7 +15,7 @@
 // Behind lists the servers that hold an older version of a model than the given one:
 // those with the oldest first, since their answers lose their worth first, and of
 // these those with the least work. Servers that could not be reached lately come last.
-func (f *Fleet) Behind(model string, version int) []Server {
+func (f *Fleet) ServersBehind(model string, version int) []Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
@@ -48,7 +48,7 @@
 }
 
 // Holders counts the listed servers that hold a model.
-func (f *Fleet) Holders(model string) int {
+func (f *Fleet) CountHolders(model string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -61,7 +61,7 @@
 }
 
 // NewestHeld gives the newest version of a model that any server holds.
-func (f *Fleet) NewestHeld(model string) int {
+func (f *Fleet) NewestVersion(model string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	newest := 0
--- a/internal/fleet/weights_test.go
+++ b/internal/fleet/weights_test.go
@@ -16,12 +16,12 @@
 		choose(f, others...)
 	}
 	var order []string
-	for _, s := range f.Behind("m", 2) {
+	for _, s := range f.ServersBehind("m", 2) {
 		order = append(order, s.Incarnation)
 	}
 	g.Expect(order).To(Equal([]string{"c", "b", "a"}))
-	g.Expect(f.Holders("m")).To(Equal(4))
-	g.Expect(f.NewestHeld("m")).To(Equal(2))
+	g.Expect(f.CountHolders("m")).To(Equal(4))
+	g.Expect(f.NewestVersion("m")).To(Equal(2))
 }
 
 // Once a server's own record tells its weights, no box has to.
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -80,9 +80,9 @@
 	}
 	w.next, w.state = nil, watching
 	w.scheduleCheck(w.observe(boottime.Now()).RecheckInterval())
-	w.t.gateway.cfg.Budget.Return()
+	w.t.gateway.cfg.Budget.Refund()
 	next.cancel()
-	next.finish(fleet.EndUnreachable)
+	next.finish(fleet.OutcomeUnreachable)
 	next.log("try_kept", string(stayPeerUnresponsive))
 }
 
@@ -148,12 +148,12 @@
 		return nil, stayRouteLimit
 	case !boottime.Now().Before(x.deadline):
 		return nil, stayNoTimeLeft
-	case !g.cfg.Budget.Take():
+	case !g.cfg.Budget.TryWithdraw():
 		return nil, stayNoRetrySaved
 	}
 	chosen, ok := g.placeBeside(x, w.before)
 	if !ok {
-		g.cfg.Budget.Return()
+		g.cfg.Budget.Refund()
 		return nil, stayNoServerWithRoom
 	}
 	next := g.makeTry(x, chosen, w.t.number+len(w.before)+1, w.t.handed+more)
@@ -189,7 +189,7 @@
 // and asks no owner: the server that is chosen says itself whether it has room.
 func (g *Gateway) placeBeside(x *exchange, before []*try) (choice, bool) {
 	query, plans := g.ask(x)
-	query.SoundOnly, query.UncappedOnly = true, true
+	query.HealthyOnly, query.UncappedOnly = true, true
 	query.Exclude = append([]string(nil), x.tried...)
 	for _, other := range before {
 		query.Exclude = append(query.Exclude, other.chosen.hold.Server().Incarnation)
--- a/internal/gateway/continue_test.go
+++ b/internal/gateway/continue_test.go
@@ -46,12 +46,12 @@
 			startSecond(t, f, serveRest("second", 0))
 			hold := f.Choose(fleet.Query{
 				Service: "r", Model: "m", Exclude: []string{"first"}, Load: placing.Query{Tokens: 99_000},
-				Work: func(int) int { return 0 }, Outdated: func(int) (float64, bool) { return 0, true },
+				PrefillWork: func(int) int { return 0 }, VersionCost: func(int) (float64, bool) { return 0, true },
 			})
 			g.Expect(hold).NotTo(BeNil())
 			time.AfterFunc(100*time.Millisecond, func() {
 				close(breakOffNow)
-				time.AfterFunc(test.freeAfter, func() { hold.Done(fleet.EndServed) })
+				time.AfterFunc(test.freeAfter, func() { hold.Done(fleet.OutcomeServed) })
 			})
 			began := time.Now()
 			g.Expect(<-answers).To(Equal(test.served))
@@ -82,11 +82,11 @@
 	startSecond(t, f, serveRest("second", 0))
 	evacuate := func(active bool, offset int64) {
 		for _, zone := range []string{"", "a", "z"} {
-			f.Evacuate(evacuation.Change{Zone: zone, Active: active, Offset: offset})
+			f.ApplyEvacuation(evacuation.Change{Zone: zone, Evacuate: active, Offset: offset})
 		}
 	}
 	evacuate(true, 1)
-	g.Expect(f.Availability("r", nil).Servers).To(BeFalse())
+	g.Expect(f.Availability("r", nil).HasServers).To(BeFalse())
 	close(breakOffNow)
 	time.AfterFunc(300*time.Millisecond, func() { evacuate(false, 2) })
 	g.Expect(<-answers).To(Equal(wholeFrom("second", true)))
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -91,7 +91,7 @@
 func (g *Gateway) endUnplaced(x *exchange, chosen choice) {
 	if chosen.hold != nil {
 		t := &try{gateway: g, x: x, chosen: chosen}
-		t.finish(fleet.EndAbandoned)
+		t.finish(fleet.OutcomeAbandoned)
 	}
 	g.endHeld(x)
 }
@@ -99,8 +99,8 @@
 // judgeEnd finds out whether the server of a call that broke off has ended, and reports whether
 // the call is not to go on at another for that: it was not the first that ended under this
 // request. After the first one, the other calls that it took along are best served at once.
-func (t *try) judgeEnd(end fleet.End) (endsServers bool) {
-	if end != fleet.EndUnreachable || t.endedBy() == sideBox || t.gateway.cfg.Crashed == nil {
+func (t *try) judgeEnd(end fleet.Outcome) (endsServers bool) {
+	if end != fleet.OutcomeUnreachable || t.endedBy() == sideBox || t.gateway.cfg.Crashed == nil {
 		return false
 	}
 	x := t.x
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -121,9 +121,9 @@
 	defer close(release)
 	startRunner(t, e.fleet, "r", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	for range 2 { // as many as its memory takes
-		hold := e.fleet.Choose(fleet.Query{Service: "r", Model: "m", Work: func(int) int { return 0 }, Outdated: func(int) (float64, bool) { return 0, true }, Load: placingOf(40_000)})
+		hold := e.fleet.Choose(fleet.Query{Service: "r", Model: "m", PrefillWork: func(int) int { return 0 }, VersionCost: func(int) (float64, bool) { return 0, true }, Load: placingOf(40_000)})
 		g.Expect(hold).NotTo(BeNil())
-		defer hold.Done(fleet.EndAbandoned)
+		defer hold.Done(fleet.OutcomeAbandoned)
 	}
 	answers := make(chan *httptest.ResponseRecorder, 1)
 	began := time.Now()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,10 +49,10 @@
 	Lag func(ownZone bool) time.Duration
 	// Places gives the places of long prompts, for calls of this Box; nil where this box
 	// chooses for itself.
-	Places *places.Places
+	Places *places.Placer
 	Box    string
 	// Off holds mechanisms that are switched off.
-	Off mechanism.Off
+	Off mechanism.Switches
 	// Headroom reports whether a server's headroom belongs to this box.
 	Headroom func(server string) bool
 	Logger   zerolog.Logger
--- a/internal/gateway/offer.go
+++ b/internal/gateway/offer.go
@@ -76,10 +76,10 @@
 func (o *offer) leave() {
 	o.mayHaveRun = o.reached
 	if !o.reached {
-		o.t.gateway.cfg.Budget.Return()
+		o.t.gateway.cfg.Budget.Refund()
 	}
 	o.t.cancel()
-	o.t.finish(fleet.EndAbandoned)
+	o.t.finish(fleet.OutcomeAbandoned)
 	o.t.log("try_withdrawn", "not_needed")
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -129,18 +129,18 @@
 	defer o.t.cancel()
 	t := o.t
 	if errors.Is(o.err, errPlaceExpired) {
-		t.gateway.cfg.Budget.Return()
-		t.finish(fleet.EndAbandoned)
+		t.gateway.cfg.Budget.Refund()
+		t.finish(fleet.OutcomeAbandoned)
 		t.log("not_handed_over", errPlaceExpired.Error())
 		return
 	}
 	if errors.Is(o.err, handover.ErrNotHanded) {
-		t.gateway.cfg.Budget.Return()
+		t.gateway.cfg.Budget.Refund()
 		t.noteUnreached(o.err)
 		return
 	}
 	if o.err != nil {
-		t.finish(fleet.EndUnreachable)
+		t.finish(fleet.OutcomeUnreachable)
 		t.log("try_lost", "no_answer")
 		return
 	}
@@ -149,7 +149,7 @@
 		t.noteRefusal(o.answer, marks)
 		return
 	}
-	t.finish(fleet.EndFailed)
+	t.finish(fleet.OutcomeFailed)
 	t.log("try_lost", "no_answer_to_go_on_with")
 }
 
--- a/internal/gateway/outdated.go
+++ b/internal/gateway/outdated.go
@@ -30,7 +30,7 @@
 	if named := g.cfg.Weights.Weights(model); named.Version > 0 {
 		return named.Version
 	}
-	return g.cfg.Fleet.NewestHeld(model)
+	return g.cfg.Fleet.NewestVersion(model)
 }
 
 // outdated gives what answering by a version costs now, in milliseconds of waiting,
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/outdated_test.go
@@ -80,12 +80,12 @@
 		gateway := newTestGateway(versions{{Version: 2, LearntAt: time.Now(), NamedAfter: time.Now().Add(-9 * time.Second)}})
 		x := &exchange{deadline: time.Now().Add(10 * time.Second), facts: call.Facts{Prompt: &call.Prompt{Model: "m"}}}
 		hold := gateway.cfg.Fleet.Choose(fleet.Query{
-			Service: "s", Model: "m", Work: func(int) int { return 0 }, Outdated: func(int) (float64, bool) { return 0, true },
+			Service: "s", Model: "m", PrefillWork: func(int) int { return 0 }, VersionCost: func(int) (float64, bool) { return 0, true },
 		})
 		g.Expect(gateway.remaining(x, choice{hold: hold, namespace: "m/1"})).To(BeNumerically("<", 3*time.Second))
 		gateway.cfg.Fleet.NoteWeights("s", "m", 2)
 		hold = gateway.cfg.Fleet.Choose(fleet.Query{
-			Service: "s", Model: "m", Work: func(int) int { return 0 }, Outdated: func(int) (float64, bool) { return 0, true },
+			Service: "s", Model: "m", PrefillWork: func(int) int { return 0 }, VersionCost: func(int) (float64, bool) { return 0, true },
 		})
 		g.Expect(gateway.remaining(x, choice{hold: hold, namespace: "m/2"})).To(Equal(10 * time.Second))
 	})
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -44,12 +44,12 @@
 		return choice{}, false, false
 	}
 	here, zone := g.cfg.Fleet.ChooseUnless(query, func(best *placing.Candidate, unseen float64) bool {
-		return placing.AsksOwner(x.facts.Prompt.Tokens, best, unseen)
+		return placing.ShouldAskOwner(x.facts.Prompt.Tokens, best, unseen)
 	})
 	if here != nil {
 		return g.placed(x, here, plans), true, true
 	}
-	asked := places.Ask(query, g.cfg.Box, g.cfg.Fleet.Versions(query.Service, query.Model))
+	asked := places.NewRequest(query, g.cfg.Box, g.cfg.Fleet.HeldVersions(query.Service, query.Model))
 	asked.Urgency = x.urgency
 	hold, err := g.askZones(x, zone, query, asked)
 	if err != nil {
@@ -65,10 +65,10 @@
 // askZones asks the owners of the zones that look best to this box, beginning with one, empty
 // for none, and then that of its own zone, where the call waits. Without a hold there was no
 // room.
-func (g *Gateway) askZones(x *exchange, zone string, query fleet.Query, asked places.Question) (*fleet.Hold, error) {
+func (g *Gateway) askZones(x *exchange, zone string, query fleet.Query, asked places.Request) (*fleet.Hold, error) {
 	var before []string
 	rest := query
-	rest.In = func(zone string) bool { return !slices.Contains(before, zone) && g.mayRunIn(x, zone) }
+	rest.ZoneAllowed = func(zone string) bool { return !slices.Contains(before, zone) && g.mayRunIn(x, zone) }
 	for len(before) < mostZones && zone != "" {
 		if hold, err := g.askZone(x, zone, query, asked); hold != nil && err == nil {
 			return hold, nil
@@ -79,13 +79,13 @@
 	if !g.mayRunIn(x, g.cfg.Zone) {
 		return nil, errOtherRegion // it waits at this box
 	}
-	asked.Wait = max(boottime.Until(x.limits().Until), 0)
+	asked.MaxWait = max(boottime.Until(x.limits().Until), 0)
 	return g.askZone(x, g.cfg.Zone, query, asked)
 }
 
 // askZone asks the owner of a zone's servers, and counts the call where that one says.
-func (g *Gateway) askZone(x *exchange, zone string, query fleet.Query, asked places.Question) (*fleet.Hold, error) {
-	server, err := g.cfg.Places.Ask(x.ctx, zone, asked)
+func (g *Gateway) askZone(x *exchange, zone string, query fleet.Query, asked places.Request) (*fleet.Hold, error) {
+	server, err := g.cfg.Places.RequestPlace(x.ctx, zone, asked)
 	if err != nil {
 		x.unplaced = err.Error()
 		return nil, err
@@ -93,7 +93,7 @@
 	if server == "" {
 		return nil, nil
 	}
-	hold := g.cfg.Fleet.Take(query, server)
+	hold := g.cfg.Fleet.PlaceAt(query, server)
 	if hold == nil {
 		x.unplaced = errNotTaken.Error()
 		return nil, errNotTaken
--- a/internal/gateway/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -52,7 +52,7 @@
 			var logged bytes.Buffer
 			gateway.cfg.Logger = zerolog.New(&logged)
 			gateway.cfg.Places = places.New(places.Config{
-				Fleet: f, Logger: zerolog.Nop(), Active: func() bool { return test.active }, Said: func(string) time.Time { return time.Time{} },
+				Fleet: f, Logger: zerolog.Nop(), Active: func() bool { return test.active }, ReportedAt: func(string) time.Time { return time.Time{} },
 				Self:   places.Box{Box: delegate.Box{Name: "self", Cores: test.ownCores}},
 				Others: func() []places.Box { return []places.Box{{Box: delegate.Box{Name: "other", Cores: 1}}} },
 				Dial:   func(context.Context, string) (net.Conn, error) { return nil, errors.New("no route") },
@@ -77,7 +77,7 @@
 	gateway := promptGateway(protocol, f, emptyStore(c), c)
 	var asked atomic.Int64
 	gateway.cfg.Places = places.New(places.Config{
-		Fleet: f, Logger: zerolog.Nop(), Active: func() bool { return true }, Said: func(string) time.Time { return time.Time{} },
+		Fleet: f, Logger: zerolog.Nop(), Active: func() bool { return true }, ReportedAt: func(string) time.Time { return time.Time{} },
 		Others: func() []places.Box { return []places.Box{{Box: delegate.Box{Name: "other", Cores: 1}}} },
 		Dial: func(context.Context, string) (net.Conn, error) {
 			asked.Add(1)
@@ -86,7 +86,7 @@
 	})
 	serveOne(g, gateway)
 	g.Expect(asked.Load()).To(BeZero())
-	f.SetRemote("another", []fleet.Load{{Incarnation: "r", InFlight: 2}})
+	f.SetRemoteLoads("another", []fleet.Load{{Incarnation: "r", InFlight: 2}})
 	answer := httptest.NewRecorder()
 	gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
 	g.Expect(answer.Code).To(Equal(http.StatusOK))
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -72,8 +72,8 @@
 // none, or goes to a service that reads none.
 func (g *Gateway) ask(x *exchange) (fleet.Query, *plans) {
 	query := fleet.Query{
-		Service: x.service.Name, Zone: g.cfg.Zone, Exclude: x.tried, In: g.allowedZones(x),
-		Load: placing.Query{Spread: x.number * homeSeed},
+		Service: x.service.Name, Zone: g.cfg.Zone, Exclude: x.tried, ZoneAllowed: g.allowedZones(x),
+		Load: placing.Query{TieBreaker: x.number * homeSeed},
 		// Shared with one box more than is known, which may have just started.
 		ConnectionLimit: max(x.service.ConnectionLimit/(g.cfg.Boxes()+1), leastConnections),
 	}
@@ -90,26 +90,26 @@
 	model := x.facts.Prompt.Model
 	plans := &plans{gateway: g, x: x, newest: g.newest(model), made: map[int]choice{}}
 	query.Model = model
-	query.Outdated = func(weights int) (float64, bool) { return g.outdated(model, weights, x.route.Objective) }
-	query.Work = func(weights int) int { return plans.at(weights).plan.Missing }
+	query.VersionCost = func(weights int) (float64, bool) { return g.outdated(model, weights, x.route.Objective) }
+	query.PrefillWork = func(weights int) int { return plans.at(weights).plan.Missing }
 	query.Fetch = func(weights int) (string, time.Duration) {
 		plan := plans.at(weights).plan
 		return plan.FetchZone, plan.FetchTime
 	}
 	if g.cfg.Lag != nil {
-		query.Lag, query.LagElsewhere, query.Boxes = g.cfg.Lag(true), g.cfg.Lag(false), g.cfg.Boxes()
+		query.Lag, query.OtherZoneLag, query.Boxes = g.cfg.Lag(true), g.cfg.Lag(false), g.cfg.Boxes()
 	}
 	load := &query.Load
-	load.ReadLimit = readLimit(x)
+	load.PrefillLimit = readLimit(x)
 	load.Tokens = x.facts.Prompt.Tokens + x.facts.Prompt.AnswerTokens
-	if load.Tokens >= placing.HomePart {
+	if load.Tokens >= placing.MinAffinityTokens {
 		load.Memory = x.service.Engine.CapacityTokens
-		if g.cfg.Off.On(mechanism.Headroom) {
-			query.Headroom = g.cfg.Headroom
+		if g.cfg.Off.Enabled(mechanism.Headroom) {
+			query.OwnsHeadroom = g.cfg.Headroom
 		}
 	}
-	if g.cfg.Off.On(mechanism.Homes) {
-		load.Home = plans.home()
+	if g.cfg.Off.Enabled(mechanism.Homes) {
+		load.AffinityKey = plans.home()
 	}
 	return plans
 }
@@ -117,7 +117,7 @@
 // readLimit bounds the milliseconds for which prompts wait to be read where a call is
 // placed: a call that can still be in time does not go where it would be late.
 func readLimit(x *exchange) float64 {
-	limit := time.Duration(placing.ReadPart * float64(x.route.Objective))
+	limit := time.Duration(placing.PrefillFraction * float64(x.route.Objective))
 	if left := boottime.Until(x.arrived.Add(x.route.Objective)); left > 0 {
 		limit = min(limit, left)
 	}
@@ -157,7 +157,7 @@
 		return 0
 	}
 	for i, part := range p.x.facts.Prompt.Parts[:max(len(p.x.facts.Prompt.Parts)-1, 0)] {
-		if part.Tokens >= placing.HomePart && p.at(p.newest).plan.Fetch[i] == "" {
+		if part.Tokens >= placing.MinAffinityTokens && p.at(p.newest).plan.Fetch[i] == "" {
 			return xxhash.Sum64String(part.ID) | 1
 		}
 	}
@@ -174,7 +174,7 @@
 // handover writes down what the chosen server is told.
 func (x *exchange) handover(chosen choice, remaining time.Duration) call.Handover {
 	server := chosen.hold.Server()
-	out := call.Handover{Server: server.CalledBy(), Remaining: remaining, ResumeAfter: x.resumeAfter}
+	out := call.Handover{Server: server.TargetName(), Remaining: remaining, ResumeAfter: x.resumeAfter}
 	if x.organisation != nil {
 		out.Organisation = x.organisation.Name
 	}
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -48,7 +48,7 @@
 	switch {
 	case short.Listed > 0 && short.Limited+short.Paused == short.Listed:
 		return reasonLimited
-	case short.Listed == 0 || g.cfg.Fleet.Availability(x.service.Name, g.allowedZones(x)).Servers:
+	case short.Listed == 0 || g.cfg.Fleet.Availability(x.service.Name, g.allowedZones(x)).HasServers:
 		return reasonNoServer
 	case short.Evacuated == short.Listed:
 		return reasonEvacuated
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -21,13 +21,13 @@
 func (t *try) relayWhole(answer *handover.Answer) next {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	if err != nil || len(body) > maxAnswerBytes {
-		return t.lost("answer_broke_off", fleet.EndUnreachable)
+		return t.lost("answer_broke_off", fleet.OutcomeUnreachable)
 	}
 	t.watch.hearAll()
 	x := t.x
 	whole := &wholeAnswer{status: answer.Status, header: forwardable(answer.Header), body: body}
 	if answer.Status < http.StatusInternalServerError {
-		t.finish(fleet.EndServed)
+		t.finish(fleet.OutcomeServed)
 		if answer.Status/100 == 2 {
 			t.gateway.cfg.Quarantine.NoteServed(x.fingerprint)
 		}
@@ -35,7 +35,7 @@
 		x.passOn(whole)
 		return nextEnd
 	}
-	t.finish(fleet.EndFailed)
+	t.finish(fleet.OutcomeFailed)
 	t.log("server_failed", strconv.Itoa(answer.Status))
 	x.failure = whole
 	if x.mayRepeat() {
@@ -73,11 +73,11 @@
 			return t.streamEnded(answer)
 		}
 		if err != nil {
-			return t.lost("stream_broke_off", fleet.EndUnreachable)
+			return t.lost("stream_broke_off", fleet.OutcomeUnreachable)
 		}
 		fresh, ours := t.watch.hearEvent(event.ID)
 		if !ours {
-			return t.lost("stream_too_late", fleet.EndUnreachable)
+			return t.lost("stream_too_late", fleet.OutcomeUnreachable)
 		}
 		if fresh {
 			t.pass(answer, event)
@@ -93,7 +93,7 @@
 		x.firstEvent = boottime.Now()
 		t.noteFetch()
 	}
-	t.chosen.hold.Heard()
+	t.chosen.hold.NoteEvent()
 	t.beginStream(answer)
 	x.events++
 	x.bytesOut += int64(len(event.Raw))
@@ -145,10 +145,10 @@
 // streamEnded ends a stream whose server ended it properly.
 func (t *try) streamEnded(answer *handover.Answer) next {
 	if t.x.events == 0 && !answer.Framed() {
-		return t.lost("stream_empty", fleet.EndFailed)
+		return t.lost("stream_empty", fleet.OutcomeFailed)
 	}
 	t.beginStream(answer)
-	t.finish(fleet.EndServed)
+	t.finish(fleet.OutcomeServed)
 	t.gateway.cfg.Quarantine.NoteServed(t.x.fingerprint)
 	t.x.outcome = outcomeServed
 	return nextEnd
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -43,7 +43,7 @@
 
 // serve tries servers until the call has its end.
 func (g *Gateway) serve(x *exchange) {
-	g.cfg.Budget.Earn()
+	g.cfg.Budget.Deposit()
 	defer g.running.add(x)()
 	for {
 		if _, admitted := g.cfg.Quarantine.Admit(x.fingerprint); !admitted {
@@ -127,7 +127,7 @@
 	if x.handed == 0 {
 		return true
 	}
-	x.paid = x.handed < x.maxServers() && g.cfg.Budget.Take()
+	x.paid = x.handed < x.maxServers() && g.cfg.Budget.TryWithdraw()
 	return x.paid
 }
 
@@ -137,7 +137,7 @@
 func (g *Gateway) returnRetry(x *exchange) {
 	if x.paid {
 		x.paid = false
-		g.cfg.Budget.Return()
+		g.cfg.Budget.Refund()
 	}
 }
 
--- a/internal/gateway/settle.go
+++ b/internal/gateway/settle.go
@@ -123,7 +123,7 @@
 		return
 	}
 	event.Str("ended_by", string(x.lostBy)).Dur("left", boottime.Until(x.deadline)).Int("servers_seen", x.handed).
-		Float64("retries_saved", g.cfg.Budget.State().Saved)
+		Float64("retries_saved", g.cfg.Budget.State().Balance)
 	if now := g.cfg.Catalog(); now != nil {
 		event.Int64("configuration_at_end", now.Version())
 	}
@@ -134,7 +134,7 @@
 func tellPlacement(event *zerolog.Event, x *exchange) {
 	if hold := x.choice.hold; hold != nil {
 		event.Str("server", hold.Server().Incarnation).Int("weights", hold.Weights()).Dur("servers_age", x.choice.serversAge)
-		if gone := hold.GoneFor(); gone > 0 {
+		if gone := hold.DelistedFor(); gone > 0 {
 			event.Dur("gone_for", gone)
 		}
 		if hold.Cold() {
@@ -146,8 +146,8 @@
 	}
 	if x.reason == reasonNoServer || x.reason == reasonEvacuated || x.reason == reasonNoRegion || x.reason == reasonLimited {
 		short := x.shortage
-		event.Int("servers", short.Listed).Int("sound", short.Sound).Int("without_time", short.WithoutTime).Int("without_memory", short.WithoutMemory).
-			Int("in_flight", short.InFlight).Int("held_tokens", short.HeldTokens).Int("evacuated", short.Evacuated).Int("cold_spared", short.Spared).
+		event.Int("servers", short.Listed).Int("sound", short.Usable).Int("without_time", short.WithoutTime).Int("without_memory", short.WithoutMemory).
+			Int("in_flight", short.InFlight).Int("held_tokens", short.HeldTokens).Int("evacuated", short.Evacuated).Int("cold_spared", short.ColdExcluded).
 			Int("rate_limited", short.Limited).Int("paused", short.Paused)
 	}
 	if prompt := x.facts.Prompt; prompt != nil && x.route != nil {
@@ -160,7 +160,7 @@
 			event.Str("owner_error", x.unplaced)
 		}
 		if hold := x.choice.hold; hold != nil {
-			event.Dur("expected", hold.Expected())
+			event.Dur("expected", hold.ExpectedFirstEvent())
 		}
 		if miss := x.choice.plan.Miss; miss != "" {
 			event.Str("miss", string(miss))
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -82,13 +82,13 @@
 	}
 	t.x.mayHaveRun = true
 	if !marks.Genuine {
-		return t.lost("answer_not_genuine", fleet.EndFailed)
+		return t.lost("answer_not_genuine", fleet.OutcomeFailed)
 	}
 	if isEventStream(answer) {
 		return t.relayStream(answer)
 	}
 	if t.x.answering {
-		return t.lost("stream_not_continued", fleet.EndFailed)
+		return t.lost("stream_not_continued", fleet.OutcomeFailed)
 	}
 	return t.relayWhole(answer)
 }
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	marks := t.gateway.cfg.Protocol.ReadMarks(answer.Status, answer.Header)
-	t.gateway.cfg.Fleet.Advise(t.answeredBy(answer.Status, marks), advisory.Answer{
+	t.gateway.cfg.Fleet.ApplyAdvisory(t.answeredBy(answer.Status, marks), advisory.Answer{
 		Advisory: marks.Advisory, Sent: sent, Received: boottime.Now(), Genuine: marks.Genuine,
 	})
 	return answer, nil
@@ -124,7 +124,7 @@
 // answeredBy gives the incarnation that answered: another one may stand at the server's address.
 func (t *try) answeredBy(status int, marks call.Marks) string {
 	server := t.chosen.hold.Server()
-	if status == http.StatusMisdirectedRequest && marks.Server != "" && marks.Server != server.CalledBy() {
+	if status == http.StatusMisdirectedRequest && marks.Server != "" && marks.Server != server.TargetName() {
 		return marks.Server
 	}
 	return server.Incarnation
--- a/internal/gateway/unmade_test.go
+++ b/internal/gateway/unmade_test.go
@@ -19,7 +19,7 @@
 	startRunner(t, f, "r", http.HandlerFunc(breakOff))
 	c := silentCatalog(g, 2)
 	gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
-	before := gateway.cfg.Budget.State().Saved
+	before := gateway.cfg.Budget.State().Balance
 	serveStream(gateway)
-	g.Expect(gateway.cfg.Budget.State().Saved).To(BeNumerically(">=", before))
+	g.Expect(gateway.cfg.Budget.State().Balance).To(BeNumerically(">=", before))
 }
--- a/internal/gateway/verdict.go
+++ b/internal/gateway/verdict.go
@@ -35,7 +35,7 @@
 		return nextServer
 	}
 	x.mayHaveRun = true
-	return t.lost("no_answer", fleet.EndUnreachable)
+	return t.lost("no_answer", fleet.OutcomeUnreachable)
 }
 
 // expired judges a try whose place has expired.
@@ -45,14 +45,14 @@
 	}
 	t.x.handed--
 	t.gateway.returnRetry(t.x)
-	t.finish(fleet.EndAbandoned)
+	t.finish(fleet.OutcomeAbandoned)
 	t.log("not_handed_over", errPlaceExpired.Error())
 	return nextServer
 }
 
 // noteUnreached notes that the server could not be reached.
 func (t *try) noteUnreached(err error) {
-	t.finish(fleet.EndUnreachable)
+	t.finish(fleet.OutcomeUnreachable)
 	t.gateway.cfg.Pool.Forget(t.chosen.hold.Server().Address)
 	t.log("not_handed_over", err.Error())
 }
@@ -62,7 +62,7 @@
 const reasonOutOfTime = "out_of_time"
 
 // lost judges a try after which the call may have run.
-func (t *try) lost(reason string, end fleet.End) next {
+func (t *try) lost(reason string, end fleet.Outcome) next {
 	if t.callerGone() {
 		return t.left()
 	}
@@ -71,7 +71,7 @@
 	}
 	outOfTime := !boottime.Now().Before(t.x.deadline)
 	if outOfTime {
-		end = fleet.EndFailed // late, and that may be the load's fault
+		end = fleet.OutcomeFailed // late, and that may be the load's fault
 		reason = reasonOutOfTime
 	}
 	t.finish(end)
@@ -105,14 +105,14 @@
 func (t *try) noteRefusal(answer *handover.Answer, marks call.Marks) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswerBytes)) // so that the connection can be kept
 	server := t.chosen.hold.Server()
-	replaced := marks.Server != "" && marks.Server != server.CalledBy()
+	replaced := marks.Server != "" && marks.Server != server.TargetName()
 	switch {
 	case answer.Status == http.StatusMisdirectedRequest && replaced:
-		t.finish(fleet.EndReplaced)
+		t.finish(fleet.OutcomeReplaced)
 	case answer.Status == http.StatusMisdirectedRequest:
-		t.finish(fleet.EndMoved)
+		t.finish(fleet.OutcomeMoved)
 	default:
-		t.finish(fleet.EndBusy)
+		t.finish(fleet.OutcomeBusy)
 	}
 	t.log("server_refused", strconv.Itoa(answer.Status))
 	if replaced {
@@ -122,9 +122,9 @@
 
 // finish gives the call's place at its server back. The parts that the server was told
 // to save will hardly come when it did not serve the call, so another may be told.
-func (t *try) finish(end fleet.End) {
+func (t *try) finish(end fleet.Outcome) {
 	t.chosen.hold.Done(end)
-	if end != fleet.EndServed && t.chosen.namespace != "" {
+	if end != fleet.OutcomeServed && t.chosen.namespace != "" {
 		t.gateway.cfg.Parts.ForgetSaves(t.chosen.namespace, t.x.facts.Prompt.Parts, t.chosen.plan)
 	}
 }
@@ -134,7 +134,7 @@
 
 // stopped ends a call whose request was found to end servers while it was under way.
 func (t *try) stopped() next {
-	t.finish(fleet.EndAbandoned)
+	t.finish(fleet.OutcomeAbandoned)
 	t.log("try_stopped", reasonEndsServers)
 	t.gateway.endHeld(t.x)
 	return nextEnd
@@ -142,7 +142,7 @@
 
 // left ends a call whose caller has left.
 func (t *try) left() next {
-	t.finish(fleet.EndAbandoned)
+	t.finish(fleet.OutcomeAbandoned)
 	t.x.outcome, t.x.reason = outcomeGone, "caller_left"
 	return nextEnd
 }
@@ -153,7 +153,7 @@
 	t.gateway.cfg.Logger.Info().Str("request", t.x.facts.RequestID).Str("server", server.Incarnation).Str("service", server.Service).
 		Int("try", t.number).Str("reason", reason).Bool("silent", t.watch.isTaken()).Stringer("fingerprint", t.x.fingerprint).
 		Str("ended_by", string(t.endedBy())).Dur("left", boottime.Until(t.x.deadline)).Int("servers_seen", t.handed).
-		Float64("retries_saved", t.gateway.cfg.Budget.State().Saved).Msg(event)
+		Float64("retries_saved", t.gateway.cfg.Budget.State().Balance).Msg(event)
 }
 
 // side says which end of a connection to a server ended a try.
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -21,7 +21,7 @@
 	if found, ok := g.queues.Load(service); ok {
 		return found.(*queue)
 	}
-	found, _ := g.queues.LoadOrStore(service, admission.New(admission.Config[*exchange, choice]{Place: g.place, Freed: g.cfg.Fleet.Freed}))
+	found, _ := g.queues.LoadOrStore(service, admission.New(admission.Config[*exchange, choice]{Place: g.place, Freed: g.cfg.Fleet.CapacityChanged}))
 	return found.(*queue)
 }
 
@@ -36,7 +36,7 @@
 	if x.answering {
 		return waitqueue.Call{Priority: x.urgency, Until: boottime.Now().Add(continueWait)}
 	}
-	return waitqueue.Call{Priority: x.urgency, Until: x.arrived.Add(time.Duration(placing.WaitPart * float64(x.route.Objective)))}
+	return waitqueue.Call{Priority: x.urgency, Until: x.arrived.Add(time.Duration(placing.WaitFraction * float64(x.route.Objective)))}
 }
 
 // canStartInTime reports whether a server may take the call before its wait for room is over. A stream
@@ -44,10 +44,10 @@
 // that may come back; not for those that say themselves that they take nothing until later.
 func (g *Gateway) canStartInTime(x *exchange) bool {
 	available := g.cfg.Fleet.Availability(x.service.Name, g.allowedZones(x))
-	if !available.Servers {
+	if !available.HasServers {
 		return x.answering
 	}
-	return available.Here && (available.Wait == 0 || !boottime.Now().Add(available.Wait).After(x.limits().Until))
+	return available.ForThisBox && (available.Wait == 0 || !boottime.Now().Add(available.Wait).After(x.limits().Until))
 }
 
 // placeSoon places a call, and lets one with a prompt wait for its turn.
@@ -59,7 +59,7 @@
 	if !g.canStartInTime(x) {
 		return choice{}, false
 	}
-	if x.facts.Prompt == nil || x.service.Engine == nil || !g.cfg.Off.On(mechanism.WaitingLine) {
+	if x.facts.Prompt == nil || x.service.Engine == nil || !g.cfg.Off.Enabled(mechanism.WaitingLine) {
 		return g.place(x)
 	}
 	if chosen, ok, answered := g.placeByOwner(x); answered {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -95,7 +95,7 @@
 func (w *watch) observe(now time.Time) silence.Observation {
 	return silence.Observation{
 		Objective: w.t.x.route.Objective, Begun: w.begun, Prompt: w.t.chosen.namespace != "",
-		Idle: now.Sub(w.heardAt), Delay: now.Sub(w.due), Responsive: w.t.chosen.hold != nil && w.t.chosen.hold.Speaks(),
+		Idle: now.Sub(w.heardAt), Delay: now.Sub(w.due), Responsive: w.t.chosen.hold != nil && w.t.chosen.hold.IsResponsive(),
 	}
 }
 
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -69,7 +69,7 @@
 
 				g.Expect(<-answers).To(Equal(wholeFrom(test.servedBy, begun)), logged.String)
 				g.Expect(logged.String()).To(ContainSubstring(test.logged))
-				g.Expect(gateway.cfg.Budget.State().Saved).To(BeNumerically("~", test.saved, 0.01))
+				g.Expect(gateway.cfg.Budget.State().Balance).To(BeNumerically("~", test.saved, 0.01))
 				if test.servedBy == "second" {
 					g.Eventually(leftAt).Should(Receive(), "nobody waits for the first one any more")
 				} else {
--- a/internal/handover/pool.go
+++ b/internal/handover/pool.go
@@ -29,7 +29,7 @@
 	// IdlePerServer bounds the resting connections to one server.
 	IdlePerServer int
 	// Off holds mechanisms that are switched off.
-	Off mechanism.Off
+	Off mechanism.Switches
 	// Dialed is told of each new connection, for the metrics; it may be nil.
 	Dialed func()
 }
@@ -164,7 +164,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := cmp.Or(p.rests[address], longestRest)
-	if !p.cfg.Off.On(mechanism.KeptConnections) {
+	if !p.cfg.Off.Enabled(mechanism.KeptConnections) {
 		limit, open = shortestRest, true
 	}
 	if open {
--- a/internal/loadshare/cold_test.go
+++ b/internal/loadshare/cold_test.go
@@ -23,7 +23,7 @@
 // and are cut off with an old list, while all of them have more calls than the server may get.
 
 // coldLimit allows 26 calls in a second.
-var coldLimit = coldstart.Limit{Length: time.Hour, PerSecond: 14, Overage: 1.5, Slack: 5}
+var coldLimit = coldstart.Limit{ColdTime: time.Hour, PerSecond: 14, Overage: 1.5, Slack: 5}
 
 const (
 	coldAllowed = 26
@@ -79,7 +79,7 @@
 }
 
 func (b *coldBox) start(now time.Time) {
-	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop(), CallsCold: func(zone, server string) bool { return b.share.CallsCold(zone, server) }})
+	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop(), OwnsColdServer: func(zone, server string) bool { return b.share.CallsCold(zone, server) }})
 	b.share = loadshare.New(loadshare.Config{
 		Fleet: b.fleet, Logger: zerolog.Nop(), Box: b.name, Life: fmt.Sprint(b.name, "/", now), Zone: coldZone, Address: b.name,
 		MayCallCold: func() bool {
@@ -161,7 +161,7 @@
 		if b.h.withoutExpiry || call.hold.MayHandOver() {
 			b.h.arrivals = append(b.h.arrivals, now)
 		}
-		call.hold.Done(fleet.EndServed)
+		call.hold.Done(fleet.OutcomeServed)
 		return true
 	})
 }
--- a/internal/loadshare/hear.go
+++ b/internal/loadshare/hear.go
@@ -87,9 +87,9 @@
 	}
 	s.cfg.Quarantine.Hear(m.Suspects) // before they are acknowledged
 	s.cfg.Heard(m.Named, s.note(m))
-	s.cfg.Fleet.SetRemote(m.Box, m.Loads)
+	s.cfg.Fleet.SetRemoteLoads(m.Box, m.Loads)
 	if !m.FarKept {
-		s.cfg.Fleet.SetRemote(farOf(m.Box), m.Far)
+		s.cfg.Fleet.SetRemoteLoads(farOf(m.Box), m.Far)
 	}
 	if m.Urgent {
 		s.passOnAtOnce(m)
@@ -175,8 +175,8 @@
 func (s *Share) LoopForget(ctx context.Context) {
 	for waiting.For(ctx, forgetEvery) {
 		for _, box := range s.forgetSilent(silentAfter * s.longestInterval()) {
-			s.cfg.Fleet.SetRemote(box, nil)
-			s.cfg.Fleet.SetRemote(farOf(box), nil)
+			s.cfg.Fleet.SetRemoteLoads(box, nil)
+			s.cfg.Fleet.SetRemoteLoads(farOf(box), nil)
 		}
 	}
 }
--- a/internal/loadshare/hubs_test.go
+++ b/internal/loadshare/hubs_test.go
@@ -53,8 +53,8 @@
 // prompt asks for a place that a server has only while nobody else's prompt waits there.
 func prompt() fleet.Query {
 	return fleet.Query{
-		Service: "s", Model: model, Load: placing.Query{ReadLimit: 1}, Work: func(int) int { return 5000 },
-		Outdated: func(int) (float64, bool) { return 0, true },
+		Service: "s", Model: model, Load: placing.Query{PrefillLimit: 1}, PrefillWork: func(int) int { return 5000 },
+		VersionCost: func(int) (float64, bool) { return 0, true },
 	}
 }
 
@@ -65,7 +65,7 @@
 		if hold := f.Choose(prompt()); hold == nil {
 			count++
 		} else {
-			hold.Done(fleet.EndAbandoned)
+			hold.Done(fleet.OutcomeAbandoned)
 		}
 	}
 	return count
@@ -89,7 +89,7 @@
 			g.Expect(seeing(fleets[:16])).To(Equal(16), "boxes of the server's zone")
 			time.Sleep(350 * time.Millisecond)
 			g.Expect(seeing(fleets)).To(Equal(48))
-			hold.Done(fleet.EndServed)
+			hold.Done(fleet.OutcomeServed)
 			time.Sleep(700 * time.Millisecond)
 			g.Expect(seeing(fleets)).To(BeZero())
 		}
@@ -129,7 +129,7 @@
 				g.Expect(hold).NotTo(BeNil())
 				time.Sleep(700 * time.Millisecond)
 				g.Expect(seeing(left)).To(Equal(len(left)))
-				hold.Done(fleet.EndServed)
+				hold.Done(fleet.OutcomeServed)
 			})
 		})
 	}
--- a/internal/loadshare/limits_test.go
+++ b/internal/loadshare/limits_test.go
@@ -108,12 +108,12 @@
 			answer.Limit, answer.PerSecond = advisory.LimitNamed, h.server.perSecond
 		}
 		h.after(back, func() {
-			hold.Done(fleet.EndServed)
+			hold.Done(fleet.OutcomeServed)
 			if lost {
 				return
 			}
 			answer.Received = time.Now()
-			at.Advise("s", answer)
+			at.ApplyAdvisory("s", answer)
 			if at == b.fleet && b.answeredAt.IsZero() && answer.Limit == advisory.LimitNamed {
 				b.answeredAt = time.Now()
 			}
--- a/internal/loadshare/links.go
+++ b/internal/loadshare/links.go
@@ -48,7 +48,7 @@
 
 // hubs reports whether boxes tell each other by way of hubs. The caller holds mu.
 func (s *Share) hubs() bool {
-	return s.followed && len(s.peers)+1 > fewBoxes && s.cfg.Off.On(mechanism.Hubs)
+	return s.followed && len(s.peers)+1 > fewBoxes && s.cfg.Off.Enabled(mechanism.Hubs)
 }
 
 // Hub names the hub that this box follows; empty for a hub, and where there are none.
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -36,8 +36,8 @@
 	a, b := start(t, log, "a", nil), start(t, log, "b", nil)
 	g.Eventually(b.knows, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	prompt := fleet.Query{
-		Service: "s", Model: "m", Load: placing.Query{ReadLimit: 1}, Work: func(int) int { return 5000 },
-		Outdated: func(int) (float64, bool) { return 0, true },
+		Service: "s", Model: "m", Load: placing.Query{PrefillLimit: 1}, PrefillWork: func(int) int { return 5000 },
+		VersionCost: func(int) (float64, bool) { return 0, true },
 	}
 	for _, one := range []*box{a, b} {
 		one.fleet.NoteWeights("s", "m", 1)
@@ -45,7 +45,7 @@
 	hold := a.fleet.Choose(prompt)
 	g.Expect(hold).NotTo(BeNil())
 	g.Eventually(func() *fleet.Hold { return b.fleet.Choose(prompt) }, 3*time.Second, 10*time.Millisecond).Should(BeNil(), "a's prompt is in the way")
-	hold.Done(fleet.EndServed)
+	hold.Done(fleet.OutcomeServed)
 }
 
 // A box that starts while the log is away is not on the way to any other. Those that
--- a/internal/loadshare/tell.go
+++ b/internal/loadshare/tell.go
@@ -197,7 +197,7 @@
 		return
 	}
 	began := boottime.Now()
-	news := s.cfg.Fleet.Changed()
+	news := s.cfg.Fleet.LoadsChanged()
 	select {
 	case <-wake:
 		return
--- a/internal/loadshare/whole_test.go
+++ b/internal/loadshare/whole_test.go
@@ -53,7 +53,7 @@
 // at asks for a place at the server of a zone.
 func at(zone int) fleet.Query {
 	query := prompt()
-	query.Service, query.Load.ReadLimit = fmt.Sprint("s-", zone), 0
+	query.Service, query.Load.PrefillLimit = fmt.Sprint("s-", zone), 0
 	return query
 }
 
--- a/internal/loadshare/work.go
+++ b/internal/loadshare/work.go
@@ -72,7 +72,7 @@
 		sum.PendingTokens += load.PendingTokens
 		sum.HeldTokens += load.HeldTokens
 		sum.PausedFor = max(sum.PausedFor, load.PausedFor-now.Sub(w.receivedAt))
-		sum.Advised = advisory.Join(sum.Advised, load.Advised.After(now.Sub(w.receivedAt)))
+		sum.Advisory = advisory.Join(sum.Advisory, load.Advisory.After(now.Sub(w.receivedAt)))
 		sums[server] = sum
 	}
 }
@@ -89,7 +89,7 @@
 			sum.PendingTokens = max(sum.PendingTokens-own.PendingTokens, 0)
 			sum.HeldTokens = max(sum.HeldTokens-own.HeldTokens, 0)
 		}
-		if sum.InFlight > 0 || sum.PendingTokens > 0 || sum.HeldTokens > 0 || sum.PausedFor > 0 || len(sum.Weights) > 0 || sum.Advised != nil {
+		if sum.InFlight > 0 || sum.PendingTokens > 0 || sum.HeldTokens > 0 || sum.PausedFor > 0 || len(sum.Weights) > 0 || sum.Advisory != nil {
 			loads = append(loads, sum)
 		}
 	}
@@ -123,7 +123,7 @@
 // splitFar takes the work at servers of other zones out of what a follower is told. It is
 // called without mu, since the fleet asks for headroom while it holds its own.
 func (s *Share) splitFar(loads []fleet.Load) (near, far []fleet.Load) {
-	zones := s.cfg.Fleet.Zones()
+	zones := s.cfg.Fleet.ServerZones()
 	for _, load := range loads {
 		if zones[load.Incarnation] == s.cfg.Zone {
 			near = append(near, load)
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -49,17 +49,17 @@
 }
 
 // Off is a set of mechanisms that are switched off; the zero value switches none off.
-type Off struct{ off []Mechanism }
+type Switches struct{ off []Mechanism }
 
 // Parse reads names separated by commas.
-func Parse(names string) (Off, error) {
-	var parsed Off
+func Parse(names string) (Switches, error) {
+	var parsed Switches
 	for name := range strings.SplitSeq(names, ",") {
 		if name = strings.TrimSpace(name); name == "" {
 			continue
 		}
 		if !slices.Contains(All(), Mechanism(name)) {
-			return Off{}, merry.Errorf("no mechanism %q; there are %v", name, All())
+			return Switches{}, merry.Errorf("no mechanism %q; there are %v", name, All())
 		}
 		parsed.off = append(parsed.off, Mechanism(name))
 	}
@@ -67,10 +67,10 @@
 }
 
 // On reports whether a mechanism is on.
-func (o Off) On(m Mechanism) bool { return !slices.Contains(o.off, m) }
+func (o Switches) Enabled(m Mechanism) bool { return !slices.Contains(o.off, m) }
 
 // String gives the names, for the log.
-func (o Off) String() string {
+func (o Switches) String() string {
 	names := make([]string, len(o.off))
 	for i, m := range o.off {
 		names[i] = string(m)
--- a/internal/partindex/pace.go
+++ b/internal/partindex/pace.go
@@ -76,7 +76,7 @@
 	now := boottime.Now()
 	s.pace.note(late, now)
 	slow = s.pace.least() > x.leastOfOthers(s, now)+slowFetch
-	slow = slow && x.cfg.Off.On(mechanism.SlowStores)
+	slow = slow && x.cfg.Off.Enabled(mechanism.SlowStores)
 	changed = slow != s.pace.slow
 	s.pace.slow = slow
 	return slow, changed
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -91,7 +91,7 @@
 	// News is woken when a store box or a runner says anything new; it may be nil.
 	News *waiting.Signal
 	// Off holds mechanisms that are switched off.
-	Off mechanism.Off
+	Off mechanism.Switches
 	// FirstWait is how long store boxes that are new are not asked unless this box is to ask
 	// itself, so that one that will be told need not: when each of 295 boxes that started
 	// asked each of 47 store boxes, most were turned away.
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, s := range stores {
-		s.quick = s.config.FirstByte == quickest || !x.cfg.Off.On(mechanism.StoreKinds)
+		s.quick = s.config.FirstByte == quickest || !x.cfg.Off.Enabled(mechanism.StoreKinds)
 	}
 	slices.SortFunc(stores, func(a, b *store) int { return compare(a.config.Address, b.config.Address) })
 	x.stores = stores
--- a/internal/places/asker.go
+++ b/internal/places/asker.go
@@ -33,8 +33,8 @@
 
 // Ask asks the owner of a zone's servers for a place. It gives the server's incarnation; empty
 // when there was no room. An error means that nobody answered.
-func (p *Places) Ask(ctx context.Context, zone string, q Question) (server string, err error) {
-	q.Of = zone
+func (p *Placer) RequestPlace(ctx context.Context, zone string, q Request) (server string, err error) {
+	q.TargetZone = zone
 	owner, there := p.ownerOf(zone)
 	if !there {
 		return "", ErrNoOwner
@@ -43,9 +43,9 @@
 		return p.askSelf(ctx, q), nil
 	}
 	if p.isSilent(owner.Name) {
-		return "", ErrSilent
+		return "", ErrOwnerUnresponsive
 	}
-	q.Readings = p.cfg.Fleet.TakeReadings(zone)
+	q.PrefillSamples = p.cfg.Fleet.TakePrefillSamples(zone)
 	answer, err := p.askOther(ctx, owner, q)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -60,8 +60,8 @@
 }
 
 // askSelf gives a call of this box a place.
-func (p *Places) askSelf(ctx context.Context, q Question) string {
-	given := p.Give(ctx, q)
+func (p *Placer) askSelf(ctx context.Context, q Request) string {
+	given := p.GrantPlace(ctx, q)
 	if given == nil {
 		return ""
 	}
@@ -71,7 +71,7 @@
 
 // askOther asks another box, on an open connection if there is one. That may have been closed
 // by the other box since, which then has not answered anything.
-func (p *Places) askOther(ctx context.Context, owner Box, q Question) (Answer, error) {
+func (p *Placer) askOther(ctx context.Context, owner Box, q Request) (Response, error) {
 	if connection := p.takeIdle(owner.Address); connection != nil {
 		answer, err := p.askOn(ctx, owner, connection, q)
 		if err == nil || isTimeout(err) {
@@ -80,7 +80,7 @@
 	}
 	connection, err := p.connect(ctx, owner.Address)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	return p.askOn(ctx, owner, connection, q)
 }
@@ -90,30 +90,30 @@
 	return errors.As(err, &failed) && failed.Timeout()
 }
 
-func (p *Places) connect(ctx context.Context, address string) (net.Conn, error) {
+func (p *Placer) connect(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectLimit)
 	defer cancel()
 	return p.cfg.Dial(ctx, address)
 }
 
 // askOn asks on a connection, and keeps it for the next question.
-func (p *Places) askOn(ctx context.Context, owner Box, connection net.Conn, q Question) (Answer, error) {
+func (p *Placer) askOn(ctx context.Context, owner Box, connection net.Conn, q Request) (Response, error) {
 	// A caller that leaves ends its question, so that its place is taken back.
 	defer context.AfterFunc(ctx, func() { _ = connection.Close() })()
 	answer, err := ask(connection, q)
 	if err != nil {
 		_ = connection.Close() // it has failed already
-		return Answer{}, err
+		return Response{}, err
 	}
 	p.giveBack(owner.Address, connection)
 	return answer, nil
 }
 
-func ask(connection net.Conn, q Question) (answer Answer, err error) {
+func ask(connection net.Conn, q Request) (answer Response, err error) {
 	if err := frame.Write(connection, &q, answerLimit); err != nil {
 		return answer, err
 	}
-	if err := connection.SetReadDeadline(time.Now().Add(q.Wait + answerLimit)); err != nil {
+	if err := connection.SetReadDeadline(time.Now().Add(q.MaxWait + answerLimit)); err != nil {
 		return answer, err
 	}
 	return answer, frame.Read(connection, &answer, maxAnswerBytes)
@@ -125,7 +125,7 @@
 	since time.Time
 }
 
-func (p *Places) takeIdle(address string) net.Conn {
+func (p *Placer) takeIdle(address string) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeRested(boottime.Now())
@@ -138,7 +138,7 @@
 }
 
 // giveBack keeps a connection for the next question.
-func (p *Places) giveBack(address string, connection net.Conn) {
+func (p *Placer) giveBack(address string, connection net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[address]) >= mostIdle {
@@ -150,7 +150,7 @@
 
 // closeRested closes the connections that the other box is about to close, or has closed: also
 // those to boxes that own nothing any more, and are not asked again. The caller holds mu.
-func (p *Places) closeRested(now time.Time) {
+func (p *Placer) closeRested(now time.Time) {
 	for address, idle := range p.idle {
 		p.idle[address] = slices.DeleteFunc(idle, func(c idleConnection) bool {
 			rested := now.Sub(c.since) > longestRest
@@ -165,7 +165,7 @@
 	}
 }
 
-func (p *Places) isSilent(owner string) bool {
+func (p *Placer) isSilent(owner string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return boottime.Now().Before(p.silent[owner])
@@ -173,7 +173,7 @@
 
 // noteSilent leaves an owner alone that did not answer, and the connections to it, which may
 // have been cut with it.
-func (p *Places) noteSilent(owner Box, err error) {
+func (p *Placer) noteSilent(owner Box, err error) {
 	p.cfg.Logger.Warn().Str("owner", owner.Name).Str("error", err.Error()).Msg("owner_silent")
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/places/owner.go
+++ b/internal/places/owner.go
@@ -37,8 +37,8 @@
 
 // Give chooses a server for a call, which may wait for its turn. It gives nil when there was no
 // room.
-func (p *Places) Give(ctx context.Context, q Question) *fleet.Grant {
-	limits := waitqueue.Call{Priority: q.Urgency, Until: boottime.Now().Add(min(q.Wait, longestWait))}
+func (p *Placer) GrantPlace(ctx context.Context, q Request) *fleet.Grant {
+	limits := waitqueue.Call{Priority: q.Urgency, Until: boottime.Now().Add(min(q.MaxWait, longestWait))}
 	place, ok := p.queue(q.Service).Wait(ctx, limits, q)
 	if !ok {
 		return nil
@@ -47,19 +47,19 @@
 }
 
 // queue gives the queue of a service.
-func (p *Places) queue(service string) *queue {
+func (p *Placer) queue(service string) *queue {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	found := p.queues[service]
 	if found == nil {
-		found = admission.New(admission.Config[Question, *fleet.Grant]{Place: p.place, Freed: p.cfg.Fleet.Freed})
+		found = admission.New(admission.Config[Request, *fleet.Grant]{Place: p.place, Freed: p.cfg.Fleet.CapacityChanged})
 		p.queues[service] = found
 	}
 	return found
 }
 
 // place chooses a server for a call now.
-func (p *Places) place(q Question) (*fleet.Grant, bool) {
+func (p *Placer) place(q Request) (*fleet.Grant, bool) {
 	p.settle()
 	given := p.cfg.Fleet.Grant(q.query(p.owns))
 	if given == nil {
@@ -76,7 +76,7 @@
 }
 
 // lapse ends the grants that nobody's question ends, until none is open.
-func (p *Places) lapse() {
+func (p *Placer) lapse() {
 	p.settle()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,19 +86,19 @@
 }
 
 // settle ends the grants whose calls the askers tell of themselves.
-func (p *Places) settle() {
+func (p *Placer) settle() {
 	for _, told := range p.takeTold(boottime.Now()) {
-		told.End()
+		told.Release()
 	}
 }
 
 // takeTold takes the grants that no longer count out of those that are open.
-func (p *Places) takeTold(now time.Time) []grant {
+func (p *Placer) takeTold(now time.Time) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var told []grant
 	p.open = slices.DeleteFunc(p.open, func(g grant) bool {
-		over := now.Sub(g.at) >= grantLapse || p.cfg.Said(g.box).After(g.at.Add(takeTime))
+		over := now.Sub(g.at) >= grantLapse || p.cfg.ReportedAt(g.box).After(g.at.Add(takeTime))
 		if over {
 			told = append(told, g)
 		}
@@ -108,13 +108,13 @@
 }
 
 // takeBack ends a grant whose asker will not use it.
-func (p *Places) takeBack(unused *fleet.Grant) {
+func (p *Placer) takeBack(unused *fleet.Grant) {
 	p.mu.Lock()
 	before := len(p.open)
 	p.open = slices.DeleteFunc(p.open, func(g grant) bool { return g.Grant == unused })
 	open := len(p.open) < before
 	p.mu.Unlock()
 	if open {
-		unused.End()
+		unused.Release()
 	}
 }
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -53,15 +53,15 @@
 	Active func() bool
 	// Said gives a moment after which another box has said what this one has of its work;
 	// zero when that is not known.
-	Said func(box string) time.Time
+	ReportedAt func(box string) time.Time
 	// Off holds mechanisms that are switched off.
-	Off mechanism.Off
+	Mechanisms mechanism.Switches
 	// Dial connects to another box; nil stands for TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
 // Places asks owners, and answers where this box is one.
-type Places struct {
+type Placer struct {
 	cfg Config
 
 	mu sync.Mutex
@@ -81,33 +81,33 @@
 }
 
 // queue holds calls that wait for a place.
-type queue = admission.Queue[Question, *fleet.Grant]
+type queue = admission.Queue[Request, *fleet.Grant]
 
 // Errors of a box that gave no place.
 var (
 	// ErrNoOwner says that nobody is there to ask.
 	ErrNoOwner = merry.Sentinel("no box owns the servers of the zone")
 	// ErrSilent says that the owner did not answer a short while ago.
-	ErrSilent = merry.Sentinel("the owner of the zone's servers did not answer lately")
+	ErrOwnerUnresponsive = merry.Sentinel("the owner of the zone's servers did not answer lately")
 	// ErrNotOwner says that the box which was asked does not own the servers.
 	ErrNotOwner = merry.Sentinel("the box does not own the servers of the zone")
 )
 
 // New makes places that nobody asks yet.
-func New(cfg Config) *Places {
+func New(cfg Config) *Placer {
 	if cfg.Dial == nil {
 		dialer := net.Dialer{Timeout: connectLimit}
 		cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
 	}
-	p := &Places{cfg: cfg, silent: map[string]time.Time{}, idle: map[string][]idleConnection{}, queues: map[string]*queue{}}
+	p := &Placer{cfg: cfg, silent: map[string]time.Time{}, idle: map[string][]idleConnection{}, queues: map[string]*queue{}}
 	p.server = frame.NewServer(cfg.Logger, p.serve)
 	return p
 }
 
 // Active reports whether places are asked for at all.
-func (p *Places) Active() bool { return p.cfg.Off.On(mechanism.Owners) && p.cfg.Active() }
+func (p *Placer) Active() bool { return p.cfg.Mechanisms.Enabled(mechanism.Owners) && p.cfg.Active() }
 
 // owning is what the owner of a zone does. The order is that of hubs, so that it is one, and
 // there is one for however many boxes.
@@ -118,7 +118,7 @@
 const ownersFor = 200 * time.Millisecond
 
 // ownerOf gives the owner of a zone's servers.
-func (p *Places) ownerOf(zone string) (Box, bool) {
+func (p *Placer) ownerOf(zone string) (Box, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now := boottime.Now(); now.Sub(p.ownersAt) > ownersFor {
@@ -132,7 +132,7 @@
 	return owner, there
 }
 
-func (p *Places) workOutOwner(zone string) (Box, bool) {
+func (p *Placer) workOutOwner(zone string) (Box, bool) {
 	all := append(slices.Clone(p.cfg.Others()), p.cfg.Self)
 	boxes := make([]delegate.Box, len(all))
 	for i, box := range all {
@@ -146,7 +146,7 @@
 }
 
 // owns reports whether this box owns the servers of a zone.
-func (p *Places) owns(zone string) bool {
+func (p *Placer) owns(zone string) bool {
 	owner, there := p.ownerOf(zone)
 	return there && owner.Name == p.cfg.Self.Name
 }
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -31,7 +31,7 @@
 
 // box is an entry box with what it knows of the runners.
 type box struct {
-	*Places
+	*Placer
 	fleet   *fleet.Fleet
 	self    Box
 	accepts chan net.Conn
@@ -114,9 +114,9 @@
 
 // begin starts a life of the box.
 func (b *box) begin(z *zone) {
-	b.Places = New(Config{
+	b.Placer = New(Config{
 		Fleet: b.fleet, Logger: zerolog.Nop(), Self: b.self, Active: func() bool { return true }, Dial: z.dial,
-		Others: func() []Box { return z.others(b) }, Said: z.said,
+		Others: func() []Box { return z.others(b) }, ReportedAt: z.said,
 	})
 	ctx, end := context.WithCancel(context.Background())
 	b.end = end
@@ -175,15 +175,15 @@
 }
 
 // long asks for a place for a prompt of which a runner's memory takes four.
-func (b *box) long(wait time.Duration) Question {
+func (b *box) long(wait time.Duration) Request {
 	const tokens = 20_000
 	query := fleet.Query{
-		Service: service, Model: model, Zone: "a", Load: placing.Query{Tokens: tokens, Memory: memory, ReadLimit: 600},
-		Outdated: func(int) (float64, bool) { return 0, true }, Work: func(int) int { return 2000 },
+		Service: service, Model: model, Zone: "a", Load: placing.Query{Tokens: tokens, Memory: memory, PrefillLimit: 600},
+		VersionCost: func(int) (float64, bool) { return 0, true }, PrefillWork: func(int) int { return 2000 },
 		Fetch: func(int) (string, time.Duration) { return "a", 0 },
 	}
-	q := Ask(query, b.self.Name, b.fleet.Versions(service, model))
-	q.Wait = wait
+	q := NewRequest(query, b.self.Name, b.fleet.HeldVersions(service, model))
+	q.MaxWait = wait
 	return q
 }
 
@@ -198,7 +198,7 @@
 		var burst sync.WaitGroup
 		for _, b := range z.boxes[1:] {
 			burst.Go(func() {
-				server, err := b.Ask(context.Background(), "a", b.long(0))
+				server, err := b.RequestPlace(context.Background(), "a", b.long(0))
 				mu.Lock()
 				defer mu.Unlock()
 				g.Expect(err).NotTo(HaveOccurred())
@@ -231,17 +231,17 @@
 				asker := z.boxes[1]
 				const fit = 4
 				for range fit {
-					g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+					g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
 				}
 				answered := time.Now()
 				time.Sleep(100 * time.Millisecond)
 				asker.setSaid(answered.Add(test.said))
 				for time.Since(answered) < test.freeAfter {
-					g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(BeEmpty())
+					g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(BeEmpty())
 					time.Sleep(20 * time.Millisecond)
 				}
 				time.Sleep(20 * time.Millisecond)
-				g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+				g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
 			})
 		})
 	}
@@ -254,7 +254,7 @@
 		asker, owner := z.boxes[1], z.boxes[0]
 		held := func() int { return owner.fleet.Shortage(asker.long(0).query(nil)).HeldTokens }
 		for range 2 {
-			g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+			g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
 			time.Sleep(grantLapse / 3)
 		}
 		g.Expect(held()).To(Equal(40_000))
@@ -279,7 +279,7 @@
 				asker := z.boxes[1+i]
 				q := asker.long(500 * time.Millisecond)
 				q.Urgency = urgency
-				server, err := asker.Ask(context.Background(), "a", q)
+				server, err := asker.RequestPlace(context.Background(), "a", q)
 				mu.Lock()
 				defer mu.Unlock()
 				g.Expect(err).NotTo(HaveOccurred())
@@ -290,9 +290,9 @@
 		// Between two looks: room that comes while the line is looked through goes to whoever is
 		// looked at after that.
 		time.Sleep(55 * time.Millisecond)
-		holds[0].End()
+		holds[0].Release()
 		time.Sleep(100 * time.Millisecond)
-		holds[1].End()
+		holds[1].Release()
 		waiting.Wait()
 		g.Expect(order).To(Equal([]string{"0 runner-0", "1 runner-0"}))
 	})
@@ -305,16 +305,16 @@
 		asker := z.boxes[1]
 		z.boxes[0].silent = true
 		began := time.Now()
-		_, err := asker.Ask(context.Background(), "a", asker.long(0))
+		_, err := asker.RequestPlace(context.Background(), "a", asker.long(0))
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(time.Since(began)).To(BeNumerically("<=", answerLimit))
 		began = time.Now()
-		_, err = asker.Ask(context.Background(), "a", asker.long(0))
-		g.Expect(err).To(MatchError(ErrSilent))
+		_, err = asker.RequestPlace(context.Background(), "a", asker.long(0))
+		g.Expect(err).To(MatchError(ErrOwnerUnresponsive))
 		g.Expect(time.Since(began)).To(BeZero())
 		z.boxes[0].silent = false
 		time.Sleep(silentFor)
-		g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
 	})
 }
 
@@ -323,11 +323,11 @@
 func TestAnOwnerThatStartedAgainIsAskedOnANewConnection(t *testing.T) {
 	inZone(t, 2, 1, func(g *WithT, z *zone) {
 		asker, owner := z.boxes[1], z.boxes[0]
-		g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
 		owner.stop()
 		owner.closed = make(chan struct{})
 		owner.begin(z)
-		g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
 	})
 }
 
@@ -338,7 +338,7 @@
 		asker, owner := z.boxes[1], z.boxes[0]
 		asker.giveBack("a box that is gone", &net.TCPConn{})
 		time.Sleep(questionLimit)
-		g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
 		g.Expect(asker.idle).To(HaveLen(1))
 		g.Expect(asker.idle).To(HaveKey(owner.self.Address))
 	})
@@ -355,12 +355,12 @@
 		}
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, leave)
-		_, err := asker.Ask(ctx, "a", asker.long(500*time.Millisecond))
+		_, err := asker.RequestPlace(ctx, "a", asker.long(500*time.Millisecond))
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(asker.isSilent(owner.self.Name)).To(BeFalse(), "the owner is not to blame")
-		holds[0].End()
+		holds[0].Release()
 		time.Sleep(50 * time.Millisecond)
-		g.Expect(asker.Ask(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
 	})
 }
 
--- a/internal/places/serve.go
+++ b/internal/places/serve.go
@@ -23,20 +23,20 @@
 )
 
 // LoopAccept answers other boxes until ctx ends.
-func (p *Places) LoopAccept(ctx context.Context, listener net.Listener) {
+func (p *Placer) LoopAccept(ctx context.Context, listener net.Listener) {
 	p.server.LoopAccept(ctx, listener)
 }
 
 // Wait waits until all answering has ended; LoopAccept must have returned.
-func (p *Places) Wait() { p.server.Wait() }
+func (p *Placer) Wait() { p.server.Wait() }
 
 // serve answers the questions on one connection.
-func (p *Places) serve(ctx context.Context, connection net.Conn, reader *bufio.Reader) {
+func (p *Placer) serve(ctx context.Context, connection net.Conn, reader *bufio.Reader) {
 	for ctx.Err() == nil {
 		if err := connection.SetReadDeadline(time.Now().Add(questionLimit)); err != nil {
 			return
 		}
-		var asked Question
+		var asked Request
 		if err := frame.Read(reader, &asked, maxQuestionBytes); err != nil {
 			return
 		}
@@ -47,16 +47,16 @@
 }
 
 // answer answers one question.
-func (p *Places) answer(ctx context.Context, connection net.Conn, asked Question) error {
-	if !p.owns(asked.Of) {
-		return frame.Write(connection, &Answer{NotOwner: true}, writeLimit)
+func (p *Placer) answer(ctx context.Context, connection net.Conn, asked Request) error {
+	if !p.owns(asked.TargetZone) {
+		return frame.Write(connection, &Response{NotOwner: true}, writeLimit)
 	}
-	p.cfg.Fleet.LearnReadings(asked.Readings)
-	given := p.Give(ctx, asked)
+	p.cfg.Fleet.LearnPrefillSamples(asked.PrefillSamples)
+	given := p.GrantPlace(ctx, asked)
 	if given == nil {
-		return frame.Write(connection, &Answer{}, writeLimit)
+		return frame.Write(connection, &Response{}, writeLimit)
 	}
-	if err := frame.Write(connection, &Answer{Server: given.Server()}, writeLimit); err != nil {
+	if err := frame.Write(connection, &Response{Server: given.Server()}, writeLimit); err != nil {
 		p.takeBack(given)
 		return err
 	}
--- a/internal/placing/owner_test.go
+++ b/internal/placing/owner_test.go
@@ -16,7 +16,7 @@
 		unseen float64
 		asks   bool
 	}{
-		{"a long prompt", placing.HomePart, &placing.Candidate{Slots: 12}, 0, true},
+		{"a long prompt", placing.MinAffinityTokens, &placing.Candidate{Slots: 12}, 0, true},
 		{"a short one before idle runners", 300, &placing.Candidate{Slots: 12, InFlight: 5}, 0, false},
 		{"a short one before busy runners", 300, &placing.Candidate{Slots: 12, InFlight: 6}, 0, true},
 		{"a short one that has nowhere to go", 300, nil, 0, true},
@@ -27,7 +27,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			NewWithT(t).Expect(placing.AsksOwner(test.tokens, test.best, test.unseen)).To(Equal(test.asks))
+			NewWithT(t).Expect(placing.ShouldAskOwner(test.tokens, test.best, test.unseen)).To(Equal(test.asks))
 		})
 	}
 }
--- a/internal/placing/placing.go
+++ b/internal/placing/placing.go
@@ -19,19 +19,19 @@
 type Query struct {
 	// Home gives calls that should meet at the same runner the same number; zero
 	// means that any runner will do.
-	Home uint64
+	AffinityKey uint64
 	// TokenCost is the time to read a prompt token, in milliseconds.
 	TokenCost float64
 	// Spread breaks ties; it differs from call to call.
-	Spread uint64
+	TieBreaker uint64
 	// Unseen is the work in milliseconds that may have come to each runner without this
 	// box knowing of it yet, and LagElsewhere how many milliseconds old the word of boxes
 	// in other zones is.
-	Unseen       float64
-	LagElsewhere float64
+	UnreportedWork float64
+	OtherZoneLag   float64
 	// ReadLimit bounds the time in milliseconds that prompts wait to be read at a
 	// runner, this one included, unless it would be the only one; zero is no bound.
-	ReadLimit float64
+	PrefillLimit float64
 	// Tokens is the memory that the call takes at a runner until its end, and Memory
 	// what a runner has. A long prompt goes to no runner where it does not fit beside
 	// the others: it would drive one of them out, which is then read again. A Memory
@@ -50,7 +50,7 @@
 	// PendingTokens is the known prompt work there that is not done.
 	PendingTokens int
 	// WorkTokens is the prompt work that the call itself would bring.
-	WorkTokens int
+	PrefillTokens int
 	// TokenCost is the time to read a prompt token there, in milliseconds; zero stands for the
 	// query's.
 	TokenCost float64
@@ -60,8 +60,8 @@
 	Headroom  bool
 	OtherZone bool
 	// Failing is the recent share of failed calls, 0 to 1.
-	Failing float64
-	Cold    bool
+	FailureRate float64
+	Cold        bool
 	// Exclusive says that this box may send the server a bounded number of calls and counts them itself,
 	// so that no owner knows better.
 	Exclusive bool
@@ -102,10 +102,10 @@
 			best, bestCost = i, cost
 		}
 	}
-	if query.Home == 0 || best < 0 {
+	if query.AffinityKey == 0 || best < 0 {
 		return best
 	}
-	first, second := homes(query.Home, candidates)
+	first, second := homes(query.AffinityKey, candidates)
 	for _, home := range [...]int{first, second} {
 		if home >= 0 && waiting(query, &candidates[home]) <= bestCost+homeSlack {
 			return home
@@ -116,9 +116,9 @@
 
 // waiting estimates the time that a call waits at a server.
 func waiting(query Query, c *Candidate) float64 {
-	cost := float64(c.PendingTokens+c.WorkTokens)*c.tokenCost(query) + float64(c.InFlight)*callCost + c.Failing*failingCost + c.ExtraCost
+	cost := float64(c.PendingTokens+c.PrefillTokens)*c.tokenCost(query) + float64(c.InFlight)*callCost + c.FailureRate*failingCost + c.ExtraCost
 	if c.OtherZone {
-		cost += zoneCost + lagCost*max(query.LagElsewhere-usualLag, 0)
+		cost += zoneCost + lagCost*max(query.OtherZoneLag-usualLag, 0)
 	}
 	if c.Cold {
 		cost += coldCost
@@ -138,7 +138,7 @@
 // tie gives a server's part in the breaking of ties for a call, of 0 to tieRange, or to the
 // work that may have come there unseen.
 func tie(query Query, name string) float64 {
-	return max(tieRange, query.Unseen) * float64(rank(query.Spread, name)>>11) / (1 << 53)
+	return max(tieRange, query.UnreportedWork) * float64(rank(query.TieBreaker, name)>>11) / (1 << 53)
 }
 
 // homes gives the two candidates of lowest rendezvous rank.
--- a/internal/placing/placing_test.go
+++ b/internal/placing/placing_test.go
@@ -25,8 +25,8 @@
 	}{
 		{"fewer calls", func(c []placing.Candidate) { c[0].InFlight, c[1].InFlight, c[2].InFlight = 4, 1, 4 }, 1},
 		{"less to read", func(c []placing.Candidate) { c[0].PendingTokens, c[1].PendingTokens = 9000, 9000 }, 2},
-		{"less of its own to read", func(c []placing.Candidate) { c[0].WorkTokens, c[2].WorkTokens = 9000, 9000 }, 1},
-		{"not failing", func(c []placing.Candidate) { c[0].Failing, c[1].Failing = 0.5, 0.5 }, 2},
+		{"less of its own to read", func(c []placing.Candidate) { c[0].PrefillTokens, c[2].PrefillTokens = 9000, 9000 }, 1},
+		{"not failing", func(c []placing.Candidate) { c[0].FailureRate, c[1].FailureRate = 0.5, 0.5 }, 2},
 		{"own zone", func(c []placing.Candidate) { c[0].OtherZone, c[2].OtherZone = true, true }, 1},
 		{"not full", func(c []placing.Candidate) { c[0].InFlight, c[1].InFlight, c[2].InFlight = 16, 16, 15 }, 2},
 		{"newest weights", func(c []placing.Candidate) { c[0].ExtraCost, c[1].ExtraCost = 100, 100 }, 2},
@@ -38,21 +38,21 @@
 			candidates := runners(3)
 			test.change(candidates)
 			for spread := range uint64(20) {
-				g.Expect(placing.Choose(placing.Query{Spread: spread, TokenCost: 0.01}, candidates)).To(Equal(test.want))
+				g.Expect(placing.Choose(placing.Query{TieBreaker: spread, TokenCost: 0.01}, candidates)).To(Equal(test.want))
 			}
 		})
 	}
 }
 
 func TestNobodyIsTakenWithoutCandidates(t *testing.T) {
-	NewWithT(t).Expect(placing.Choose(placing.Query{Home: 7}, nil)).To(Equal(-1))
+	NewWithT(t).Expect(placing.Choose(placing.Query{AffinityKey: 7}, nil)).To(Equal(-1))
 }
 
 func TestEqualServersShareTheCalls(t *testing.T) {
 	g := NewWithT(t)
 	counts := make([]int, 4)
 	for spread := range uint64(4000) {
-		counts[placing.Choose(placing.Query{Spread: spread * 0x9e3779b97f4a7c15}, runners(4))]++
+		counts[placing.Choose(placing.Query{TieBreaker: spread * 0x9e3779b97f4a7c15}, runners(4))]++
 	}
 	for _, count := range counts {
 		g.Expect(count).To(BeNumerically("~", 1000, 150))
@@ -64,15 +64,15 @@
 func TestCallsOfOneHomeMeet(t *testing.T) {
 	g := NewWithT(t)
 	for home := uint64(1); home < 200; home++ {
-		first := placing.Choose(placing.Query{Home: home, Spread: 1, TokenCost: 0.01}, runners(14))
+		first := placing.Choose(placing.Query{AffinityKey: home, TieBreaker: 1, TokenCost: 0.01}, runners(14))
 		for spread := range uint64(8) {
-			g.Expect(placing.Choose(placing.Query{Home: home, Spread: spread, TokenCost: 0.01}, runners(14))).To(Equal(first))
+			g.Expect(placing.Choose(placing.Query{AffinityKey: home, TieBreaker: spread, TokenCost: 0.01}, runners(14))).To(Equal(first))
 		}
 		busy := runners(14)
 		busy[first].PendingTokens = 100_000
-		second := placing.Choose(placing.Query{Home: home, Spread: 1, TokenCost: 0.01}, busy)
+		second := placing.Choose(placing.Query{AffinityKey: home, TieBreaker: 1, TokenCost: 0.01}, busy)
 		g.Expect(second).NotTo(Equal(first))
-		g.Expect(placing.Choose(placing.Query{Home: home, Spread: 2, TokenCost: 0.01}, busy)).To(Equal(second))
+		g.Expect(placing.Choose(placing.Query{AffinityKey: home, TieBreaker: 2, TokenCost: 0.01}, busy)).To(Equal(second))
 	}
 }
 
@@ -81,9 +81,9 @@
 	g := NewWithT(t)
 	all := runners(14)
 	for home := uint64(1); home < 200; home++ {
-		before := all[placing.Choose(placing.Query{Home: home, TokenCost: 0.01}, all)].Name
+		before := all[placing.Choose(placing.Query{AffinityKey: home, TokenCost: 0.01}, all)].Name
 		fewer := all[:13]
-		after := fewer[placing.Choose(placing.Query{Home: home, TokenCost: 0.01}, fewer)].Name
+		after := fewer[placing.Choose(placing.Query{AffinityKey: home, TokenCost: 0.01}, fewer)].Name
 		if before != "runner-13" {
 			g.Expect(after).To(Equal(before))
 		}
--- a/internal/placing/unseen_test.go
+++ b/internal/placing/unseen_test.go
@@ -17,7 +17,7 @@
 	}
 	chosen := make([]int, len(candidates))
 	for box := range boxes {
-		at := placing.Choose(placing.Query{Spread: uint64(box+1) * 0x9e3779b97f4a7c15, TokenCost: 0.02, Unseen: unseen}, candidates)
+		at := placing.Choose(placing.Query{TieBreaker: uint64(box+1) * 0x9e3779b97f4a7c15, TokenCost: 0.02, UnreportedWork: unseen}, candidates)
 		chosen[at]++
 	}
 	most := 0
@@ -54,7 +54,7 @@
 			candidates := runners(2)
 			candidates[0].InFlight = 10 // 20 ms of waiting
 			candidates[1].OtherZone = true
-			g.Expect(placing.Choose(placing.Query{TokenCost: 0.02, LagElsewhere: test.lag}, candidates)).To(Equal(test.want))
+			g.Expect(placing.Choose(placing.Query{TokenCost: 0.02, OtherZoneLag: test.lag}, candidates)).To(Equal(test.want))
 		})
 	}
 }
--- a/internal/registry/differs_test.go
+++ b/internal/registry/differs_test.go
@@ -72,9 +72,9 @@
 		w.tell(follower, func(word *registry.Word) {
 			word.Records = slices.DeleteFunc(word.Records, func(r sharedlog.Record) bool { return r.Key == "leaves" })
 		})
-		g.Expect(follower.fleet.Known()).To(Equal(2), "it believes in the server that left")
+		g.Expect(follower.fleet.CountListed()).To(Equal(2), "it believes in the server that left")
 		time.Sleep(10 * time.Millisecond)
-		g.Expect(follower.fleet.Known()).To(Equal(1))
+		g.Expect(follower.fleet.CountListed()).To(Equal(1))
 	})
 }
 
@@ -91,6 +91,6 @@
 			w.tell(follower, func(word *registry.Word) { word.Digest ^= 2 })
 		}
 		g.Expect(log.calls.Load()).To(BeNumerically("<=", 3), "its start, and once for the difference")
-		g.Expect(follower.fleet.Known()).To(Equal(1))
+		g.Expect(follower.fleet.CountListed()).To(Equal(1))
 	})
 }
--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -22,9 +22,9 @@
 	bubble(t, func(g *WithT, w *world) {
 		w.putZone("a", "{}")
 		w.putZone("b", "{}")
-		g.Expect(w.fleet.Evacuated()).To(Equal([]string{"a", "b"}))
+		g.Expect(w.fleet.EvacuatedZones()).To(Equal([]string{"a", "b"}))
 		w.putZone("a", "")
-		g.Expect(w.fleet.Evacuated()).To(Equal([]string{"b"}))
+		g.Expect(w.fleet.EvacuatedZones()).To(Equal([]string{"b"}))
 	})
 }
 
@@ -39,7 +39,7 @@
 		w.log.Put(sharedlog.Operator, "evacuate/a", nil)
 		w.log.Faults().ExpireOlder(0)
 		time.Sleep(2 * time.Second)
-		g.Expect(w.fleet.Evacuated()).To(Equal([]string{"b"}))
+		g.Expect(w.fleet.EvacuatedZones()).To(Equal([]string{"b"}))
 	})
 }
 
@@ -65,7 +65,7 @@
 		for _, next := range words {
 			next.word.Stream = sharedlog.Operator
 			w.registry.TakeWord(next.word, time.Now())
-			g.Expect(w.fleet.Evacuated()).To(Equal(next.zones), next.name)
+			g.Expect(w.fleet.EvacuatedZones()).To(Equal(next.zones), next.name)
 		}
 	})
 }
--- a/internal/registry/lives_test.go
+++ b/internal/registry/lives_test.go
@@ -102,11 +102,11 @@
 				time.Sleep(readTime)
 				second := choose()
 				g.Expect(second.Server().Incarnation).To(Equal("r@2"))
-				g.Expect(second.Server().CalledBy()).To(Equal("r"))
+				g.Expect(second.Server().TargetName()).To(Equal("r"))
 				g.Expect(second.Server().Weights).To(Equal(map[string]int{"m": 6}))
-				first.Done(fleet.EndUnreachable) // its failure is not one of the new life
+				first.Done(fleet.OutcomeUnreachable) // its failure is not one of the new life
 				g.Expect(choose()).NotTo(BeNil(), "the new life is not suspected for the end of the old one")
-				second.Done(fleet.EndServed)
+				second.Done(fleet.OutcomeServed)
 			})
 		})
 	}
--- a/internal/registry/read.go
+++ b/internal/registry/read.go
@@ -158,7 +158,7 @@
 		return
 	}
 	if stream == sharedlog.Servers {
-		r.cfg.Fleet.RegistryLost(asked)
+		r.cfg.Fleet.NoteRegistryFailure(asked)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,7 +176,7 @@
 		r.cfg.Logger.Info().Stringer("stream", stream).Int64("offset", next).Msg("log_back")
 		switch stream {
 		case sharedlog.Servers:
-			r.cfg.Fleet.RegistryBack()
+			r.cfg.Fleet.NoteRegistryRecovery()
 		case sharedlog.Operator:
 			r.back.Send()
 		}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -282,7 +282,7 @@
 func (r *Registry) takeEvacuations(news []entry) {
 	for _, next := range news {
 		if change, found := r.cfg.Decoder.Evacuation(next.record); found {
-			r.cfg.Fleet.Evacuate(change)
+			r.cfg.Fleet.ApplyEvacuation(change)
 		}
 	}
 }
@@ -319,7 +319,7 @@
 	}
 	updates := make([]fleet.Update, len(news))
 	for i, next := range news {
-		updates[i] = fleet.Update{Key: next.record.Key, Offset: next.record.Offset, Server: next.server, Unclear: next.unclear}
+		updates[i] = fleet.Update{Key: next.record.Key, Offset: next.record.Offset, Server: next.server, Invalid: next.unclear}
 	}
 	r.cfg.Fleet.Apply(updates)
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -41,7 +41,7 @@
 
 func (decoder) Evacuation(record sharedlog.Record) (evacuation.Change, bool) {
 	zone, found := strings.CutPrefix(record.Key, "evacuate/")
-	return evacuation.Change{Zone: zone, Active: len(record.Value) > 0, Offset: record.Offset}, found
+	return evacuation.Change{Zone: zone, Evacuate: len(record.Value) > 0, Offset: record.Offset}, found
 }
 
 func (decoder) Server(record sharedlog.Record) (fleet.Update, error) {
@@ -160,7 +160,7 @@
 		w.log.Put(sharedlog.Servers, "one", nil)
 		w.log.Put(sharedlog.Servers, "two", []byte("ready"))
 		time.Sleep(10 * time.Second)
-		g.Expect(w.fleet.Known()).To(Equal(1))
+		g.Expect(w.fleet.CountListed()).To(Equal(1))
 	})
 }
 
--- a/internal/registry/tail.go
+++ b/internal/registry/tail.go
@@ -60,7 +60,7 @@
 	if s.unclear || before.unclear {
 		return s.unclear == before.unclear
 	}
-	return s.server != nil && before.server != nil && s.server.Same(before.server)
+	return s.server != nil && before.server != nil && s.server.SameEntry(before.server)
 }
 
 // entry is the newest record of a key.
--- a/internal/registry/teller_test.go
+++ b/internal/registry/teller_test.go
@@ -38,7 +38,7 @@
 		g.Expect(w.registry.Position(sharedlog.Servers)).To(Equal(known), "it has not read again itself")
 
 		teller.tell(w, func(word *registry.Word) { g.Expect(word.Records).NotTo(BeEmpty()) })
-		g.Expect(w.fleet.Known()).To(Equal(1))
+		g.Expect(w.fleet.CountListed()).To(Equal(1))
 		hold := w.fleet.Choose(fleet.Query{Service: "s", Exclude: []string{"comes"}})
 		g.Expect(hold).To(BeNil(), "the server that left takes nothing")
 	})
--- a/internal/registry/turn_test.go
+++ b/internal/registry/turn_test.go
@@ -50,7 +50,7 @@
 		both.Wait()
 		g.Expect(r.Catalog().Version()).To(BeEquivalentTo(4))
 		g.Expect(told[len(told)-1]).To(BeEquivalentTo(4))
-		g.Expect(f.Known()).To(BeZero(), "the log does not list the server")
+		g.Expect(f.CountListed()).To(BeZero(), "the log does not list the server")
 		g.Expect(r.Snapshot().Operator[0].Offset).To(BeEquivalentTo(9))
 	}
 }
@@ -67,5 +67,5 @@
 		Servers:  []sharedlog.Record{{Key: "gone", Value: []byte("ready"), Offset: 2}},
 	})
 	g.Expect(r.Catalog().Version()).To(BeEquivalentTo(2))
-	g.Expect(f.Known()).To(BeZero())
+	g.Expect(f.CountListed()).To(BeZero())
 }
--- a/internal/registry/view_test.go
+++ b/internal/registry/view_test.go
@@ -227,7 +227,7 @@
 	if hold == nil {
 		return false
 	}
-	hold.Done(fleet.EndServed)
+	hold.Done(fleet.OutcomeServed)
 	return true
 }
 
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -51,14 +51,14 @@
 }
 
 // Earn counts a first try.
-func (b *Budget) Earn() {
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved = min(b.saved+b.perRequest, b.burst)
 }
 
 // Take asks for one retry and reports whether the budget allows it.
-func (b *Budget) Take() bool {
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.saved < 1 {
@@ -70,7 +70,7 @@
 }
 
 // Return gives a retry back that was taken and not made.
-func (b *Budget) Return() {
+func (b *Budget) Refund() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved = min(b.saved+1, b.burst)
@@ -78,13 +78,13 @@
 
 // State is the part of a state dump that describes the budget.
 type State struct {
-	Saved  float64 `json:"saved"`
-	Denied uint64  `json:"denied"`
+	Balance float64 `json:"saved"`
+	Denied  uint64  `json:"denied"`
 }
 
 // State describes the budget as it is now.
 func (b *Budget) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return State{Saved: b.saved, Denied: b.denied}
+	return State{Balance: b.saved, Denied: b.denied}
 }
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -16,9 +16,9 @@
 	retries := 0
 	const requests = 10_000
 	for range requests {
-		budget.Earn()
+		budget.Deposit()
 		for range 3 { // each failure would like several retries
-			if budget.Take() {
+			if budget.TryWithdraw() {
 				retries++
 			}
 		}
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -93,7 +93,7 @@
 	}
 	r.snapshot = snapshot
 	for _, zone := range snapshot.File().Zones {
-		r.fleet.Evacuate(evacuation.Change{Zone: zone.Name, Active: zone.Evacuated, Offset: snapshot.Version()})
+		r.fleet.ApplyEvacuation(evacuation.Change{Zone: zone.Name, Evacuate: zone.Evacuated, Offset: snapshot.Version()})
 	}
 	r.tellFleet()
 	r.catalog.Store(next)
@@ -109,13 +109,15 @@
 }
 
 // Advised gives what servers said of themselves in answers to this box, by server.
-func (r *Router) Advised() map[string]*advisory.Report { return r.fleet.Advised() }
+func (r *Router) Advised() map[string]*advisory.Report { return r.fleet.AdvisoryReports() }
 
 // TakeAdvised takes over what servers said to another box.
-func (r *Router) TakeAdvised(reports map[string]*advisory.Report) { r.fleet.TakeAdvised(reports) }
+func (r *Router) TakeAdvised(reports map[string]*advisory.Report) {
+	r.fleet.ApplyAdvisoryReports(reports)
+}
 
 // Evacuated lists the evacuated zones.
-func (r *Router) Evacuated() []string { return r.fleet.Evacuated() }
+func (r *Router) Evacuated() []string { return r.fleet.EvacuatedZones() }
 
 // InFlight counts the routed calls under way.
 func (r *Router) InFlight() int64 { return r.gateway.InFlight() }
--- a/internal/sitebench/call.go
+++ b/internal/sitebench/call.go
@@ -70,7 +70,7 @@
 		c.world.result.owed += c.kind().Worth
 		c.world.result.calls++
 	}
-	c.lookUntil = c.world.now + placing.WaitPart*c.kind().AimMillis
+	c.lookUntil = c.world.now + placing.WaitFraction*c.kind().AimMillis
 	c.look()
 }
 
@@ -181,7 +181,7 @@
 		work = c.tokens()
 	}
 	candidate := placing.Candidate{
-		Name: r.name, InFlight: seen.calls, Slots: c.world.site.Slots, PendingTokens: seen.pending, HeldTokens: seen.held, WorkTokens: int(work),
+		Name: r.name, InFlight: seen.calls, Slots: c.world.site.Slots, PendingTokens: seen.pending, HeldTokens: seen.held, PrefillTokens: int(work),
 		Headroom: r.owner == c.box || owner,
 	}
 	if newer, named := c.world.namedAt[r.weights+1]; named {
@@ -194,13 +194,13 @@
 func (c *call) query() placing.Query {
 	site := c.world.site
 	query := placing.Query{
-		TokenCost: 1 / site.ReadRate, Spread: c.spread, ReadLimit: placing.ReadPart * c.kind().AimMillis, Tokens: int(c.tokens()),
+		TokenCost: 1 / site.ReadRate, TieBreaker: c.spread, PrefillLimit: placing.PrefillFraction * c.kind().AimMillis, Tokens: int(c.tokens()),
 	}
-	if c.tokens() >= placing.HomePart {
+	if c.tokens() >= placing.MinAffinityTokens {
 		query.Memory = int(site.MemoryTokens)
 	}
-	if c.shared() >= placing.HomePart && c.world.holding(c.partOf(c.world.newest)) == nil {
-		query.Home = c.partOf(c.world.newest).number() | 1 // zero would be no home
+	if c.shared() >= placing.MinAffinityTokens && c.world.holding(c.partOf(c.world.newest)) == nil {
+		query.AffinityKey = c.partOf(c.world.newest).number() | 1 // zero would be no home
 	}
 	return query
 }
--- a/internal/sitebench/policy.go
+++ b/internal/sitebench/policy.go
@@ -65,11 +65,11 @@
 		return false
 	}
 	if best == nil {
-		return placing.AsksOwner(int(c.tokens()), nil, 0)
+		return placing.ShouldAskOwner(int(c.tokens()), nil, 0)
 	}
 	candidate := c.describe(best, false)
 	unseen := c.world.arrivals[c.box].unseen(c.world, len(c.world.runners))
-	return placing.AsksOwner(int(c.tokens()), &candidate, unseen)
+	return placing.ShouldAskOwner(int(c.tokens()), &candidate, unseen)
 }
 
 // zone lists the runners of a zone.
@@ -99,16 +99,16 @@
 		}
 	}
 	if p.clairvoyant {
-		query.Home = 0
+		query.AffinityKey = 0
 	}
 	if c.world.site.Zones > 0 && !owner && !p.clairvoyant {
-		query.Unseen = c.world.arrivals[c.box].unseen(c.world, len(candidates))
+		query.UnreportedWork = c.world.arrivals[c.box].unseen(c.world, len(candidates))
 	}
 	at := p.pick(c, query, candidates)
 	if at < 0 {
 		return nil
 	}
-	c.workMillis = float64(candidates[at].WorkTokens) * query.TokenCost
+	c.workMillis = float64(candidates[at].PrefillTokens) * query.TokenCost
 	return runners[at]
 }
 
@@ -121,7 +121,7 @@
 	}
 	candidate.InFlight, candidate.PendingTokens, candidate.HeldTokens = all.calls, all.pending, all.held
 	if c.world.read[c.partOf(r.weights)] {
-		candidate.WorkTokens = int(c.own)
+		candidate.PrefillTokens = int(c.own)
 	}
 	return candidate
 }
@@ -133,14 +133,14 @@
 
 // withoutHomes chooses as entry boxes would if calls that share a part met nowhere.
 func withoutHomes(_ *call, query placing.Query, candidates []placing.Candidate) int {
-	query.Home = 0
+	query.AffinityKey = 0
 	return placing.Choose(query, candidates)
 }
 
 // rendezvous sends calls with the same shared part to the same runner, whatever waits
 // there, and those without one to the least busy.
 func rendezvous(c *call, query placing.Query, candidates []placing.Candidate) int {
-	if query.Tokens < placing.HomePart {
+	if query.Tokens < placing.MinAffinityTokens {
 		return leastInFlight(c, query, candidates)
 	}
 	best, bestScore := -1, 0.0
--- a/internal/suspendtest/suspendtest.go
+++ b/internal/suspendtest/suspendtest.go
@@ -18,7 +18,7 @@
 func New(t testing.TB) *Machine {
 	t.Helper()
 	m := &Machine{}
-	t.Cleanup(boottime.Pretend(func() time.Duration { return time.Duration(m.suspended.Load()) }))
+	t.Cleanup(boottime.FakeSuspension(func() time.Duration { return time.Duration(m.suspended.Load()) }))
 	return m
 }
 
--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -57,7 +57,7 @@
 
 // pause waits until all boxes keep new calls from a runner, and there is room to load.
 func (g *Giver) pause(ctx context.Context, t task) error {
-	if g.cfg.Off.On(mechanism.PausedLoading) {
+	if g.cfg.Off.Enabled(mechanism.PausedLoading) {
 		waiting.For(ctx, pauseBefore)
 	}
 	for !g.takeSlot(t) {
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -76,7 +76,7 @@
 	Lease   *orderlease.Lease
 	Logger  zerolog.Logger
 	// Off holds mechanisms that are switched off.
-	Off mechanism.Off
+	Off mechanism.Switches
 	// Paused is told that a runner gets no new calls from now on; it may be nil.
 	Paused func()
 	// Holder names this box in orders.
@@ -183,14 +183,14 @@
 func (g *Giver) look(ctx context.Context) {
 	for _, model := range g.cfg.Models() {
 		version := g.cfg.Wanted(model)
-		behind := g.cfg.Fleet.Behind(model, version)
+		behind := g.cfg.Fleet.ServersBehind(model, version)
 		if len(behind) == 0 {
 			continue
 		}
 		if _, may := g.cfg.Lease.Permit(ctx); !may {
 			return
 		}
-		atOnce := (g.cfg.Fleet.Holders(model) + runnersPerLoad - 1) / runnersPerLoad
+		atOnce := (g.cfg.Fleet.CountHolders(model) + runnersPerLoad - 1) / runnersPerLoad
 		for _, server := range behind {
 			g.begin(ctx, task{server, model, version, atOnce})
 		}
--- a/internal/zonereader/follow.go
+++ b/internal/zonereader/follow.go
@@ -68,7 +68,7 @@
 
 // choose gives the box to follow now, of those that answer.
 func (z *Zone) choose() (Box, bool) {
-	if !z.cfg.Off.On(mechanism.ZoneReaders) {
+	if !z.cfg.Off.Enabled(mechanism.ZoneReaders) {
 		return Box{}, false
 	}
 	others := z.cfg.Others()
--- a/internal/zonereader/starts_test.go
+++ b/internal/zonereader/starts_test.go
@@ -98,7 +98,7 @@
 	if hold == nil {
 		return false
 	}
-	hold.Done(fleet.EndServed)
+	hold.Done(fleet.OutcomeServed)
 	return true
 }
 
--- a/internal/zonereader/zonereader.go
+++ b/internal/zonereader/zonereader.go
@@ -64,7 +64,7 @@
 	News     *waiting.Signal
 	PartNews *waiting.Signal
 	// Off holds mechanisms that are switched off.
-	Off mechanism.Off
+	Off mechanism.Switches
 	// Dial connects to another box; nil stands for TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
