--- a/internal/fleet/advise.go
+++ b/internal/fleet/advisory.go
@@ -1,4 +1,4 @@
-// What servers say of themselves in their answers (package advisory).
+// Statements of servers about themselves in their answers (package advisory).
 
 package fleet
 
@@ -9,13 +9,13 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// Sources of what is known of a server, in the log.
+// Sources of a statement, as logged.
 const (
 	sourceAnswer = "answer"
 	sourceReport = "report"
 )
 
-// Advise takes over what an answer says of the incarnation that gave it.
+// ApplyAdvisory processes an answer's statements about the incarnation that sent it.
 func (f *Fleet) ApplyAdvisory(incarnation string, answer advisory.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -23,21 +23,21 @@
 	if state == nil {
 		return
 	}
-	if change := state.advised.TakeAnswer(answer); change != (advisory.Change{}) {
-		f.logAdvised(state, change, sourceAnswer, boottime.Now())
-		f.changed.Send() // other boxes are to know soon
+	if change := state.statements.TakeAnswer(answer); change != (advisory.Change{}) {
+		f.logAdvisory(state, change, sourceAnswer, boottime.Now())
+		f.loadsChanged.Send() // report it to other boxes soon
 	}
 }
 
-// takeReport takes over what another box reports of a server's answers. The caller holds mu.
-func (f *Fleet) takeReport(state *State, report *advisory.Report, now time.Time) {
+// applyReport processes another box's report of a server's statements. The caller holds mu.
+func (f *Fleet) applyReport(state *State, report *advisory.Report, now time.Time) {
 	if report != nil {
-		f.logAdvised(state, state.advised.TakeReport(*report, now), sourceReport, now)
+		f.logAdvisory(state, state.statements.TakeReport(*report, now), sourceReport, now)
 	}
 }
 
-// logAdvised logs what a statement changed. The caller holds mu.
-func (f *Fleet) logAdvised(state *State, change advisory.Change, source string, now time.Time) {
+// logAdvisory logs the changes made by a statement. The caller holds mu.
+func (f *Fleet) logAdvisory(state *State, change advisory.Change, source string, now time.Time) {
 	if change.Limit {
 		f.logLimit(state, source, now)
 	}
@@ -47,35 +47,35 @@
 	}
 	if change.Paused {
 		f.cfg.Logger.Info().Str("server", state.Incarnation).Str("service", state.Service).Str("server_zone", state.Zone).
-			Dur("pause", state.advised.PausedFor(now)).Int("in_flight", state.inFlight).Msg("server_paused")
+			Dur("pause", state.statements.PausedFor(now)).Int("in_flight", state.inFlight).Msg("server_paused")
 	}
 }
 
-// position gives where this box stands among those that share a server's rate limit. The caller holds
-// mu.
-func (f *Fleet) position(state *State, now time.Time) advisory.Position {
-	if _, _, limited := state.advised.Limit(now); !limited || f.cfg.LimitPosition == nil {
+// limitPosition returns this box's position among the boxes that share a server's rate limit. The
+// caller holds mu.
+func (f *Fleet) limitPosition(state *State, now time.Time) advisory.Position {
+	if _, _, limited := state.statements.Limit(now); !limited || f.cfg.LimitPosition == nil {
 		return advisory.Position{}
 	}
 	return f.cfg.LimitPosition(state.Zone, state.Incarnation)
 }
 
-// isCapped reports whether this box counts its calls at a server, so that only calls which it places
+// isCapped reports whether this box counts its calls at a server, so that only calls that it places
 // for itself may go there. The caller holds mu.
 func (f *Fleet) isCapped(state *State, now time.Time) bool {
-	_, _, limited := state.advised.Limit(now)
+	_, _, limited := state.statements.Limit(now)
 	return limited || f.isBounded(state, now)
 }
 
-// Limited counts the listed servers that name a rate limit, and those of them that this box has a share
-// of.
+// CountLimited counts the listed servers with a rate limit, and those of them whose limit this box
+// has a share of.
 func (f *Fleet) CountLimited() (limited, shared int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
 	for _, state := range f.servers {
-		share, named := state.advised.Share(now, f.position(state, now))
-		if !named || !state.gone.IsZero() {
+		share, named := state.statements.Share(now, f.limitPosition(state, now))
+		if !named || !state.delistedAt.IsZero() {
 			continue
 		}
 		limited++
@@ -86,9 +86,9 @@
 	return limited, shared
 }
 
-// logLimit logs that a server's rate limit has changed. The caller holds mu.
+// logLimit logs a change of a server's rate limit. The caller holds mu.
 func (f *Fleet) logLimit(state *State, source string, now time.Time) {
-	perSecond, age, limited := state.advised.Limit(now)
+	perSecond, age, limited := state.statements.Limit(now)
 	event := "server_limit_ended"
 	if limited {
 		event = "server_limit_named"
@@ -97,29 +97,29 @@
 		Float64("per_second", perSecond).Dur("age", age).Str("source", source).Int("in_flight", state.inFlight).Msg(event)
 }
 
-// Advised gives what servers said of themselves in answers to this box, by incarnation, where boxes do
-// not share their work.
+// AdvisoryReports returns the statements of servers in answers to this box, by incarnation. It is
+// used where boxes don't share their loads.
 func (f *Fleet) AdvisoryReports() map[string]*advisory.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
 	reports := map[string]*advisory.Report{}
 	for incarnation, state := range f.servers {
-		if report := state.advised.Report(now); report != nil {
+		if report := state.statements.Report(now); report != nil {
 			reports[incarnation] = report
 		}
 	}
 	return reports
 }
 
-// TakeAdvised takes over what another box reports, by incarnation.
+// ApplyAdvisoryReports processes the reports of another box, by incarnation.
 func (f *Fleet) ApplyAdvisoryReports(reports map[string]*advisory.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
 	for incarnation, report := range reports {
 		if state := f.servers[incarnation]; state != nil {
-			f.takeReport(state, report, now)
+			f.applyReport(state, report, now)
 		}
 	}
 }
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advisory_test.go
@@ -12,17 +12,17 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// answerWith is an answer that came just now.
-func answerWith(said advisory.Advisory) advisory.Answer {
-	return advisory.Answer{Advisory: said, Sent: time.Now(), Received: time.Now(), Genuine: true}
+// answerWith returns an answer that arrived just now.
+func answerWith(statement advisory.Advisory) advisory.Answer {
+	return advisory.Answer{Advisory: statement, Sent: time.Now(), Received: time.Now(), Genuine: true}
 }
 
 func limitOf(perSecond float64) advisory.Answer {
 	return answerWith(advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: perSecond})
 }
 
-// chosenIn counts the calls that a fleet places at a server within a time, if it has one each 10 ms.
-func chosenIn(length time.Duration, place func() *fleet.Hold) int {
+// countPlaced counts the calls that a fleet places within a time if one arrives every 10 ms.
+func countPlaced(length time.Duration, place func() *fleet.Hold) int {
 	count := 0
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if hold := place(); hold != nil {
@@ -33,21 +33,21 @@
 	return count
 }
 
-// Every way of placing a call keeps a server's rate limit.
-func TestEveryWayOfPlacingKeepsARateLimit(t *testing.T) {
+// Each way of placing a call respects a server's rate limit.
+func TestEachPlacementRespectsRateLimit(t *testing.T) {
 	query := fleet.Query{Service: "runners", Zone: "a"}
 	tests := []struct {
 		name string
 		most int
-		// place is one way of placing a call.
+		// place is a way of placing a call.
 		place func(f *fleet.Fleet) *fleet.Hold
 	}{
-		{"by itself", 21, func(f *fleet.Fleet) *fleet.Hold { return f.Choose(query) }},
-		{"where an owner says", 21, func(f *fleet.Fleet) *fleet.Hold { return f.PlaceAt(query, "one") }},
-		{"beside another try", 0, func(f *fleet.Fleet) *fleet.Hold {
-			beside := query
-			beside.UncappedOnly = true
-			return f.Choose(beside)
+		{"by this box itself", 21, func(f *fleet.Fleet) *fleet.Hold { return f.Choose(query) }},
+		{"by a grant of an owner", 21, func(f *fleet.Fleet) *fleet.Hold { return f.PlaceAt(query, "one") }},
+		{"in parallel to another try", 0, func(f *fleet.Fleet) *fleet.Hold {
+			parallel := query
+			parallel.UncappedOnly = true
+			return f.Choose(parallel)
 		}},
 		{"for another box", 0, func(f *fleet.Fleet) *fleet.Hold {
 			if grant := f.Grant(query); grant != nil {
@@ -63,17 +63,17 @@
 				g := NewWithT(t)
 				f := newFleet("one")
 				f.ApplyAdvisory("one", limitOf(2))
-				count := chosenIn(10*time.Second, func() *fleet.Hold { return test.place(f) })
+				count := countPlaced(10*time.Second, func() *fleet.Hold { return test.place(f) })
 				g.Expect(count).To(BeNumerically("~", test.most, 1))
 				f.ApplyAdvisory("one", answerWith(advisory.Advisory{}))
-				g.Expect(chosenIn(time.Second, func() *fleet.Hold { return test.place(f) })).To(BeNumerically(">", 50))
+				g.Expect(countPlaced(time.Second, func() *fleet.Hold { return test.place(f) })).To(BeNumerically(">", 50))
 			})
 		})
 	}
 }
 
-// A limit belongs to one incarnation of a server.
-func TestTheNextIncarnationHasNoLimit(t *testing.T) {
+// A rate limit belongs to one incarnation of a server.
+func TestNextIncarnationHasNoLimit(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("one")
 	f.ApplyAdvisory("one", limitOf(0))
@@ -86,8 +86,8 @@
 	g.Expect(name).To(Equal("two"))
 }
 
-// Boxes report to others what servers answered them.
-func TestOtherBoxesLearnOfALimit(t *testing.T) {
+// Boxes report servers' statements to each other.
+func TestRateLimitIsReportedToOtherBoxes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		first, second := newFleet("one"), fleet.New(fleet.Config{
@@ -97,8 +97,8 @@
 		first.ApplyAdvisory("one", limitOf(2))
 		second.SetRemoteLoads("first", first.Loads())
 		name, _ := choose(second)
-		g.Expect(name).To(BeEmpty(), "it has no share")
-		g.Expect(second.Loads()).To(BeEmpty(), "only own answers are reported")
+		g.Expect(name).To(BeEmpty(), "its share of the limit is zero")
+		g.Expect(second.Loads()).To(BeEmpty(), "a box reports only statements in its own answers")
 
 		time.Sleep(time.Second)
 		first.ApplyAdvisory("one", answerWith(advisory.Advisory{}))
@@ -108,14 +108,14 @@
 	})
 }
 
-// A service whose servers take no more says when they do.
+// A service whose servers accept no more calls reports when they do.
 func TestAvailabilityFollowsRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("one", "two")
 		g.Expect(f.Availability("runners", nil)).To(Equal(fleet.Availability{HasServers: true, ForThisBox: true}))
 		f.ApplyAdvisory("one", limitOf(0.5))
-		g.Expect(f.Availability("runners", nil).Wait).To(BeZero(), "the other one has none")
+		g.Expect(f.Availability("runners", nil).Wait).To(BeZero(), "the other server has no limit")
 		f.ApplyAdvisory("two", limitOf(0.25))
 		for range 2 {
 			_, hold := choose(f)
@@ -127,7 +127,7 @@
 }
 
 // The entry of a draining server may lag, or not be written at all while the registry is down.
-func TestADrainingServerGetsNothingByAnyWay(t *testing.T) {
+func TestDrainingServerGetsNoCalls(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("one")
 	_, placed := choose(f)
@@ -136,24 +136,24 @@
 	g.Expect(f.Choose(query)).To(BeNil())
 	g.Expect(f.PlaceAt(query, "one")).To(BeNil())
 	g.Expect(f.Grant(query)).To(BeNil())
-	g.Expect(placed.MayHandOver()).To(BeFalse(), "a call that was placed before")
+	g.Expect(placed.MayHandOver()).To(BeFalse(), "a call placed before the statement")
 	g.Expect(f.Availability("runners", nil).HasServers).To(BeFalse())
-	g.Expect(f.ServersBehind("m", 2)).To(BeEmpty(), "no weights are loaded there")
-	g.Expect(f.RegistryStatus("one")).To(Equal(fleet.StatusLeft), "its end is no crash")
+	g.Expect(f.ServersBehind("m", 2)).To(BeEmpty(), "it must not be ordered to load weights")
+	g.Expect(f.RegistryStatus("one")).To(Equal(fleet.StatusLeft), "its end is planned")
 
 	other := newFleet("one")
 	other.SetRemoteLoads("first", f.Loads())
-	g.Expect(other.Choose(query)).To(BeNil(), "other boxes learn of it")
+	g.Expect(other.Choose(query)).To(BeNil(), "draining is reported to other boxes")
 
 	leaving, ready := server("one"), server("one")
 	leaving.Leaving = true
 	f.Apply([]fleet.Update{{Key: "one", Offset: 2, Server: leaving}, {Key: "one", Offset: 3, Server: ready}})
-	g.Expect(f.Choose(query)).NotTo(BeNil(), "its entry says that it stays")
+	g.Expect(f.Choose(query)).NotTo(BeNil(), "its new entry is not leaving")
 }
 
-// A server wants nothing from one box for as long as it says, whatever it answers meanwhile to calls
-// that were under way.
-func TestAPausedServerGetsNothingFromThisBox(t *testing.T) {
+// A server that asks a box for a pause gets no calls from it for that time, even if its answers to
+// calls in flight ask for a shorter pause or none.
+func TestPausedServerGetsNoCallsFromThisBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("one")
@@ -167,12 +167,12 @@
 		g.Expect(f.Choose(query)).To(BeNil())
 		g.Expect(f.PlaceAt(query, "one")).To(BeNil())
 		g.Expect(f.Grant(query)).To(BeNil())
-		g.Expect(placed.MayHandOver()).To(BeFalse(), "a call that was placed before")
+		g.Expect(placed.MayHandOver()).To(BeFalse(), "a call placed before the statement")
 		g.Expect(f.Availability("runners", nil)).To(Equal(fleet.Availability{HasServers: true, Wait: 3 * time.Second, ForThisBox: true}))
 
 		other := newFleet("one")
 		other.SetRemoteLoads("first", f.Loads())
-		g.Expect(other.Choose(query)).NotTo(BeNil(), "it asked this box alone")
+		g.Expect(other.Choose(query)).NotTo(BeNil(), "the pause applies to this box only")
 
 		time.Sleep(3*time.Second - time.Millisecond)
 		g.Expect(f.Choose(query)).To(BeNil())
--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -1,7 +1,7 @@
-// How much work comes to a runner that this box does not see yet. Boxes hear of each other's
-// work late; all of them see the same runners least busy meanwhile, and would all choose
-// them. A choice is therefore spread over runners that differ by less than what may have
-// come to them since.
+// Estimate of the work that has reached a runner without being reported to this box yet. Load
+// reports of other boxes arrive late. Meanwhile all boxes see the same runners least busy, and
+// would all choose them. So a choice is spread over the runners whose loads differ by less than the
+// work that may have reached them since the last reports.
 
 package fleet
 
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// arrivalsWindow is the time over which calls and their work are observed.
+// arrivalsWindow is the time constant of the average over recent calls and their work.
 const arrivalsWindow = 2 * time.Second
 
-// arrivals observes the calls that this box places, and their work in milliseconds.
+// arrivals is a decaying sum of the calls that this box places and of their work in milliseconds.
 type arrivals struct {
-	calls float64
-	work  float64
-	at    time.Time
+	calls     float64
+	work      float64
+	decayedAt time.Time
 }
 
-func (a *arrivals) fade(now time.Time) {
-	if passed := now.Sub(a.at); passed > 0 {
-		part := math.Exp(-passed.Seconds() / arrivalsWindow.Seconds())
-		a.calls, a.work, a.at = a.calls*part, a.work*part, now
+func (a *arrivals) decay(now time.Time) {
+	if elapsed := now.Sub(a.decayedAt); elapsed > 0 {
+		factor := math.Exp(-elapsed.Seconds() / arrivalsWindow.Seconds())
+		a.calls, a.work, a.decayedAt = a.calls*factor, a.work*factor, now
 	}
 }
 
-func (a *arrivals) note(work float64, now time.Time) {
-	a.fade(now)
+func (a *arrivals) add(work float64, now time.Time) {
+	a.decay(now)
 	a.calls++
 	a.work += work
 }
 
-// unseen estimates the work, in milliseconds, that comes to each of some runners from all
-// boxes within the lag, if they do as this box does.
-func (a *arrivals) unseen(query Query, runners int, now time.Time) float64 {
-	a.fade(now)
+// unreportedWork estimates the work, in milliseconds, that all boxes send to each of the runners
+// within the lag, assuming that they place as much as this box.
+func (a *arrivals) unreportedWork(query Query, runners int, now time.Time) float64 {
+	a.decay(now)
 	if runners == 0 {
 		return 0
 	}
--- /dev/null
+++ b/internal/fleet/availability.go
@@ -0,0 +1,41 @@
+// Whether a service has servers that accept calls, and when the next one does.
+
+package fleet
+
+import (
+	"time"
+
+	"github.com/cometlock/cometlock/internal/boottime"
+)
+
+// Availability describes when a service accepts calls, regardless of the load of its servers.
+type Availability struct {
+	// HasServers reports whether any server may accept calls now or soon: it is listed, isn't
+	// draining, and isn't in an evacuated zone.
+	HasServers bool
+	// Wait is how long no server accepts calls according to their own statements, and ForThisBox
+	// reports whether one accepts a call of this box after that.
+	Wait       time.Duration
+	ForThisBox bool
+}
+
+// Availability returns when a service accepts calls in some zones; in is nil for all zones.
+func (f *Fleet) Availability(service string, zoneAllowed func(zone string) bool) Availability {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := boottime.Now()
+	best := Availability{}
+	for _, state := range f.byService[service] {
+		if state.isDraining() || !f.isPresent(state, now) || f.evacuated.IsEvacuated(state.Zone) || zoneAllowed != nil && !zoneAllowed(state.Zone) {
+			continue
+		}
+		wait, here := state.statements.Wait(now, f.limitPosition(state, now))
+		if !best.HasServers || here && !best.ForThisBox || here == best.ForThisBox && wait < best.Wait {
+			best = Availability{HasServers: true, Wait: wait, ForThisBox: here}
+		}
+		if here && wait == 0 {
+			break
+		}
+	}
+	return best
+}
--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -1,7 +1,6 @@
-// Choosing a server for a call: those that may take it are described to package placing,
-// and the call is counted at the chosen one, which gives a Hold. Choosing and counting
-// happen under one lock, so that calls that come together do not all see the same server
-// free.
+// Choosing a server for a call: package placing gets a description of the servers that may take the
+// call, and the call is counted at the chosen one, which returns a Hold. Choosing and counting
+// happen under one lock, so that concurrent calls don't all see the same server idle.
 
 package fleet
 
@@ -14,49 +13,49 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// Query asks for a server.
+// Query describes a call that needs a server.
 type Query struct {
 	Service string
-	// Zone is that of this box.
+	// Zone is the zone of this box.
 	Zone string
-	// Exclude names incarnations that were tried already.
+	// Exclude lists incarnations that were tried already.
 	Exclude []string
 	// Model is set for calls with a prompt.
 	Model string
-	// Outdated gives what answering by a version of its weights costs, in
-	// milliseconds of waiting, and whether that version may answer.
+	// VersionCost returns the cost of an answer by a version of the weights, in milliseconds of
+	// waiting, and whether that version may answer.
 	VersionCost func(weights int) (cost float64, may bool)
-	// Load is the work that the call brings, as the policy weighs it; Choose sets its
-	// TokenCost, which the fleet learns.
+	// Load is the work of the call, as package placing weighs it. Choose sets its TokenCost, which
+	// the fleet learns.
 	Load placing.Query
-	// Work gives the prompt tokens that a runner would read itself, by the
-	// version of its weights; nil without a prompt.
+	// PrefillWork returns how many prompt tokens a runner with a version of the weights would have
+	// to compute itself; nil without a prompt.
 	PrefillWork func(weights int) int
-	// Fetch gives the zone that most of the prompt's parts are fetched from at a
-	// runner of a version, and how long that takes within it; nil without a prompt.
-	// It takes as long again from another zone.
+	// Fetch returns the zone from which a runner with a version of the weights would fetch most of
+	// the prompt's parts, and how long that takes within the zone; nil without a prompt. From
+	// another zone it takes twice as long.
 	Fetch func(weights int) (zone string, within time.Duration)
-	// Lag is how old the word of other boxes of this zone on their work is, LagElsewhere
-	// that of boxes in other zones, and Boxes the number of all boxes.
+	// Lag is the age of the load reports from other boxes of this zone, OtherZoneLag that of
+	// reports from other zones, and Boxes the number of all boxes.
 	Lag          time.Duration
 	OtherZoneLag time.Duration
 	Boxes        int
-	// Headroom reports whether a server's headroom belongs to this box; nil means that
-	// none does.
+	// OwnsHeadroom reports whether a server's headroom is assigned to this box; nil means that none
+	// is.
 	OwnsHeadroom func(incarnation string) bool
-	// ConnectionLimit bounds this box's calls at one server.
+	// ConnectionLimit bounds this box's concurrent calls to one server.
 	ConnectionLimit int
-	// In reports whether servers of a zone may be chosen; nil allows all.
+	// ZoneAllowed reports whether servers of a zone may be chosen; nil allows all.
 	ZoneAllowed func(zone string) bool
-	// SoundOnly leaves out servers that are suspected also when all are.
+	// HealthyOnly excludes suspect servers even if all are suspect.
 	HealthyOnly bool
-	// UncappedOnly leaves out servers whose calls this box counts, since they are cold or name a rate
-	// limit: the call is another box's, or is made beside another try.
+	// UncappedOnly excludes servers at which this box counts its calls because they are cold or set
+	// a rate limit. It is set if the call belongs to another box, or is made in parallel to another
+	// try.
 	UncappedOnly bool
 }
 
-// Choose places a call and counts it at its server. It gives nil when no server
-// may take it.
+// Choose places a call and counts it at its server. It returns nil if no server may take it.
 func (f *Fleet) Choose(query Query) *Hold {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,15 +64,15 @@
 	if state == nil {
 		return nil
 	}
-	f.arrivals.note(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
+	f.arrivals.add(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
 	return f.hold(state, candidate, query, now)
 }
 
-// ChooseUnless is Choose, but leaves a call alone if the server that it would take is of a kind, or
-// if too much work may have come there unseen: then it gives that server's zone, empty when there is
-// none. A call that looked
-// first and chose then would have all servers described to it twice.
-func (f *Fleet) ChooseUnless(query Query, leave func(best *placing.Candidate, unseen float64) bool) (hold *Hold, zone string) {
+// ChooseUnless is like Choose, but doesn't place the call if skip returns true for the best server
+// and the unreported work that may have reached it. It then returns that server's zone, which is
+// empty if there is no server. Calling Best first and Choose afterwards would describe all servers
+// twice.
+func (f *Fleet) ChooseUnless(query Query, skip func(best *placing.Candidate, unreportedWork float64) bool) (hold *Hold, zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
@@ -81,15 +80,15 @@
 	if state == nil {
 		return nil, ""
 	}
-	if leave(&candidate, query.Load.UnreportedWork) {
+	if skip(&candidate, query.Load.UnreportedWork) {
 		return nil, state.Zone
 	}
-	f.arrivals.note(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
+	f.arrivals.add(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
 	return f.hold(state, candidate, query, now), state.Zone
 }
 
-// Best describes the server that Choose would take, and gives its zone; false when there is
-// none.
+// Best describes the server that Choose would take, and returns its zone; found is false if there
+// is none.
 func (f *Fleet) Best(query Query) (best placing.Candidate, zone string, found bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,75 +99,75 @@
 	return best, state.Zone, true
 }
 
-// Take counts a call at a server that another box chose for it. It gives nil where this box
-// knows that the server may not take it.
+// PlaceAt counts a call at a server that another box chose for it. It returns nil if the server may
+// not take the call by this box's own view.
 func (f *Fleet) PlaceAt(query Query, incarnation string) *Hold {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
 	state := f.servers[incarnation]
-	if state == nil || state.Service != query.Service || !f.eligible(state, query, now) || state.suspect(now) {
+	if state == nil || state.Service != query.Service || !f.isEligible(state, query, now) || state.isSuspect(now) {
 		return nil
 	}
 	query.Load.TokenCost = f.tokenCost()
 	candidate := f.describe(state, query, now)
-	f.arrivals.note(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
+	f.arrivals.add(float64(candidate.PrefillTokens)*query.Load.TokenCost, now)
 	return f.hold(state, candidate, query, now)
 }
 
-// pick chooses a server, and gives the question with what the fleet adds to it. The caller
+// pick chooses a server, and returns the query with the values that the fleet adds. The caller
 // holds mu.
 func (f *Fleet) pick(query Query, now time.Time) (*State, placing.Candidate, Query) {
-	f.fade(now)
-	sound := f.sound(query, now)
+	f.decayFailures(now)
+	usable := f.usableServers(query, now)
 	query.Load.TokenCost = f.tokenCost()
-	candidates := make([]placing.Candidate, 0, len(sound))
-	kept := sound[:0]
-	for _, state := range sound {
+	candidates := make([]placing.Candidate, 0, len(usable))
+	admitted := usable[:0]
+	for _, state := range usable {
 		candidate := f.describe(state, query, now)
 		if placing.Admits(query.Load, &candidate) {
-			candidates, kept = append(candidates, candidate), append(kept, state)
+			candidates, admitted = append(candidates, candidate), append(admitted, state)
 		}
 	}
-	query.Load.UnreportedWork = f.arrivals.unseen(query, len(candidates), now)
+	query.Load.UnreportedWork = f.arrivals.unreportedWork(query, len(candidates), now)
 	query.Load.OtherZoneLag = float64(query.OtherZoneLag) / float64(time.Millisecond)
 	at := placing.Choose(query.Load, candidates)
 	if at < 0 {
 		return nil, placing.Candidate{}, query
 	}
-	return kept[at], candidates[at], query
+	return admitted[at], candidates[at], query
 }
 
-// sound lists the servers that are there for a call, however busy they are. The caller
+// usableServers returns the servers that may take a call, regardless of their load. The caller
 // holds mu.
-func (f *Fleet) sound(query Query, now time.Time) []*State {
-	var sound, suspect []*State
+func (f *Fleet) usableServers(query Query, now time.Time) []*State {
+	var healthy, suspect []*State
 	for _, state := range f.byService[query.Service] {
 		switch {
-		case !f.eligible(state, query, now):
-		case state.suspect(now) && f.cfg.Mechanisms.Enabled(mechanism.Suspicion):
+		case !f.isEligible(state, query, now):
+		case state.isSuspect(now) && f.cfg.Mechanisms.Enabled(mechanism.Suspicion):
 			suspect = append(suspect, state)
 		default:
-			sound = append(sound, state)
+			healthy = append(healthy, state)
 		}
 	}
-	if len(sound) == 0 && !query.HealthyOnly {
-		// When all look bad the cause may be load, or this box's own link.
+	if len(healthy) == 0 && !query.HealthyOnly {
+		// If all are suspect, the cause may be high load or this box's own network link.
 		return suspect
 	}
-	return sound
+	return healthy
 }
 
-// eligible reports whether a server may take a call by what is known of it, suspicion
-// aside. The caller holds mu.
-func (f *Fleet) eligible(state *State, query Query, now time.Time) bool {
-	if state.isDraining() || state.advised.PausedFor(now) > 0 || !f.present(state, now) || now.Before(state.pausedUntil) || now.Before(state.orderedUntil) || now.Before(state.replacedUntil) {
+// isEligible reports whether a server may take a call, regardless of whether it is suspect. The
+// caller holds mu.
+func (f *Fleet) isEligible(state *State, query Query, now time.Time) bool {
+	if state.isDraining() || state.statements.PausedFor(now) > 0 || !f.isPresent(state, now) || now.Before(state.pausedUntil) || now.Before(state.weightOrderUntil) || now.Before(state.replacedUntil) {
 		return false
 	}
 	if f.evacuated.IsEvacuated(state.Zone) || query.ZoneAllowed != nil && !query.ZoneAllowed(state.Zone) {
 		return false
 	}
-	if f.isSpared(state, now) || !state.advised.HasRoom(now, f.position(state, now)) || query.UncappedOnly && f.isCapped(state, now) {
+	if f.isColdExcluded(state, now) || !state.statements.HasRoom(now, f.limitPosition(state, now)) || query.UncappedOnly && f.isCapped(state, now) {
 		return false
 	}
 	if query.ConnectionLimit > 0 && state.inFlight >= query.ConnectionLimit {
@@ -183,19 +182,19 @@
 	return !slices.Contains(query.Exclude, state.Incarnation)
 }
 
-// describe gives what placing needs to know of a server for a call: the work of all boxes
-// there, and what the call itself would bring. The caller holds mu.
+// describe returns the input of package placing for a server and a call: the work of all boxes
+// there, and the work of the call itself. The caller holds mu.
 func (f *Fleet) describe(state *State, query Query, now time.Time) placing.Candidate {
-	others := f.othersAt(state.Incarnation)
+	others := f.remoteWork(state.Incarnation)
 	candidate := placing.Candidate{
 		Name: state.Incarnation, InFlight: state.inFlight + others.inFlight, Slots: state.Slots,
-		PendingTokens: state.pendingTokens + others.pendingTokens, HeldTokens: f.heldAt(state),
+		PendingTokens: state.pendingTokens + others.pendingTokens, HeldTokens: f.totalHeldTokens(state),
 		Headroom:  query.OwnsHeadroom != nil && query.OwnsHeadroom(state.Incarnation),
-		OtherZone: state.Zone != query.Zone, FailureRate: state.failing, Cold: f.isCold(state, now),
+		OtherZone: state.Zone != query.Zone, FailureRate: state.failureRate, Cold: f.isCold(state, now),
 		Exclusive: f.isCapped(state, now),
 	}
 	if f.cfg.Mechanisms.Enabled(mechanism.ReadRates) {
-		candidate.TokenCost = state.readCost
+		candidate.TokenCost = state.prefillCost
 	}
 	if query.Model != "" {
 		weights := state.weights(query.Model)
--- a/internal/fleet/choose_test.go
+++ b/internal/fleet/choose_test.go
@@ -10,7 +10,7 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// prompt asks for a runner that holds at least the oldest version.
+// prompt returns a query for a runner that holds at least the oldest version.
 func prompt(oldest, tokens int, limit time.Duration) fleet.Query {
 	return fleet.Query{
 		Service: "runners", Zone: "a", Model: "m", Load: placing.Query{PrefillLimit: float64(limit.Milliseconds())},
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestOnlyWeightsThatMayAnswerAreChosen(t *testing.T) {
+func TestChooseRequiresAllowedWeights(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("s")
 	g.Expect(f.Choose(prompt(2, 10, 0))).To(BeNil())
@@ -30,15 +30,15 @@
 	g.Expect(hold).NotTo(BeNil())
 	g.Expect(hold.Weights()).To(Equal(2))
 	f.NoteWeights("s", "m", 1)
-	g.Expect(f.Choose(prompt(2, 10, 0))).NotTo(BeNil(), "a version only rises")
+	g.Expect(f.Choose(prompt(2, 10, 0))).NotTo(BeNil(), "a version never goes back")
 }
 
-// A runner takes one prompt of any length, and more only as far as they are read
-// soon; what other boxes have there counts too.
-func TestPromptsWaitAtRunnersOnlySoLong(t *testing.T) {
+// A runner accepts one prompt of any length, and further ones only as far as their prefill is done
+// soon. The prompts of other boxes count too.
+func TestPrefillLimitBoundsPendingPrompts(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("s")
-	limit := 100 * time.Millisecond // 6,000 tokens at the rate first assumed
+	limit := 100 * time.Millisecond // 6,000 tokens at the initial rate
 	first := f.Choose(prompt(1, 50_000, limit))
 	g.Expect(first).NotTo(BeNil())
 	g.Expect(f.Choose(prompt(1, 100, limit))).To(BeNil())
@@ -54,14 +54,14 @@
 	g.Expect(f.Choose(prompt(1, 2000, limit))).NotTo(BeNil())
 }
 
-// A long prompt does not drive others out of a runner's memory, whoever sent them.
-func TestALongPromptGoesOnlyWhereItFits(t *testing.T) {
+// A long prompt must not evict other prompts from a runner's memory, whichever box they came from.
+func TestLongPromptNeedsFreeMemory(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("s")
 	long := prompt(1, 0, 0)
-	long.Load.Tokens, long.Load.Memory = 100_000, 80_000 // known calls may take 60,000
+	long.Load.Tokens, long.Load.Memory = 100_000, 80_000 // known calls may use 60,000
 	alone := f.Choose(long)
-	g.Expect(alone).NotTo(BeNil(), "alone it may try")
+	g.Expect(alone).NotTo(BeNil(), "any size is accepted at an empty runner")
 	long.Load.Tokens = 1000
 	g.Expect(f.Choose(long)).To(BeNil())
 	alone.Done(fleet.OutcomeServed)
@@ -73,43 +73,43 @@
 	first.Done(fleet.OutcomeServed)
 	second.Done(fleet.OutcomeServed)
 	f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, HeldTokens: 46_000}})
-	g.Expect(f.Choose(long)).To(BeNil(), "known calls take too much already")
+	g.Expect(f.Choose(long)).To(BeNil(), "known calls use too much memory already")
 	f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, HeldTokens: 30_000}})
 	long.Load.Tokens = 51_000
-	g.Expect(f.Choose(long)).To(BeNil(), "it does not fit at all")
+	g.Expect(f.Choose(long)).To(BeNil(), "it exceeds the free memory")
 	short := prompt(1, 0, 0)
 	short.Load.Tokens = 300
-	g.Expect(f.Choose(short)).NotTo(BeNil(), "short ones have no bound")
+	g.Expect(f.Choose(short)).NotTo(BeNil(), "short prompts have no memory limit")
 }
 
-// Under load the largest prompts must not be the ones that find no room: where one of
-// usual size goes, a large one goes too, as long as it fits.
-func TestLargePromptsFindRoomWhereUsualOnesDo(t *testing.T) {
+// Under load, the largest prompts must not be the only ones without capacity: where one of usual
+// size is placed, a large one is placed too, as long as it fits.
+func TestLargePromptsFitWhereUsualOnesDo(t *testing.T) {
 	g := NewWithT(t)
-	limit := time.Second // 60,000 tokens at the rate first assumed
+	limit := time.Second // 60,000 tokens at the initial rate
 	for _, tokens := range []int{30_000, 45_000} {
 		f := newFleet("s")
 		f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 30_000, HeldTokens: 30_000}})
 		query := prompt(1, tokens, limit)
-		query.Load.Tokens, query.Load.Memory = tokens, 100_000 // known calls may take 75,000
+		query.Load.Tokens, query.Load.Memory = tokens, 100_000 // known calls may use 75,000
 		g.Expect(f.Choose(query)).NotTo(BeNil(), "%d tokens", tokens)
 	}
 }
 
-// Where all boxes have left a runner its headroom, only the owner fills it.
-func TestTheHeadroomOfARunnerIsForItsOwner(t *testing.T) {
+// All boxes leave a runner's headroom free, except the one that it is assigned to.
+func TestHeadroomIsForAssignedBox(t *testing.T) {
 	cases := []struct {
 		name string
-		// owned names the server whose headroom belongs to this box.
+		// owned is the server whose headroom is assigned to this box.
 		owned  string
 		others int
 		want   bool
 	}{
-		{name: "room for all", others: 40_000, want: true},
-		{name: "headroom of another", others: 62_000},
+		{name: "memory for all boxes", others: 40_000, want: true},
+		{name: "headroom of another box", others: 62_000},
 		{name: "own headroom", owned: "s", others: 62_000, want: true},
-		{name: "headroom elsewhere", owned: "t", others: 62_000},
-		{name: "own headroom is full too", owned: "s", others: 80_000},
+		{name: "headroom of another runner", owned: "t", others: 62_000},
+		{name: "own headroom is full", owned: "s", others: 80_000},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -9,17 +9,17 @@
 	"github.com/cometlock/cometlock/internal/coldstart"
 )
 
-// Owners place most prompts, and grant no places at cold servers whose calls are bounded, since one
-// box alone counts those. A platform that names no bound has cold servers too: left out as well, they
-// would have served no prompt until they were warm.
-func TestOwnersGrantPlacesAtColdServersUnlessTheirCallsAreBounded(t *testing.T) {
+// Owners place most prompts, but grant no places at cold servers with a limit, since a single box
+// counts the calls there. Cold servers of a platform without a limit must be granted: when they
+// were excluded too, they got no prompts until they were warm.
+func TestGrantExcludesOnlyBoundedColdServers(t *testing.T) {
 	tests := []struct {
 		name    string
 		limit   coldstart.Limit
 		granted bool
 	}{
-		{"no bound", coldstart.Limit{ColdTime: time.Second}, true},
-		{"a bound", coldstart.Limit{ColdTime: time.Second, PerSecond: 14, Overage: 1}, false},
+		{"no limit", coldstart.Limit{ColdTime: time.Second}, true},
+		{"a limit", coldstart.Limit{ColdTime: time.Second, PerSecond: 14, Overage: 1}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -32,9 +32,9 @@
 			granted := f.Grant(grantQuery())
 			g.Expect(granted != nil).To(Equal(test.granted))
 			if granted != nil {
-				granted.Release() // the runner's memory takes one prompt
+				granted.Release() // the runner's memory fits one prompt
 			}
-			g.Expect(f.Choose(grantQuery())).NotTo(BeNil(), "the box that calls it")
+			g.Expect(f.Choose(grantQuery())).NotTo(BeNil(), "the box that may call the cold server")
 		})
 	}
 }
--- a/internal/fleet/lines_test.go
+++ b/internal/fleet/discovery_test.go
@@ -9,15 +9,15 @@
 	"github.com/rs/zerolog"
 )
 
-// 62 boxes that were all killed and started again before 668 servers wrote 41,292 lines within
-// a second, one for each server that each of them found.
-func TestManyServersThatAreFoundAtOnceAreOneLine(t *testing.T) {
+// 62 boxes that were all killed and restarted with 668 servers wrote 41,292 log lines within a
+// second, one for each server that each of them discovered.
+func TestManyDiscoveredServersAreOneLogLine(t *testing.T) {
 	tests := []struct {
 		servers, lines int
-		says           string
+		contains       string
 	}{
-		{mostLines, mostLines, `"server_known"`},
-		{mostLines + 1, 1, `"count":21,"offset":21,"message":"servers_known"`},
+		{maxDiscoveryLogs, maxDiscoveryLogs, `"server_known"`},
+		{maxDiscoveryLogs + 1, 1, `"count":21,"offset":21,"message":"servers_known"`},
 	}
 	for _, test := range tests {
 		g := NewWithT(t)
@@ -30,6 +30,6 @@
 		}
 		f.Replace(updates)
 		g.Expect(bytes.Count(logged.Bytes(), []byte("\n"))).To(Equal(test.lines))
-		g.Expect(logged.String()).To(ContainSubstring(test.says))
+		g.Expect(logged.String()).To(ContainSubstring(test.contains))
 	}
 }
--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuation.go
@@ -1,4 +1,4 @@
-// Evacuated zones: their servers get no calls, by whatever way a call is placed.
+// Evacuated zones: their servers get no calls, whichever way a call is placed.
 
 package fleet
 
@@ -7,9 +7,9 @@
 	"github.com/cometlock/cometlock/internal/evacuation"
 )
 
-// Evacuate takes over a record of the operators on a zone.
+// ApplyEvacuation processes an operator's record about a zone.
 func (f *Fleet) ApplyEvacuation(change evacuation.Change) {
-	defer f.freed.Send() // waiting calls are placed anew, or end
+	defer f.capacityChanged.Send() // waiting calls are placed elsewhere or end
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.evacuated.Apply(change, boottime.Now()) {
@@ -22,7 +22,7 @@
 	f.cfg.Logger.Info().Str("evacuated", change.Zone).Int64("offset", change.Offset).Int("calls", f.callsIn(change.Zone)).Msg(event)
 }
 
-// callsIn counts the calls of this box that run in a zone. The caller holds mu.
+// callsIn counts this box's calls in flight in a zone. The caller holds mu.
 func (f *Fleet) callsIn(zone string) int {
 	calls := 0
 	for _, state := range f.servers {
@@ -33,7 +33,7 @@
 	return calls
 }
 
-// Evacuated lists the evacuated zones.
+// EvacuatedZones returns the evacuated zones.
 func (f *Fleet) EvacuatedZones() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet holds what an entry box believes of the backend servers.
+// Package fleet maintains an entry box's view of the backend servers.
 //
-// The registry in the platform's log says which servers there are; what the box
-// sees itself (refused connections, refusals, failures) only ever takes a server
-// out for a while. A server's record is taken over only when its offset is later
-// than the one known, so that no belief goes back while the process lives.
+// The registry in the platform's log defines which servers exist. What the box observes itself
+// (refused connections, rejected calls, failures) only excludes a server for a limited time. A
+// server's record is applied only if its offset is higher than that of the last one applied, so the
+// view of a server never goes back to an older record while the process runs.
 package fleet
 
 import (
@@ -23,157 +23,155 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Config sets up a Fleet.
+// Config configures a Fleet.
 type Config struct {
 	Logger zerolog.Logger
-	// Off holds mechanisms that are switched off.
+	// Mechanisms records which mechanisms are switched off.
 	Mechanisms mechanism.Switches
-	// Returning is how long after the registry's return a server that it dropped
-	// meanwhile is still believed in: most living servers are back within it.
+	// ReregisterGrace is how long after the registry's recovery a server that was delisted during
+	// the outage may still get calls. Most running servers register again within it.
 	ReregisterGrace time.Duration
-	// Heartbeat is how often servers write their entries.
+	// Heartbeat is the interval at which servers write their entries.
 	Heartbeat time.Duration
-	// CallsCold reports whether it is this box that calls a cold server of a zone; nil stands for
-	// a box alone.
+	// OwnsColdServer reports whether this box is the one that calls a cold server of a zone; nil
+	// means that there is no other box.
 	OwnsColdServer func(zone, incarnation string) bool
-	// LimitPosition says where this box stands among those that share the rate limit of a server of a
-	// zone; nil stands for a box alone.
+	// LimitPosition returns this box's position among the boxes that share a server's rate limit;
+	// nil means that there is no other box.
 	LimitPosition func(zone, incarnation string) advisory.Position
 }
 
 const (
-	// DefaultReturning is below the two seconds after which nothing new may reach a server
-	// whose going was read, by the time that a call takes to reach it. Living servers enter
-	// themselves again within about as long.
+	// DefaultReregisterGrace is shorter, by the time that a call takes to reach a server, than the
+	// two seconds after which a server that was read as delisted may get no new calls. Running
+	// servers register again within about this time.
 	DefaultReregisterGrace = 1800 * time.Millisecond
-	// DefaultHeartbeat is that of servers whose platform does not say.
+	// DefaultHeartbeat applies to servers whose platform doesn't specify one.
 	DefaultHeartbeat = 1200 * time.Millisecond
 )
 
-// returningAtMost is the same from the last question without an answer on, before which the
-// registry was not back. Three seconds after its return its word counts for all boxes, and a
-// box may notice the return 1.6 s late.
-const returningAtMost = 2600 * time.Millisecond
+// maxReregisterGrace bounds the same period, counted from the last failed read, before which the
+// registry can't have recovered. All boxes must follow the registry from three seconds after its
+// recovery, and a box may notice the recovery 1.6 s late.
+const maxReregisterGrace = 2600 * time.Millisecond
 
-// lapseHeartbeats is the least absence of the registry, in heartbeats, in which entries of
-// living servers lapse: three without a write, the first of which may have come just before
-// the registry went away.
-const lapseHeartbeats = 2
+// minLapseHeartbeats is the length of the shortest registry outage, in heartbeats, in which entries
+// of running servers lapse. An entry lapses after three heartbeats without a write, the first of
+// which may have been just before the outage.
+const minLapseHeartbeats = 2
 
 // Fleet is the set of known backend servers.
 type Fleet struct {
 	cfg Config
 
 	mu sync.Mutex
-	// servers are all lives that are known, by incarnation, and lives the present one of each
-	// server, by its key.
-	servers   map[string]*State
-	lives     map[string]string
-	byService map[string][]*State
-	// remote is what each other box last told, remoteTotals its sum by server.
-	remote       map[string][]Load
+	// servers has all known incarnations, and currentIncarnation the latest one of each server, by
+	// its key.
+	servers            map[string]*State
+	currentIncarnation map[string]string
+	byService          map[string][]*State
+	// remoteLoads is the last load report of each other box, and remoteTotals their sum by server.
+	remoteLoads  map[string][]Load
 	remoteTotals map[string]workTotal
-	// granted is the work of calls of other boxes that were granted places, by server.
+	// granted is the work of other boxes' calls that this box granted places for, by server.
 	granted map[string]workTotal
-	// lostAt is since when the registry cannot be read; zero while it can be.
-	lostAt time.Time
-	// askedInVain is when the last question without an answer was put.
-	askedInVain time.Time
-	// returnsUntil is until when servers may come back whose entries lapsed while the
-	// registry was away.
-	returnsUntil time.Time
-	fadedAt      time.Time
-	// found are servers that were not known before, which have no line in the log yet.
-	found []Update
-	// arrivals is what this box places.
+	// registryFailedAt is the time since which the registry can't be read; zero while it can be.
+	registryFailedAt time.Time
+	// lastFailedRead is when the last failed read was sent.
+	lastFailedRead time.Time
+	// reregisterUntil is the time until which servers whose entries lapsed during the outage may
+	// register again.
+	reregisterUntil time.Time
+	decayedAt       time.Time
+	// discovered are servers that weren't known before and haven't been logged yet.
+	discovered []Update
+	// arrivals is the recent rate of calls that this box places.
 	arrivals arrivals
-	// freed wakes those who wait for room.
-	freed waiting.Signal
-	// changed wakes those who tell other boxes of this one's work.
-	changed waiting.Signal
-	// readRate is how many prompt tokens a runner reads in a millisecond, as
-	// learnt.
-	readRate float64
-	// firstEvent is the time to the first event of a short prompt, as learnt, and readings are
-	// what was seen of runners and not reported yet.
-	firstEvent time.Duration
-	readings   []PrefillSample
-	// evacuated holds the zones whose servers get no calls.
+	// capacityChanged wakes the callers that wait for capacity.
+	capacityChanged waiting.Signal
+	// loadsChanged wakes the goroutines that report this box's load to other boxes.
+	loadsChanged waiting.Signal
+	// prefillRate is the learned prefill rate of runners, in tokens per millisecond.
+	prefillRate float64
+	// firstEventDelay is the learned time to the first event of a short prompt, and prefillSamples
+	// are the samples that haven't been reported to owners yet.
+	firstEventDelay time.Duration
+	prefillSamples  []PrefillSample
+	// evacuated has the zones whose servers get no calls.
 	evacuated evacuation.Zones
-	// coldLimits bounds the calls to cold servers, by service.
+	// coldLimits has the limits for calls to cold servers, by service.
 	coldLimits map[string]coldstart.Limit
 }
 
-// New makes a fleet without servers.
+// New returns a fleet without servers.
 func New(cfg Config) *Fleet {
 	cfg.ReregisterGrace = cmp.Or(cfg.ReregisterGrace, DefaultReregisterGrace)
 	cfg.Heartbeat = cmp.Or(cfg.Heartbeat, DefaultHeartbeat)
 	return &Fleet{
-		cfg: cfg, servers: map[string]*State{}, lives: map[string]string{}, byService: map[string][]*State{},
-		remote: map[string][]Load{}, remoteTotals: map[string]workTotal{}, granted: map[string]workTotal{}, readRate: firstReadRate, firstEvent: firstEventTime,
+		cfg: cfg, servers: map[string]*State{}, currentIncarnation: map[string]string{}, byService: map[string][]*State{},
+		remoteLoads: map[string][]Load{}, remoteTotals: map[string]workTotal{}, granted: map[string]workTotal{}, prefillRate: initialPrefillRate, firstEventDelay: initialFirstEventDelay,
 	}
 }
 
-// Update is one word of the registry: a server as it is now, or that it is gone.
+// Update is a change in the registry: the current entry of a server, or its removal.
 type Update struct {
-	// Key is what the registry names the server by, in all of its lives.
+	// Key is the server's key in the registry, the same for all of its incarnations.
 	Key    string
 	Offset int64
-	// Server is nil when the server is gone, or when what stands there names none, as Unclear
-	// says: then it has not lapsed, and is not to be used until it says of itself again.
+	// Server is nil if the server was delisted, or if its record is invalid. An entry with an
+	// invalid record hasn't lapsed, so the server gets no calls until it writes a valid one.
 	Server  *Server
 	Invalid bool
 }
 
-// Apply takes over words of the registry in their order.
+// Apply processes updates of the registry in order.
 func (f *Fleet) Apply(updates []Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, update := range updates {
 		f.apply(update)
 	}
-	f.tellKnown()
+	f.logDiscovered()
 	f.regroup()
 }
 
-// Replace takes over a whole reading of the registry: servers that it does not
-// name are gone.
+// Replace processes a complete read of the registry: servers that it doesn't list are delisted.
 func (f *Fleet) Replace(updates []Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, update := range updates {
-		named[update.Key] = true
+		listed[update.Key] = true
 		f.apply(update)
 	}
-	f.tellKnown()
-	for key, incarnation := range f.lives {
-		if state := f.servers[incarnation]; state != nil && !named[key] {
-			f.drop(state)
+	f.logDiscovered()
+	for key, incarnation := range f.currentIncarnation {
+		if state := f.servers[incarnation]; state != nil && !listed[key] {
+			f.delist(state)
 		}
 	}
 	f.regroup()
 }
 
 func (f *Fleet) apply(update Update) {
-	state := f.servers[f.lives[update.Key]]
+	state := f.servers[f.currentIncarnation[update.Key]]
 	if state != nil && update.Offset < state.offset {
 		return
 	}
 	if update.Server == nil {
-		f.dropBy(state, update)
+		f.applyRemoval(state, update)
 		return
 	}
 	if state != nil && state.Incarnation != update.Server.Incarnation {
-		f.endLife(state, update)
+		f.endIncarnation(state, update)
 		state = nil
 	}
-	f.lives[update.Key] = update.Server.Incarnation
+	f.currentIncarnation[update.Key] = update.Server.Incarnation
 	if state == nil {
 		state = &State{}
 		f.servers[update.Server.Incarnation] = state
-		f.found = append(f.found, update)
-	} else if !state.gone.IsZero() {
+		f.discovered = append(f.discovered, update)
+	} else if !state.delistedAt.IsZero() {
 		f.log("server_back", update.Server, update.Offset)
 	} else if state.Leaving != update.Server.Leaving {
 		f.log("server_leaving", update.Server, update.Offset)
@@ -183,53 +181,55 @@
 		state.replacedUntil = time.Time{}
 	}
 	if state.Leaving && !update.Server.Leaving {
-		state.advised.NoteReady(boottime.Now())
+		state.statements.NoteReady(boottime.Now())
 	}
-	state.Server, state.offset, state.gone = *update.Server, update.Offset, time.Time{}
+	state.Server, state.offset, state.delistedAt = *update.Server, update.Offset, time.Time{}
 }
 
-// dropBy drops a server by a record that names none.
-func (f *Fleet) dropBy(state *State, update Update) {
+// applyRemoval delists a server whose record was removed or is invalid.
+func (f *Fleet) applyRemoval(state *State, update Update) {
 	if state == nil {
 		return
 	}
 	state.offset = update.Offset
-	f.drop(state)
+	f.delist(state)
 	if update.Invalid {
-		state.believedUntil = time.Time{}
+		state.usableUntil = time.Time{}
 	}
 }
 
-// endLife ends a life of a server that has started again. What was seen of it, what it held
-// and the work there are of that life; calls under way end by their connections.
-func (f *Fleet) endLife(state *State, update Update) {
+// endIncarnation delists the previous incarnation of a server that has restarted. Its work, its
+// weights and the observations about it don't apply to the new one; calls in flight end with their
+// connections.
+func (f *Fleet) endIncarnation(state *State, update Update) {
 	state.offset = update.Offset
-	f.drop(state)
-	state.believedUntil = time.Time{}
+	f.delist(state)
+	state.usableUntil = time.Time{}
 	f.log("server_restarted", update.Server, update.Offset)
 }
 
-func (f *Fleet) drop(state *State) {
-	if state.gone.IsZero() {
-		state.gone = boottime.Now()
-		state.believedUntil = f.mayHaveLapsedUntil(state.gone)
+func (f *Fleet) delist(state *State) {
+	if state.delistedAt.IsZero() {
+		state.delistedAt = boottime.Now()
+		state.usableUntil = f.lapseGraceEnd(state.delistedAt)
 		f.log("server_gone", &state.Server, state.offset)
 	}
 }
 
-// mostLines bounds the lines on servers that one reading finds: a box that starts finds all of
-// them. 62 boxes that started at once before 668 servers wrote 41,000 lines within a second.
-const mostLines = 20
-
-// tellKnown writes down the servers that were not known before. The caller holds mu.
-func (f *Fleet) tellKnown() {
-	found := f.found
-	f.found = nil
-	if len(found) > mostLines {
-		f.cfg.Logger.Info().Int("count", len(found)).Int64("offset", found[len(found)-1].Offset).Msg("servers_known")
+// maxDiscoveryLogs is the largest number of discovered servers of one read that are logged one by
+// one, since a box that starts discovers all of them. 62 boxes that started at once with 668
+// servers wrote 41,000 log lines within a second.
+const maxDiscoveryLogs = 20
+
+// logDiscovered logs the servers that weren't known before. The caller holds mu.
+func (f *Fleet) logDiscovered() {
+	discovered := f.discovered
+	f.discovered = nil
+	if len(discovered) > maxDiscoveryLogs {
+		f.cfg.Logger.Info().Int("count", len(discovered)).Int64("offset", discovered[len(discovered)-1].Offset).Msg("servers_known")
 		return
 	}
-	for _, update := range found {
+	for _, update := range discovered {
 		f.log("server_known", update.Server, update.Offset)
 	}
 }
@@ -239,105 +239,106 @@
 		Str("zone", server.Zone).Bool("leaving", server.Leaving).Int64("offset", offset).Msg(event)
 }
 
-// RegistryLost notes that a question to the registry had no answer.
-func (f *Fleet) NoteRegistryFailure(asked time.Time) {
+// NoteRegistryFailure records a failed read of the registry.
+func (f *Fleet) NoteRegistryFailure(sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.askedInVain = asked
-	if f.lostAt.IsZero() {
-		f.lostAt = boottime.Now()
+	f.lastFailedRead = sent
+	if f.registryFailedAt.IsZero() {
+		f.registryFailedAt = boottime.Now()
 	}
 }
 
-// RegistryBack notes that the registry is read again: if it was away for long, the servers
-// that still live enter it anew.
+// NoteRegistryRecovery records that the registry can be read again. After a long outage, the
+// servers that are still running register again.
 func (f *Fleet) NoteRegistryRecovery() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now := boottime.Now(); f.longLost(now) {
-		f.returnsUntil = f.returnsFrom(now)
+	if now := boottime.Now(); f.entriesMayHaveLapsed(now) {
+		f.reregisterUntil = f.reregisterDeadline(now)
 	}
-	f.lostAt = time.Time{}
+	f.registryFailedAt = time.Time{}
 }
 
-// longLost reports whether the registry has been away for so long that entries of living
-// servers lapse.
-func (f *Fleet) longLost(now time.Time) bool {
-	return !f.lostAt.IsZero() && now.Sub(f.lostAt) >= lapseHeartbeats*f.cfg.Heartbeat
+// entriesMayHaveLapsed reports whether the outage of the registry has been so long that entries of
+// running servers lapse.
+func (f *Fleet) entriesMayHaveLapsed(now time.Time) bool {
+	return !f.registryFailedAt.IsZero() && now.Sub(f.registryFailedAt) >= minLapseHeartbeats*f.cfg.Heartbeat
 }
 
-// returnsFrom gives until when living servers come back if the registry is back now.
-func (f *Fleet) returnsFrom(now time.Time) time.Time {
-	return slices.MinFunc([]time.Time{now.Add(f.cfg.ReregisterGrace), f.askedInVain.Add(returningAtMost)}, time.Time.Compare)
+// reregisterDeadline returns the time by which running servers have registered again if the
+// registry recovers now.
+func (f *Fleet) reregisterDeadline(now time.Time) time.Time {
+	return slices.MinFunc([]time.Time{now.Add(f.cfg.ReregisterGrace), f.lastFailedRead.Add(maxReregisterGrace)}, time.Time.Compare)
 }
 
-// mayHaveLapsedUntil gives until when a server that is found gone now is still believed in.
-// Only the entries of those that are found gone with the registry's return may have lapsed.
-// When every server that was gone counted as perhaps lapsed, one read that failed brought
-// calls to servers that had left long before, 11.9 s in one case.
-func (f *Fleet) mayHaveLapsedUntil(now time.Time) time.Time {
-	if f.longLost(now) {
-		return f.returnsFrom(now) // another box could read
+// lapseGraceEnd returns the time until which a server that is delisted now may still get calls.
+// Only entries that are missing when the registry recovers may have lapsed. When this applied to
+// every delisted server, a single failed read sent calls to servers that had left long before, 11.9
+// s in one case.
+func (f *Fleet) lapseGraceEnd(now time.Time) time.Time {
+	if f.entriesMayHaveLapsed(now) {
+		return f.reregisterDeadline(now) // another box was able to read it
 	}
-	return f.returnsUntil
+	return f.reregisterUntil
 }
 
-// forgetAfter is how long a server that is gone is remembered, so that a late
-// record does not bring it back as a new one.
+// forgetAfter is how long a delisted server is remembered, so that a late record doesn't add it
+// again as a new server.
 const forgetAfter = time.Minute
 
-// regroup forgets servers that are long gone and groups the others.
+// regroup removes servers that were delisted long ago and groups the others by service.
 func (f *Fleet) regroup() {
 	now := boottime.Now()
 	clear(f.byService)
 	for incarnation, state := range f.servers {
-		if !state.gone.IsZero() && now.Sub(state.gone) > forgetAfter {
+		if !state.delistedAt.IsZero() && now.Sub(state.delistedAt) > forgetAfter {
 			delete(f.servers, incarnation)
 			continue
 		}
 		f.byService[state.Service] = append(f.byService[state.Service], state)
 	}
-	maps.DeleteFunc(f.lives, func(_, incarnation string) bool { return f.servers[incarnation] == nil })
+	maps.DeleteFunc(f.currentIncarnation, func(_, incarnation string) bool { return f.servers[incarnation] == nil })
 }
 
-// present reports whether the box still believes in a server: it is listed, or it
-// lapsed while the registry was away and may be back at any moment.
-func (f *Fleet) present(state *State, now time.Time) bool {
-	return state.gone.IsZero() || now.Before(state.believedUntil)
+// isPresent reports whether a server may still be running: it is listed, or its entry lapsed during
+// an outage of the registry and may be written again at any moment.
+func (f *Fleet) isPresent(state *State, now time.Time) bool {
+	return state.delistedAt.IsZero() || now.Before(state.usableUntil)
 }
 
-// Known counts the servers that are listed.
+// CountListed counts the listed servers.
 func (f *Fleet) CountListed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
 	for _, state := range f.servers {
-		if state.gone.IsZero() {
+		if state.delistedAt.IsZero() {
 			count++
 		}
 	}
 	return count
 }
 
-// Freed gives a channel that is closed when a call ends at a server, or another box tells
-// of its work.
-func (f *Fleet) CapacityChanged() <-chan struct{} { return f.freed.Wait() }
+// CapacityChanged returns a channel that is closed when a call ends at a server, a grant is
+// released, another box reports its load, or an operator evacuates a zone or returns it to service.
+func (f *Fleet) CapacityChanged() <-chan struct{} { return f.capacityChanged.Wait() }
 
-// Changed gives a channel that is closed when this box places a call at a server or ends one
-// there.
-func (f *Fleet) LoadsChanged() <-chan struct{} { return f.changed.Wait() }
+// LoadsChanged returns a channel that is closed when this box places a call at a server, a call
+// ends there, or an answer changes a server's statements.
+func (f *Fleet) LoadsChanged() <-chan struct{} { return f.loadsChanged.Wait() }
 
-// fadeEvery is the time between two rounds of fading.
-const fadeEvery = 500 * time.Millisecond
+// decayInterval is the minimum time between two decays of the failure rates.
+const decayInterval = 500 * time.Millisecond
 
-// fade lets old failures count less. The caller holds mu.
-func (f *Fleet) fade(now time.Time) {
-	passed := now.Sub(f.fadedAt)
-	if passed < fadeEvery {
+// decayFailures decays the failure rates by the time since the last decay. The caller holds mu.
+func (f *Fleet) decayFailures(now time.Time) {
+	elapsed := now.Sub(f.decayedAt)
+	if elapsed < decayInterval {
 		return
 	}
-	f.fadedAt = now
+	f.decayedAt = now
 	for _, state := range f.servers {
-		state.fade(min(passed, failingHalfLife))
+		state.decayFailures(min(elapsed, failureHalfLife))
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 	return f
 }
 
-// choose places a call and gives the name of its server, or nothing.
+// choose places a call and returns its server's name, empty if there is none.
 func choose(f *fleet.Fleet, exclude ...string) (string, *fleet.Hold) {
 	hold := f.Choose(fleet.Query{Service: "runners", Zone: "a", Exclude: exclude})
 	if hold == nil {
@@ -32,7 +32,7 @@
 	return hold.Server().Incarnation, hold
 }
 
-func TestBeliefsGoForwardOnly(t *testing.T) {
+func TestOutdatedRecordsAreIgnored(t *testing.T) {
 	leaving := server("s")
 	leaving.Leaving = true
 	tests := []struct {
@@ -42,17 +42,17 @@
 	}{
 		{"known", []fleet.Update{{Key: "s", Offset: 1, Server: server("s")}}, true},
 		{"leaving", []fleet.Update{{Key: "s", Offset: 1, Server: server("s")}, {Key: "s", Offset: 2, Server: leaving}}, false},
-		{"a stale record after leaving", []fleet.Update{
+		{"an outdated record after leaving", []fleet.Update{
 			{Key: "s", Offset: 1, Server: server("s")}, {Key: "s", Offset: 3, Server: leaving}, {Key: "s", Offset: 2, Server: server("s")},
 		}, false},
 		{"gone", []fleet.Update{{Key: "s", Offset: 1, Server: server("s")}, {Key: "s", Offset: 2}}, false},
-		{"a stale record after going", []fleet.Update{
+		{"an outdated record after the removal", []fleet.Update{
 			{Key: "s", Offset: 1, Server: server("s")}, {Key: "s", Offset: 3}, {Key: "s", Offset: 2, Server: server("s")},
 		}, false},
 		{"back", []fleet.Update{
 			{Key: "s", Offset: 1, Server: server("s")}, {Key: "s", Offset: 2}, {Key: "s", Offset: 3, Server: server("s")},
 		}, true},
-		{"gone and never known", []fleet.Update{{Key: "s", Offset: 2}}, false},
+		{"removed without having been listed", []fleet.Update{{Key: "s", Offset: 2}}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAWholeReadingDropsWhatItDoesNotName(t *testing.T) {
+func TestReplaceDelistsMissingServers(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("old", "stays")
 	f.Replace([]fleet.Update{{Key: "stays", Offset: 2, Server: server("stays")}, {Key: "new", Offset: 7, Server: server("new")}})
@@ -78,9 +78,9 @@
 	}
 }
 
-// While the registry is away entries lapse though their servers live. Servers that
-// are not back soon after its return are gone.
-func TestEntriesThatLapseWhileTheRegistryIsAway(t *testing.T) {
+// During an outage of the registry, entries lapse although their servers are running. Servers that
+// don't register again soon after the recovery have stopped.
+func TestLapsedServerIsUsableForGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("s")
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -1,6 +1,6 @@
-// Places for the calls of other boxes. Where one box owns the servers of a zone, it chooses for
-// all of them, so it knows at once of each call that it has sent there. What it granted counts
-// as work until the other box tells of it itself.
+// Places for the calls of other boxes. Where one box owns the servers of a zone, it chooses for all
+// boxes, so it counts each call as soon as it has placed it there. A grant counts as work until the
+// other box reports the call itself.
 
 package fleet
 
@@ -10,17 +10,17 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// Grant is a place at a server for a call of another box. Each must end with one call of End.
+// Grant is a place at a server for a call of another box. Release must be called exactly once.
 type Grant struct {
 	fleet *Fleet
 	load  Load
 }
 
-// Server names the server.
+// Server returns the server's incarnation.
 func (g *Grant) Server() string { return g.load.Incarnation }
 
-// Grant chooses a server for a call of another box, and counts the call there. It gives nil
-// when no server may take it.
+// Grant chooses a server for a call of another box, and counts the call there. It returns nil if no
+// server may take it.
 func (f *Fleet) Grant(query Query) *Grant {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -34,15 +34,15 @@
 	return &Grant{f, load}
 }
 
-// End has the call count no longer: its box tells of it itself, or does not use the place.
+// Release stops counting the call: its box reports it itself, or doesn't use the place.
 func (g *Grant) Release() {
-	defer g.fleet.freed.Send()
+	defer g.fleet.capacityChanged.Send()
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
 	addWork(g.fleet.granted, g.load, -1)
 }
 
-// Versions lists the versions of a model's weights that servers of a service hold, so that a
+// HeldVersions returns the versions of a model's weights that servers of a service hold, so that a
 // call can be described for each of them.
 func (f *Fleet) HeldVersions(service, model string) []int {
 	f.mu.Lock()
--- a/internal/fleet/grant_test.go
+++ b/internal/fleet/grant_test.go
@@ -8,7 +8,7 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// grantQuery asks for a place for a prompt of which a runner's memory takes one.
+// grantQuery returns a query for a prompt of which one fits into a runner's memory.
 func grantQuery() Query {
 	return Query{
 		Service: "s", Model: "m", Load: placing.Query{Tokens: 60, Memory: 100, PrefillLimit: 1000},
@@ -24,8 +24,9 @@
 	return f
 }
 
-// A granted place counts as work until it ends, for grants and for this box's own calls.
-func TestAGrantCountsAsWork(t *testing.T) {
+// A granted place counts as work until it is released, both for further grants and for this box's
+// own calls.
+func TestGrantCountsAsWork(t *testing.T) {
 	g := NewWithT(t)
 	f := withRunners("r")
 	granted := f.Grant(grantQuery())
@@ -39,22 +40,23 @@
 	g.Expect(f.granted).To(BeEmpty())
 }
 
-// A box takes a place that an owner gave, unless it knows better of the server itself.
-func TestTakeGoesByWhatTheBoxItselfKnows(t *testing.T) {
+// A box uses a place that an owner granted, unless the server may not take the call by its own
+// view.
+func TestPlaceAtChecksLocalView(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(f *Fleet, query *Query)
 		taken  bool
 	}{
-		{"all is well", func(*Fleet, *Query) {}, true},
-		{"its own word on the work is not asked", func(f *Fleet, _ *Query) { f.SetRemoteLoads("b", []Load{{Incarnation: "r", HeldTokens: 90}}) }, true},
-		{"it was tried already", func(_ *Fleet, query *Query) { query.Exclude = []string{"r"} }, false},
-		{"it is leaving", func(f *Fleet, _ *Query) {
+		{"no objection", func(*Fleet, *Query) {}, true},
+		{"its own view of the load is ignored", func(f *Fleet, _ *Query) { f.SetRemoteLoads("b", []Load{{Incarnation: "r", HeldTokens: 90}}) }, true},
+		{"tried already", func(_ *Fleet, query *Query) { query.Exclude = []string{"r"} }, false},
+		{"leaving by its entry", func(f *Fleet, _ *Query) {
 			f.Apply([]Update{{Key: "r", Offset: 2, Server: &Server{Incarnation: "r", Service: "s", Leaving: true, Weights: map[string]int{"m": 1}}}})
 		}, false},
-		{"it could not be reached just now", func(f *Fleet, _ *Query) { f.Choose(grantQuery()).Done(OutcomeUnreachable) }, false},
-		{"it is unknown", func(f *Fleet, _ *Query) { f.Replace(nil); clear(f.servers) }, false},
-		{"its weights may not answer", func(_ *Fleet, query *Query) { query.VersionCost = func(int) (float64, bool) { return 0, false } }, false},
+		{"recently unreachable", func(f *Fleet, _ *Query) { f.Choose(grantQuery()).Done(OutcomeUnreachable) }, false},
+		{"unknown server", func(f *Fleet, _ *Query) { f.Replace(nil); clear(f.servers) }, false},
+		{"weights not allowed", func(_ *Fleet, query *Query) { query.VersionCost = func(int) (float64, bool) { return 0, false } }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -70,7 +72,7 @@
 	}
 }
 
-func TestBestTellsWhereChooseWouldGoAndCountsNothing(t *testing.T) {
+func TestBestMatchesChooseWithoutCounting(t *testing.T) {
 	g := NewWithT(t)
 	f := withRunners("r", "q")
 	query := grantQuery()
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -1,6 +1,6 @@
-// A call's place at its server, from the choice to the call's end. It counts the call and
-// its prompt as work of the server's, and what the call shows of the server is noted
-// there, since that is what the next choice goes by.
+// A call's place at its server, from the choice to the end of the call. The call and its prompt
+// count as the server's work in that time. What the call shows about the server is recorded there
+// too, for the next choice.
 
 package fleet
 
@@ -13,51 +13,52 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// Hold is a call's place at a server. Each must end with one call of Done.
+// Hold is a call's place at a server. Done must be called exactly once.
 type Hold struct {
 	fleet *Fleet
 	state *State
-	// tokens is the prompt work that is not done.
-	tokens int
-	// held is the memory that the call takes.
-	held   int
-	server Server
-	// weights is the version that the call was placed for.
+	// prefillTokens counts the prompt tokens whose prefill isn't done.
+	prefillTokens int
+	// memoryTokens is the memory that the call uses.
+	memoryTokens int
+	server       Server
+	// weights is the version of the weights that the call was placed for.
 	weights int
-	// since is when the call was placed; alone says that no other prompt waited to
-	// be read then.
-	since time.Time
-	alone bool
-	// fetches says that a part of its prompt was to be fetched.
-	fetches bool
-	// goneFor is how long before the choice the registry had dropped the server.
-	goneFor time.Duration
-	// reading is how long the server was expected to take to read this prompt and those
-	// before it.
-	reading time.Duration
-	// handOverBy is until when the call may be handed over; zero where that is not bounded. cold and
-	// limited say why it is.
+	// placedAt is when the call was placed; alone means that no other prompt was waiting for its
+	// prefill then.
+	placedAt time.Time
+	alone    bool
+	// fetchesPart means that a part of the prompt had to be fetched.
+	fetchesPart bool
+	// delistedFor is how long the server had been delisted when it was chosen.
+	delistedFor time.Duration
+	// prefillTime is the expected time for the prefill of this prompt and those before it.
+	prefillTime time.Duration
+	// handOverBy is the time until which the call may be sent; zero means no limit. cold and
+	// limited are the possible reasons for a limit.
 	handOverBy    time.Time
 	cold, limited bool
 }
 
-// Overdue gives how much later it is than when the first event was expected.
-func (h *Hold) Overdue() time.Duration { return boottime.Since(h.since) - firstStep - h.reading }
+// Overdue returns how much time has passed since the first event was expected.
+func (h *Hold) Overdue() time.Duration {
+	return boottime.Since(h.placedAt) - firstStepTime - h.prefillTime
+}
 
-// Expected is how long after it was placed the call's first event was expected.
-func (h *Hold) ExpectedFirstEvent() time.Duration { return firstStep + h.reading }
+// ExpectedFirstEvent returns the expected time from the placement to the first event.
+func (h *Hold) ExpectedFirstEvent() time.Duration { return firstStepTime + h.prefillTime }
 
-// Server gives the server as it was when the call was placed.
+// Server returns the server as it was when the call was placed.
 func (h *Hold) Server() Server { return h.server }
 
-// MayHandOver reports whether the call may still be handed over: a place at a server that bears few
-// calls is for the moment.
-// Servers may also have said since that they drain or want a pause.
+// MayHandOver reports whether the call may still be sent. A place at a cold or rate-limited server
+// is valid only briefly, and the server may have started to drain or asked for a pause in the
+// meantime.
 func (h *Hold) MayHandOver() bool {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	now := boottime.Now()
-	if h.state.advised.Draining() || h.state.advised.PausedFor(now) > 0 {
+	if h.state.statements.Draining() || h.state.statements.PausedFor(now) > 0 {
 		return false
 	}
 	return h.handOverBy.IsZero() || now.Before(h.handOverBy)
@@ -66,131 +67,132 @@
 // Cold reports whether the server was cold when the call was placed.
 func (h *Hold) Cold() bool { return h.cold }
 
-// Limited reports whether the server named a rate limit when the call was placed.
+// Limited reports whether the server had a rate limit when the call was placed.
 func (h *Hold) Limited() bool { return h.limited }
 
-// Weights gives the weight version that the call was placed for.
+// Weights returns the version of the weights that the call was placed for.
 func (h *Hold) Weights() int { return h.weights }
 
-// GoneFor is for how long the server had not been listed when it was chosen; zero if it was.
-func (h *Hold) DelistedFor() time.Duration { return h.goneFor }
+// DelistedFor returns how long the server had been delisted when it was chosen; zero if it was
+// listed.
+func (h *Hold) DelistedFor() time.Duration { return h.delistedFor }
 
 // hold counts a call at its server. The caller holds mu.
 func (f *Fleet) hold(state *State, candidate placing.Candidate, query Query, now time.Time) *Hold {
 	if state.inFlight == 0 {
 		state.silentSince = now
 	}
-	f.changed.Send()
+	f.loadsChanged.Send()
 	state.inFlight++
 	state.pendingTokens += candidate.PrefillTokens
 	state.heldTokens += query.Load.Tokens
-	goneFor := time.Duration(0)
-	if !state.gone.IsZero() {
-		goneFor = now.Sub(state.gone)
+	delistedFor := time.Duration(0)
+	if !state.delistedAt.IsZero() {
+		delistedFor = now.Sub(state.delistedAt)
 	}
-	cold, limited := f.noteCold(state, now), state.advised.NoteSent(now, f.position(state, now))
+	cold, limited := f.countColdCall(state, now), state.statements.NoteSent(now, f.limitPosition(state, now))
 	handOverBy := time.Time{}
 	if cold || limited {
 		handOverBy = now.Add(coldstart.AdmissionValidity)
 	}
 	weights := state.weights(query.Model)
-	fetches := false
+	fetchesPart := false
 	if query.Fetch != nil {
 		_, within := query.Fetch(weights)
-		fetches = within > 0
+		fetchesPart = within > 0
 	}
 	cost := cmp.Or(candidate.TokenCost, query.Load.TokenCost)
 	return &Hold{
 		handOverBy: handOverBy, cold: cold, limited: limited,
-		fleet: f, state: state, tokens: candidate.PrefillTokens, server: state.Server, weights: weights, fetches: fetches,
-		held: query.Load.Tokens, since: now, alone: candidate.PendingTokens == 0, goneFor: goneFor,
-		reading: time.Duration(float64(candidate.PendingTokens+candidate.PrefillTokens) * cost * float64(time.Millisecond)),
+		fleet: f, state: state, prefillTokens: candidate.PrefillTokens, server: state.Server, weights: weights, fetchesPart: fetchesPart,
+		memoryTokens: query.Load.Tokens, placedAt: now, alone: candidate.PendingTokens == 0, delistedFor: delistedFor,
+		prefillTime: time.Duration(float64(candidate.PendingTokens+candidate.PrefillTokens) * cost * float64(time.Millisecond)),
 	}
 }
 
-// Heard notes an event of the answer: the prompt has been read.
+// NoteEvent records an event of the answer, which means that the prefill is done.
 func (h *Hold) NoteEvent() {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	now := boottime.Now()
 	if h.alone {
-		h.fleet.learnRate(h.tokens, now.Sub(h.since))
-		if !h.fetches {
-			h.fleet.learnReading(h.state, h.tokens, now.Sub(h.since))
+		h.fleet.learnPrefillRate(h.prefillTokens, now.Sub(h.placedAt))
+		if !h.fetchesPart {
+			h.fleet.learnPrefillCost(h.state, h.prefillTokens, now.Sub(h.placedAt))
 		}
 		h.alone = false
 	}
-	h.read()
-	h.state.heard(now)
+	h.finishPrefill()
+	h.state.noteActivity(now)
 }
 
-// read takes the prompt off the work that waits at the server. The caller holds mu.
-func (h *Hold) read() {
-	h.state.pendingTokens -= h.tokens
-	h.tokens = 0
+// finishPrefill subtracts the prompt from the server's pending work. The caller holds mu.
+func (h *Hold) finishPrefill() {
+	h.state.pendingTokens -= h.prefillTokens
+	h.prefillTokens = 0
 }
 
-// Speaks reports whether the server has given any sign lately, to whatever call.
+// IsResponsive reports whether the server recently responded to any call.
 func (h *Hold) IsResponsive() bool {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
-	return !h.state.suspect(boottime.Now())
+	return !h.state.isSuspect(boottime.Now())
 }
 
-// End is what became of a call at a server.
+// Outcome is the result of a call at a server.
 type Outcome uint8
 
-// Ends of a call at a server.
+// Outcomes of a call at a server.
 const (
-	// EndServed calls got an answer that speaks for the server.
+	// OutcomeServed means that an answer showed that the server works.
 	OutcomeServed Outcome = iota + 1
-	// EndFailed calls got a failure of the server's own, or broke off.
+	// OutcomeFailed means that the server failed or the answer was cut off.
 	OutcomeFailed
-	// EndUnreachable calls never got to the server, or it fell silent.
+	// OutcomeUnreachable means that the call didn't reach the server, or that the server stopped
+	// responding.
 	OutcomeUnreachable
-	// EndBusy calls were refused, not run, by a server without room.
+	// OutcomeBusy means that a server without capacity rejected the call without running it.
 	OutcomeBusy
-	// EndMoved calls were refused since another incarnation, or other weights,
-	// are there now.
+	// OutcomeMoved means that the call was rejected because the server now has another incarnation
+	// or other weights.
 	OutcomeMoved
-	// EndAbandoned calls were given up by the caller.
+	// OutcomeAbandoned means that the caller gave up.
 	OutcomeAbandoned
-	// EndReplaced calls were refused by another incarnation at the server's address.
+	// OutcomeReplaced means that another incarnation at the server's address rejected the call.
 	OutcomeReplaced
 )
 
-// Pauses after refusals.
+// Pauses after rejected calls.
 const (
-	// busyPause gives a full runner time to end some runs; one takes 100 ms and
-	// more.
+	// busyPause gives a full runner time to finish some runs, each of which takes 100 ms or more.
 	busyPause = 60 * time.Millisecond
-	// movedPause spans the lag of the registry after a change of weights.
+	// movedPause covers the lag of the registry after a change of weights.
 	movedPause = 500 * time.Millisecond
-	// lapsedHeartbeats is after how many without a write an entry lapses.
-	lapsedHeartbeats = 3
-	// lapseMargin is the lag of the registry after that.
+	// lapseHeartbeats is the number of heartbeats without a write after which an entry lapses.
+	lapseHeartbeats = 3
+	// lapseMargin covers the lag of the registry after that.
 	lapseMargin = time.Second
 )
 
-// lapseTime is how long the entry of a server that was replaced may stay in the registry.
-func lapseTime(heartbeat time.Duration) time.Duration {
-	return lapsedHeartbeats*heartbeat + lapseMargin
+// maxEntryLifetime returns how long the entry of a replaced server may remain in the registry.
+func maxEntryLifetime(heartbeat time.Duration) time.Duration {
+	return lapseHeartbeats*heartbeat + lapseMargin
 }
 
-// Done gives the place back and notes what the call showed of the server.
-func (h *Hold) Done(end Outcome) {
-	defer h.fleet.freed.Send()
+// Done frees the place and records what the call showed about the server.
+func (h *Hold) Done(outcome Outcome) {
+	defer h.fleet.capacityChanged.Send()
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
-	h.fleet.changed.Send()
-	h.read()
+	h.fleet.loadsChanged.Send()
+	h.finishPrefill()
 	h.state.inFlight--
-	h.state.heldTokens -= h.held
+	h.state.heldTokens -= h.memoryTokens
 	now := boottime.Now()
-	if end != OutcomeUnreachable && end != OutcomeAbandoned || h.state.inFlight == 0 {
-		h.state.heard(now)
+	if outcome != OutcomeUnreachable && outcome != OutcomeAbandoned || h.state.inFlight == 0 {
+		h.state.noteActivity(now)
 	}
-	switch end {
+	switch outcome {
 	case OutcomeServed:
 		h.state.noteSuccess()
 	case OutcomeFailed:
@@ -202,7 +204,7 @@
 	case OutcomeMoved:
 		h.state.pausedUntil = now.Add(movedPause)
 	case OutcomeReplaced:
-		h.state.replacedUntil = now.Add(lapseTime(h.fleet.cfg.Heartbeat))
+		h.state.replacedUntil = now.Add(maxEntryLifetime(h.fleet.cfg.Heartbeat))
 	case OutcomeAbandoned:
 	}
 }
--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -10,13 +10,13 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-func TestABusyServerGetsNothingForAMoment(t *testing.T) {
+func TestRejectionPausesServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("only")
-		for _, end := range []fleet.Outcome{fleet.OutcomeBusy, fleet.OutcomeMoved} {
+		for _, outcome := range []fleet.Outcome{fleet.OutcomeBusy, fleet.OutcomeMoved} {
 			_, hold := choose(f)
-			hold.Done(end)
+			hold.Done(outcome)
 			name, _ := choose(f)
 			g.Expect(name).To(BeEmpty())
 			time.Sleep(time.Second)
@@ -27,15 +27,15 @@
 	})
 }
 
-// How late a first event is counts from when the prompts before it have been read too.
-func TestACallIsOverdueAfterItsPromptShouldHaveBeenRead(t *testing.T) {
+// A call is overdue only after the expected prefill of the prompts before it.
+func TestOverdueCountsFromExpectedPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("s")
-		f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 6000}}) // 100 ms at the rate first assumed
+		f.SetRemoteLoads("other", []fleet.Load{{Incarnation: "s", InFlight: 1, PendingTokens: 6000}}) // 100 ms at the initial rate
 		hold := f.Choose(prompt(1, 3000, 0))
 		time.Sleep(400 * time.Millisecond)
-		// 30 ms are granted for all that is not reading.
+		// 30 ms are allowed for everything besides prefill.
 		g.Expect(hold.Overdue()).To(BeNumerically("~", 220*time.Millisecond, time.Millisecond))
 		hold.Done(fleet.OutcomeServed)
 	})
--- a/internal/fleet/remote.go
+++ b/internal/fleet/remote.go
@@ -1,5 +1,6 @@
-// What other boxes tell of their work. It is a hint: it adds to this box's own counts
-// and is taken back as a whole when the box tells anew or falls silent.
+// The load reports of other boxes. They are hints: they are added to this box's own counts, and
+// each one is replaced as a whole by the box's next report, or dropped when the box stops
+// reporting.
 
 package fleet
 
@@ -12,45 +13,45 @@
 
 // Load is the work of one box at one server.
 type Load struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+	_msgpack struct{} `msgpack:",as_array"` // field names would double the size
 
-	// Incarnation names the server.
+	// Incarnation identifies the server.
 	Incarnation   string `msgpack:"i"`
 	InFlight      int    `msgpack:"n,omitempty"`
 	PendingTokens int    `msgpack:"t,omitempty"`
-	// HeldTokens is the memory that the box's calls take there.
+	// HeldTokens is the memory that the box's calls use at the server.
 	HeldTokens int `msgpack:"h,omitempty"`
-	// PausedFor is how much longer the box keeps new calls from the server because
-	// it is having it load weights, or has found another incarnation at its address.
+	// PausedFor is how much longer the box sends no new calls to the server because it has ordered
+	// the server to load weights, or has found another incarnation at its address.
 	PausedFor time.Duration `msgpack:"p,omitempty"`
-	// Weights are versions that the box found the server to hold.
+	// Weights has the versions that the box found the server to hold.
 	Weights map[string]int `msgpack:"w,omitempty"`
-	// Advised is what the server said of itself in answers to the box; nil when it said nothing.
+	// Advisory is what the server stated about itself in answers to the box; nil if nothing.
 	Advisory *advisory.Report `msgpack:"a,omitempty"`
 }
 
-// Loads gives this box's work at all servers that have any, or about which other
-// boxes may not know all.
+// Loads returns this box's load at all servers at which it has work, or whose state other boxes may
+// not have yet.
 func (f *Fleet) Loads() []Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
 	var loads []Load
 	for _, state := range f.servers {
-		paused := max(state.orderedUntil.Sub(now), state.replacedUntil.Sub(now), 0)
-		newer, advised := state.newerWeights(), state.advised.Report(now)
-		if state.inFlight == 0 && paused == 0 && newer == nil && advised == nil {
+		paused := max(state.weightOrderUntil.Sub(now), state.replacedUntil.Sub(now), 0)
+		newer, report := state.newerWeights(), state.statements.Report(now)
+		if state.inFlight == 0 && paused == 0 && newer == nil && report == nil {
 			continue
 		}
 		loads = append(loads, Load{
 			Incarnation: state.Incarnation, InFlight: state.inFlight, PendingTokens: state.pendingTokens, HeldTokens: state.heldTokens,
-			PausedFor: paused, Weights: newer, Advisory: advised,
+			PausedFor: paused, Weights: newer, Advisory: report,
 		})
 	}
 	return loads
 }
 
-// Zones gives the availability zones of the servers, by incarnation.
+// ServerZones returns the availability zones of the servers, by incarnation.
 func (f *Fleet) ServerZones() map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,38 +62,38 @@
 	return zones
 }
 
-// SetRemote takes over what another box last told of its work, in place of what it
-// told before; nil when the box has fallen silent.
-func (f *Fleet) SetRemoteLoads(box string, loads []Load) {
-	defer f.freed.Send()
+// SetRemoteLoads replaces the last load report of another box; nil loads mean that the box stopped
+// reporting.
+func (f *Fleet) SetRemoteLoads(peer string, loads []Load) {
+	defer f.capacityChanged.Send()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, load := range f.remote[box] {
+	for _, load := range f.remoteLoads[peer] {
 		addWork(f.remoteTotals, load, -1)
 	}
 	now := boottime.Now()
 	for _, load := range loads {
 		addWork(f.remoteTotals, load, 1)
 		if state := f.servers[load.Incarnation]; state != nil {
-			state.learn(load, now)
-			f.takeReport(state, load.Advisory, now)
+			state.applyRemoteLoad(load, now)
+			f.applyReport(state, load.Advisory, now)
 		}
 	}
 	if loads == nil {
-		delete(f.remote, box)
+		delete(f.remoteLoads, peer)
 		return
 	}
-	f.remote[box] = loads
+	f.remoteLoads[peer] = loads
 }
 
-// workTotal is work of some boxes at one server.
+// workTotal is the work of several boxes at one server.
 type workTotal struct {
 	inFlight      int
 	pendingTokens int
 	heldTokens    int
 }
 
-// addWork adds work to totals by server, or takes it back with a sign of -1.
+// addWork adds work to the totals by server, or subtracts it if sign is -1.
 func addWork(totals map[string]workTotal, load Load, sign int) {
 	total := totals[load.Incarnation]
 	total.inFlight += sign * load.InFlight
@@ -105,19 +106,19 @@
 	totals[load.Incarnation] = total
 }
 
-// othersAt gives the work of all other boxes at a server, as they told it or were granted
-// places for it. The caller holds mu.
-func (f *Fleet) othersAt(incarnation string) workTotal {
-	told, granted := f.remoteTotals[incarnation], f.granted[incarnation]
-	return workTotal{told.inFlight + granted.inFlight, told.pendingTokens + granted.pendingTokens, told.heldTokens + granted.heldTokens}
+// remoteWork returns the work of all other boxes at a server, as reported by them or granted by
+// this box. The caller holds mu.
+func (f *Fleet) remoteWork(incarnation string) workTotal {
+	reported, granted := f.remoteTotals[incarnation], f.granted[incarnation]
+	return workTotal{reported.inFlight + granted.inFlight, reported.pendingTokens + granted.pendingTokens, reported.heldTokens + granted.heldTokens}
 }
 
-// remotePauseLimit bounds the pause that one message of another box causes: it
-// tells again while the load goes on.
+// remotePauseLimit bounds the pause caused by one report of another box, which repeats the report
+// for as long as the server loads weights.
 const remotePauseLimit = 400 * time.Millisecond
 
-// learn takes over what another box knows of the server.
-func (s *State) learn(load Load, now time.Time) {
+// applyRemoteLoad applies the state of the server in another box's report.
+func (s *State) applyRemoteLoad(load Load, now time.Time) {
 	if load.PausedFor > 0 {
 		until := now.Add(min(load.PausedFor, remotePauseLimit))
 		if until.After(s.pausedUntil) {
@@ -125,12 +126,13 @@
 		}
 	}
 	for model, version := range load.Weights {
-		s.hold(model, version)
+		s.noteWeights(model, version)
 	}
 }
 
-// hold notes that the server holds a version of a model.
-func (s *State) hold(model string, version int) bool {
+// noteWeights records that the server holds a version of a model, and reports whether that was
+// unknown before.
+func (s *State) noteWeights(model string, version int) bool {
 	if s.weights(model) >= version {
 		return false
 	}
--- a/internal/fleet/remote_test.go
+++ b/internal/fleet/remote_test.go
@@ -11,26 +11,26 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-func TestARunnerUnderOrdersGetsNothingFromAnyBox(t *testing.T) {
+func TestRunnerLoadingWeightsGetsNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		giver, other := newFleet("s"), newFleet("s")
-		giver.BeginOrder("s", time.Now().Add(6*time.Second))
-		name, _ := choose(giver)
+		ordering, other := newFleet("s"), newFleet("s")
+		ordering.BeginOrder("s", time.Now().Add(6*time.Second))
+		name, _ := choose(ordering)
 		g.Expect(name).To(BeEmpty())
-		other.SetRemoteLoads("giver", giver.Loads())
+		other.SetRemoteLoads("giver", ordering.Loads())
 		name, _ = choose(other)
 		g.Expect(name).To(BeEmpty())
-		giver.EndOrder("s")
-		giver.NoteWeights("s", "m", 2)
-		other.SetRemoteLoads("giver", giver.Loads())
+		ordering.EndOrder("s")
+		ordering.NoteWeights("s", "m", 2)
+		other.SetRemoteLoads("giver", ordering.Loads())
 		time.Sleep(time.Second)
 		hold := other.Choose(prompt(2, 10, 0))
-		g.Expect(hold).NotTo(BeNil(), "the other box learns of the weights, and the pause ends")
+		g.Expect(hold).NotTo(BeNil(), "the weights are reported to the other box, and the pause ends")
 	})
 }
 
-func TestWorkOfOtherBoxesIsReplacedNotAdded(t *testing.T) {
+func TestRemoteLoadsAreReplaced(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("a", "b")
 	for i := range 10 {
--- a/internal/fleet/replaced_test.go
+++ b/internal/fleet/replaced_test.go
@@ -8,20 +8,20 @@
 	. "github.com/onsi/gomega"
 )
 
-// All servers of a zone came back in another life, and 4,314 calls were refused by these within two
-// seconds each time: every box found out for itself that the life it knew was over, asked again
-// after half a second, and the entries of the old lives stood in the registry for four seconds. A
-// call whose route allows one server was refused with that.
+// All servers of a zone restarted, and the new incarnations rejected 4,314 calls within two seconds
+// each time. Each box found out by itself that the incarnation that it knew had ended, and tried it
+// again after half a second, while the entries of the old incarnations were still listed for four
+// seconds. A call whose route allows one server was refused after such a rejection:
 //
 //	not_handed_over …; server_refused reason=421; address_reused found=i-…; call outcome=refused reason=no_server_answered
 //
-// The box that finds out keeps calls from the life that ended until its entry has lapsed, and tells
-// the others.
-func TestALifeThatEndedIsCalledByNobody(t *testing.T) {
+// The box that finds out must send no calls to the ended incarnation until its entry has lapsed,
+// and report that to the others.
+func TestReplacedIncarnationGetsNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		finder, other := withRunners("r"), withRunners("r")
-		serves := func(f *Fleet) bool {
+		detecting, other := withRunners("r"), withRunners("r")
+		accepts := func(f *Fleet) bool {
 			hold := f.Choose(grantQuery())
 			if hold == nil {
 				return false
@@ -29,24 +29,24 @@
 			hold.Done(OutcomeAbandoned)
 			return true
 		}
-		told := func() bool {
-			other.SetRemoteLoads("finder", finder.Loads())
-			return !serves(other)
+		excludedAtOther := func() bool {
+			other.SetRemoteLoads("finder", detecting.Loads())
+			return !accepts(other)
 		}
-		finder.Choose(grantQuery()).Done(OutcomeReplaced)
+		detecting.Choose(grantQuery()).Done(OutcomeReplaced)
 		for range 40 {
-			g.Expect(serves(finder)).To(BeFalse())
-			g.Expect(told()).To(BeTrue())
+			g.Expect(accepts(detecting)).To(BeFalse())
+			g.Expect(excludedAtOther()).To(BeTrue())
 			time.Sleep(100 * time.Millisecond)
 		}
-		time.Sleep(lapseTime(DefaultHeartbeat))
-		g.Expect(serves(finder)).To(BeTrue(), "its entry still stands, so it may live after all")
-		g.Expect(told()).To(BeFalse())
+		time.Sleep(maxEntryLifetime(DefaultHeartbeat))
+		g.Expect(accepts(detecting)).To(BeTrue(), "its entry is still listed, so it may be running after all")
+		g.Expect(excludedAtOther()).To(BeFalse())
 	})
 }
 
-// An entry that is newer than the refusal shows that the server lives.
-func TestALifeThatEntersItselfAgainIsCalled(t *testing.T) {
+// An entry that is newer than the rejection shows that the server is running.
+func TestNewEntryEndsReplacedState(t *testing.T) {
 	g := NewWithT(t)
 	f := withRunners("r")
 	f.Choose(grantQuery()).Done(OutcomeReplaced)
--- a/internal/fleet/report_size_test.go
+++ b/internal/fleet/report_size_test.go
@@ -11,9 +11,10 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// Boxes tell each other some times a second what servers said of themselves, so a report must be small:
-// 20 limited servers at 6 messages a second are within the 4 KB a second that a box may use for control.
-func TestAReportIsSmall(t *testing.T) {
+// Boxes exchange servers' statements several times a second, so a report must be small: 20 servers
+// with rate limits at 6 messages a second fit into the 4 KB a second that a box may use for control
+// traffic.
+func TestAdvisoryReportIsSmall(t *testing.T) {
 	const mostReportBytes = 32
 	g := NewWithT(t)
 	size := func(load fleet.Load) int {
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -1,5 +1,5 @@
-// One backend server and what this box has seen of it. Failures to reach it and its
-// silence hold calls back for a while; failed calls only make it dearer.
+// A backend server and this box's observations about it. Connection failures and silence exclude a
+// server for a while; failed calls only raise its cost.
 
 package fleet
 
@@ -13,105 +13,109 @@
 	"github.com/cometlock/cometlock/internal/coldstart"
 )
 
-// Server is what a backend server says of itself in the registry.
+// Server is a backend server's entry in the registry.
 type Server struct {
-	// Incarnation names one life of the server; a restart has another.
+	// Incarnation identifies a run of the server; it changes with each restart.
 	Incarnation string
-	// Name is what calls name the server by; it may be the same in its next life. Empty
-	// where each life has a name of its own, which is the incarnation.
+	// Name is the name by which calls address the server; it may stay the same after a restart. It
+	// is empty if each run has its own name, which is then the incarnation.
 	Name string
-	// Born tells the lives of one name apart; zero where the server does not say. Which of
-	// two is there now goes by the order of the log: a server's clock may have been set back
-	// between them.
+	// StartTime distinguishes the incarnations of one name; zero if the server doesn't set it. The
+	// order of the log, not StartTime, decides which one is current, since a server's clock may
+	// have been set back between two starts.
 	StartTime int64
 	Service   string
 	Address   string
 	Zone      string
 	Slots     int
-	// Leaving servers take nothing new.
+	// Leaving servers get no new calls.
 	Leaving bool
-	// ColdFor is how much longer the server is cold, as of its entry (package coldstart).
+	// ColdFor is how much longer the server was cold when the entry was written (package
+	// coldstart).
 	ColdFor time.Duration
-	// Weights are the versions of the models that a runner holds.
+	// Weights maps the models that a runner holds to their versions.
 	Weights map[string]int
 }
 
-// CalledBy is the name that a call for this server carries.
+// TargetName returns the name by which calls address this server.
 func (s Server) TargetName() string { return cmp.Or(s.Name, s.Incarnation) }
 
-// Same reports whether a backend server says the same of itself as before.
+// SameEntry reports whether two entries of a backend server have the same content.
 func (s *Server) SameEntry(other *Server) bool {
 	return s.Incarnation == other.Incarnation && s.Service == other.Service && s.Address == other.Address && s.Zone == other.Zone &&
 		s.Slots == other.Slots && s.Leaving == other.Leaving && s.ColdFor == other.ColdFor && maps.Equal(s.Weights, other.Weights)
 }
 
-// isDraining reports whether the server drains, by its entry or by its answers.
-func (s *State) isDraining() bool { return s.Leaving || s.advised.Draining() }
+// isDraining reports whether the server drains according to its entry or its answers.
+func (s *State) isDraining() bool { return s.Leaving || s.statements.Draining() }
 
-// State is a server with what this box has seen of it. All fields but Server are
-// guarded by the fleet's lock.
+// State is a server with this box's observations about it. The fleet's lock guards all fields.
 type State struct {
 	Server
-	// offset is the log's position of the record that the entry came from.
+	// offset is the position of the entry's record in the log.
 	offset int64
-	// gone is when the registry dropped the server; zero while it is listed.
-	gone time.Time
-	// believedUntil is until when it is believed in though it is gone.
-	believedUntil time.Time
+	// delistedAt is when the server was read as delisted; zero while it is listed.
+	delistedAt time.Time
+	// usableUntil is the time until which a delisted server may still get calls.
+	usableUntil time.Time
 
 	inFlight int
-	// pendingTokens is prompt work handed over whose first event has not come.
+	// pendingTokens counts prompt tokens of calls in flight without a first event.
 	pendingTokens int
-	// heldTokens is the memory of the calls in flight.
+	// heldTokens is the memory used by the calls in flight.
 	heldTokens int
-	// silentSince is since when the server has calls and has not been heard of;
-	// zero while it has none.
+	// silentSince is the time since which the server has had calls and sent nothing; zero while it
+	// has no calls.
 	silentSince time.Time
-	// failing is the recent share of calls that failed, 0 to 1.
-	failing float64
-	// suspectUntil holds calls back after a failure to reach the server.
+	// failureRate is the recent share of calls that failed, from 0 to 1.
+	failureRate float64
+	// suspectUntil is the time until which the server is suspect after a connection failure.
 	suspectUntil time.Time
-	suspicion    time.Duration
-	// pausedUntil holds calls back from a runner that is changing weights or full.
+	suspectTime  time.Duration
+	// pausedUntil is the time until which a runner gets no calls because it is full or changes its
+	// weights.
 	pausedUntil time.Time
-	// replacedUntil holds calls back since another incarnation answers at the address: this one has
-	// ended, whatever its entry still says. Other boxes are told.
+	// replacedUntil is the time until which the server gets no calls because another incarnation
+	// responded at its address. This incarnation has ended, even if its entry is still listed. It
+	// is reported to other boxes.
 	replacedUntil time.Time
-	// orderedUntil holds calls back while this box has the server load weights.
-	orderedUntil time.Time
-	// coldUntil is until when the server is cold by its entry, which was written before it was
-	// read; coldCalls are the calls that this box has sent it since.
+	// weightOrderUntil is the time until which the server gets no calls while it loads weights on
+	// this box's order.
+	weightOrderUntil time.Time
+	// coldUntil is the time until which the server is cold by its entry, which was written before
+	// it was read. coldCalls are the calls that this box has sent it while cold.
 	coldUntil time.Time
 	coldCalls coldstart.Window
-	// advised is what the server says of itself in its answers.
-	advised advisory.Server
-	// readCost is the time to read a prompt token there in milliseconds, as learnt; zero while
-	// nothing is known.
-	readCost float64
-	// heldWeights is what the server was found to hold later than its record.
+	// statements is what the server states about itself in its answers.
+	statements advisory.Server
+	// prefillCost is the learned prefill time of a prompt token at the server, in milliseconds;
+	// zero without samples.
+	prefillCost float64
+	// heldWeights has the versions that the server was found to hold since its record was written.
 	heldWeights map[string]int
 }
 
-// Suspicion: how long a server that could not be reached is left alone. It doubles
-// with each failure. The first is short, since one failure may be the link's.
+// Suspect time: how long a server that couldn't be reached is avoided. It doubles with each
+// failure. The first one is short, since a single failure may be caused by the network.
 const (
-	firstSuspicion   = 500 * time.Millisecond
-	longestSuspicion = 8 * time.Second
+	minSuspectTime = 500 * time.Millisecond
+	maxSuspectTime = 8 * time.Second
 )
 
-// failureWeight is the weight of the newest call in the share that failed: about
-// the last eight calls count, enough to tell a failing server from bad luck.
+// failureWeight is the weight of the latest call in the failure rate. About the last eight calls
+// count, which is enough to distinguish a failing server from random failures.
 const failureWeight = 0.125
 
-// failingHalfLife is how soon the share that failed fades while nothing is sent.
-const failingHalfLife = 3 * time.Second
+// failureHalfLife is the half-life of the failure rate, which decays independently of the results
+// of calls.
+const failureHalfLife = 3 * time.Second
 
 func (s *State) weights(model string) int {
 	return max(s.heldWeights[model], s.Weights[model])
 }
 
-// newerWeights gives the versions that the server was found to hold and that its record
-// does not tell yet; nil when there are none.
+// newerWeights returns the versions that the server was found to hold and that its record doesn't
+// list yet; nil if there are none.
 func (s *State) newerWeights() map[string]int {
 	var newer map[string]int
 	for model, version := range s.heldWeights {
@@ -126,28 +130,28 @@
 	return newer
 }
 
-// suspect reports whether the server is better left alone: it could not be reached
-// lately, or has calls and has been silent since.
-func (s *State) suspect(now time.Time) bool {
+// isSuspect reports whether the server should be avoided: it recently couldn't be reached, or it
+// has calls and has sent nothing for too long.
+func (s *State) isSuspect(now time.Time) bool {
 	if now.Before(s.suspectUntil) {
 		return true
 	}
-	limit := silentService
+	limit := serviceSilenceLimit
 	if len(s.Weights) > 0 {
-		limit = silentRunner
+		limit = runnerSilenceLimit
 	}
 	return !s.silentSince.IsZero() && now.Sub(s.silentSince) > limit
 }
 
-// Silence after which a server with calls is suspect. Plain services answer in 30
-// to 300 ms; a runner may read a prompt of 50,000 tokens for a second.
+// Time without any response after which a server with calls is suspect. Plain services answer in 30
+// to 300 ms; a runner may need a second for the prefill of a prompt of 50,000 tokens.
 const (
-	silentService = 500 * time.Millisecond
-	silentRunner  = 1200 * time.Millisecond
+	serviceSilenceLimit = 500 * time.Millisecond
+	runnerSilenceLimit  = 1200 * time.Millisecond
 )
 
-// heard notes a sign of life.
-func (s *State) heard(now time.Time) {
+// noteActivity records that the server responded.
+func (s *State) noteActivity(now time.Time) {
 	s.silentSince = time.Time{}
 	if s.inFlight > 0 {
 		s.silentSince = now
@@ -155,21 +159,21 @@
 }
 
 func (s *State) noteFailure(now time.Time, unreachable bool) {
-	s.failing += failureWeight * (1 - s.failing)
+	s.failureRate += failureWeight * (1 - s.failureRate)
 	if !unreachable {
 		return
 	}
-	s.suspicion = min(max(2*s.suspicion, firstSuspicion), longestSuspicion)
-	s.suspectUntil = now.Add(s.suspicion)
+	s.suspectTime = min(max(2*s.suspectTime, minSuspectTime), maxSuspectTime)
+	s.suspectUntil = now.Add(s.suspectTime)
 }
 
 func (s *State) noteSuccess() {
-	s.failing -= failureWeight * s.failing
-	s.suspicion = 0
+	s.failureRate -= failureWeight * s.failureRate
+	s.suspectTime = 0
 	s.suspectUntil = time.Time{}
 }
 
-// fade lets the share that failed fade over time that passed without calls.
-func (s *State) fade(passed time.Duration) {
-	s.failing *= math.Exp2(-passed.Seconds() / failingHalfLife.Seconds())
+// decayFailures decays the failure rate by the elapsed time.
+func (s *State) decayFailures(elapsed time.Duration) {
+	s.failureRate *= math.Exp2(-elapsed.Seconds() / failureHalfLife.Seconds())
 }
--- a/internal/fleet/server_test.go
+++ b/internal/fleet/server_test.go
@@ -10,7 +10,7 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-func TestAServerThatCannotBeReachedIsLeftAloneForLongerAndLonger(t *testing.T) {
+func TestSuspectTimeGrowsWithEachFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("bad")
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestSuspectServersServeWhenThereAreNoOthers(t *testing.T) {
+func TestSuspectServersServeIfAllAreSuspect(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("only")
 	_, hold := choose(f)
@@ -40,7 +40,7 @@
 	g.Expect(name).To(Equal("only"))
 }
 
-func TestAServerThatHasCallsAndKeepsSilentIsSuspect(t *testing.T) {
+func TestSilentServerWithCallsIsSuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("mute", "good")
--- a/internal/fleet/shortage.go
+++ b/internal/fleet/shortage.go
@@ -1,6 +1,6 @@
-// Why a call finds no server. Too few servers, too much to read and too little memory call
-// for different remedies, so a refusal says which of them it was. It is counted only when
-// a call is refused, with the rules that Choose goes by.
+// Why no server is found for a call. Too few servers, too much pending prefill and too little
+// memory need different remedies, so a refusal reports which of them it was. It is determined only
+// when a call is refused, with the same rules as in Choose.
 
 package fleet
 
@@ -9,40 +9,40 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// Shortage says why no server may take a call: how many servers its service has, how
-// many of those are there for it, and how many of these lack the time to read its
-// prompt soon enough, or the memory for it. InFlight and HeldTokens are the calls that are
-// known to run at those that are there, and the memory that these take.
+// Shortage describes why no server may take a call: how many servers its service has, how many of
+// these are usable for it, and how many usable ones lack the time for its prefill or the memory for
+// it. InFlight and HeldTokens are the known calls at the usable servers and the memory that they
+// use.
 type Shortage struct {
 	Listed, Usable, WithoutTime, WithoutMemory int
 	InFlight, HeldTokens                       int
-	// Evacuated are servers of evacuated zones, Spared cold ones that this box keeps calls from,
-	// Limited those whose rate limit leaves no room for this box, and Paused those that want nothing
-	// from it for a while.
+	// Evacuated counts the servers of evacuated zones, ColdExcluded cold servers that this box may
+	// not call, Limited those whose rate limit leaves no capacity for this box, and Paused those
+	// that asked this box for a pause.
 	Evacuated, ColdExcluded, Limited, Paused int
 }
 
-// Shortage describes the servers that a call is not placed at.
+// Shortage returns why a call isn't placed at any server.
 func (f *Fleet) Shortage(query Query) Shortage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := boottime.Now()
-	sound := f.sound(query, now)
+	usable := f.usableServers(query, now)
 	query.Load.TokenCost = f.tokenCost()
-	shortage := Shortage{Listed: len(f.byService[query.Service]), Usable: len(sound)}
+	shortage := Shortage{Listed: len(f.byService[query.Service]), Usable: len(usable)}
 	for _, state := range f.byService[query.Service] {
 		switch {
 		case f.evacuated.IsEvacuated(state.Zone):
 			shortage.Evacuated++
-		case f.isSpared(state, now):
+		case f.isColdExcluded(state, now):
 			shortage.ColdExcluded++
-		case !state.advised.HasRoom(now, f.position(state, now)):
+		case !state.statements.HasRoom(now, f.limitPosition(state, now)):
 			shortage.Limited++
-		case state.advised.PausedFor(now) > 0:
+		case state.statements.PausedFor(now) > 0:
 			shortage.Paused++
 		}
 	}
-	for _, state := range sound {
+	for _, state := range usable {
 		candidate := f.describe(state, query, now)
 		shortage.InFlight += candidate.InFlight
 		shortage.HeldTokens += candidate.HeldTokens
--- a/internal/fleet/shortage_test.go
+++ b/internal/fleet/shortage_test.go
@@ -9,9 +9,9 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// A refusal's log line rests on this count.
-func TestAShortageSaysWhatServersLack(t *testing.T) {
-	limit := 100 * time.Millisecond // 6,000 tokens at the rate first assumed
+// The log line of a refused call depends on this count.
+func TestShortage(t *testing.T) {
+	limit := 100 * time.Millisecond // 6,000 tokens at the initial rate
 	cases := []struct {
 		name   string
 		oldest int
@@ -33,7 +33,7 @@
 			query := prompt(c.oldest, 2000, limit)
 			query.Load.Tokens, query.Load.Memory = 15_000, 100_000
 			g.Expect(f.Shortage(query)).To(Equal(c.want))
-			g.Expect(f.Choose(query) == nil).To(Equal(c.name != "nothing"), "the count agrees with the choice")
+			g.Expect(f.Choose(query) == nil).To(Equal(c.name != "nothing"), "Shortage agrees with Choose")
 		})
 	}
 }
--- a/internal/fleet/suspended_test.go
+++ b/internal/fleet/suspended_test.go
@@ -11,10 +11,10 @@
 	"github.com/cometlock/cometlock/internal/suspendtest"
 )
 
-// A server that was found gone when the registry came back is believed in for 1.8 s, since its
-// entry may have lapsed. A machine that was suspended in these moments went on believing in it
-// after waking, seconds after it had left.
-func TestALapsedServerIsNotBelievedInAfterASuspension(t *testing.T) {
+// A server that is delisted when the registry recovers stays usable for 1.8 s, since its entry may
+// have lapsed. A box whose machine was suspended in that time continued to use the server after the
+// resume, seconds after it had left.
+func TestGracePeriodIncludesSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		machine := suspendtest.New(t)
--- a/internal/fleet/weights_test.go
+++ b/internal/fleet/weights_test.go
@@ -8,7 +8,7 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-func TestRunnersThatAreBehindComeInTheOrderOfTheirWork(t *testing.T) {
+func TestServersBehindAreOrderedByWork(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("a", "b", "c", "d")
 	f.NoteWeights("d", "m", 2)
@@ -24,16 +24,16 @@
 	g.Expect(f.NewestVersion("m")).To(Equal(2))
 }
 
-// Once a server's own record tells its weights, no box has to.
-func TestWeightsAreToldOnlyUntilTheRecordTellsThem(t *testing.T) {
+// Once a server's own record lists its weights, no box has to report them.
+func TestWeightsAreReportedUntilRecorded(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("s")
 	g.Expect(f.Loads()).To(BeEmpty())
 	f.NoteWeights("s", "m", 2)
 	g.Expect(f.Loads()).To(HaveLen(1))
 	g.Expect(f.Loads()[0].Weights).To(Equal(map[string]int{"m": 2}))
-	told := server("s")
-	told.Weights = map[string]int{"m": 2}
-	f.Apply([]fleet.Update{{Key: "s", Offset: 9, Server: told}})
+	recorded := server("s")
+	recorded.Weights = map[string]int{"m": 2}
+	f.Apply([]fleet.Update{{Key: "s", Offset: 9, Server: recorded}})
 	g.Expect(f.Loads()).To(BeEmpty())
 }
