--- a/internal/placing/admit.go
+++ b/internal/placing/admit.go
@@ -1,75 +1,81 @@
-// Which servers may take a call. A call that is admitted where there is no time or memory
-// for it makes the calls behind it late too, so it waits a little or is refused instead.
+// Admission: which servers have the time and the memory for a call. A call admitted without them
+// would also delay the calls queued behind it, so it waits briefly or is refused instead.
 
 package placing
 
-// How a box bounds its calls by this policy.
+// Limits that this policy sets on the calls of an entry box.
 const (
-	// HomePart is the size of a shared part, in tokens, from which on calls that
-	// share it meet at the same runner: reading it twice costs more than a wait.
+	// MinAffinityTokens is the size of a shared prompt part, in tokens, from which on calls that
+	// share it are routed to the same runner. For such a part, a second prefill costs more than the
+	// wait at one runner.
 	MinAffinityTokens = 1000
-	// ReadPart is the part of a route's objective that prompts may wait to be read
-	// at a runner. More would make this call late, and the urgent ones behind it.
+	// PrefillFraction is the fraction of a route's latency objective for which prompts may wait for
+	// their prefill at a runner. A larger fraction would make this call late, and urgent calls
+	// behind it.
 	PrefillFraction = 0.6
-	// BusyPart is the part of the slots of the best runner that is known to be taken from which
-	// on short prompts are placed by an owner. Nearly idle runners need nobody who knows their work
-	// exactly, and a question a call would be wasted.
+	// BusyFraction is the fraction of the best runner's slots in known use from which on the owner
+	// also places short prompts. Nearly idle runners don't need the owner's exact view, so a
+	// request per call would be wasted there.
 	BusyFraction = 0.5
-	// QuestionCost is what a question to an owner costs, in milliseconds: the way there and back
-	// and its turn. While less work than that can have come to a runner unseen, nobody knows its
-	// work better.
+	// OwnerRequestCost is the cost of a request to an owner in milliseconds: the round trip and the
+	// time in its queue. While less unreported work than that may have reached a runner, the
+	// owner's view is no better than this box's.
 	OwnerRequestCost = 1.0
-	// MemoryPart is the part of a runner's memory that known calls may take. The rest
-	// is for calls of other boxes that are not known yet, and for short prompts.
+	// MemoryFraction is the fraction of a runner's memory that known calls may use. The rest is
+	// kept for calls of other boxes that aren't reported yet, and for short prompts.
 	MemoryFraction = 0.75
-	// HeadroomPart is the same for the one box that a runner's headroom belongs to:
-	// nobody else fills it meanwhile, so less is kept free.
+	// HeadroomFraction is the same for the one box that a runner's headroom is assigned to. No
+	// other box fills the headroom at the same time, so less is kept free.
 	HeadroomFraction = 0.9
-	// WaitPart is the part of the objective that a call waits for room; then it is
-	// refused while it can still be served in time elsewhere or later. Calls that waited
-	// longer were late as often as not once they had room, and kept it from new ones for
+	// WaitFraction is the fraction of the objective for which a call waits for capacity. After that
+	// it is refused, while it can still be served in time elsewhere or later. About half of the
+	// calls that waited longer were late even after they got a slot, and kept it from new calls for
 	// seconds.
 	WaitFraction = 0.2
 )
 
-// Parts of a limit that bound what one call counts against it. Without them the
-// largest prompts would find room only where there is nothing else, and under load be
-// refused while all others are served. With them all prompts above the usual size
-// find room alike.
+// Fractions of a limit that cap how much a single call counts against it. Without the caps, the
+// largest prompts would fit only on an otherwise empty runner, and under load they would be refused
+// while all others are served. With them, every prompt above the usual size is admitted under the
+// same conditions.
 const (
-	largestReadPart   = 0.5
-	largestMemoryPart = 0.25
+	maxPrefillFraction = 0.5
+	maxMemoryFraction  = 0.25
 )
 
-// AsksOwner reports whether a call of some prompt tokens is placed by the owner of the runners,
-// which knows their work exactly, rather than by what its box knows: a long prompt always, since
-// a runner has room for five, and a short one when the best runner is not nearly idle, or when more
-// work than a question costs may have come to it unseen: it would wait behind a long prompt that
-// another box has just placed there. Where no other box calls the best runner, this box knows its
-// work best.
-func ShouldAskOwner(tokens int, best *Candidate, unseen float64) bool {
+// ShouldAskOwner reports whether the owner of the runners, which has an exact view of their work,
+// should place a call with this many prompt tokens, instead of this box. That is so for every long
+// prompt, since a runner has memory for only about five. It is so for a short prompt when the best
+// runner isn't nearly idle, or when more unreported work than a request to the owner costs may have
+// reached it: the call could wait behind a long prompt that another box has just placed there. It
+// is never so when no other box sends calls to the best runner, since then this box has the most
+// accurate view of it.
+func ShouldAskOwner(tokens int, best *Candidate, unreportedWork float64) bool {
 	if best != nil && best.Exclusive {
 		return false
 	}
-	return unseen > OwnerRequestCost || tokens >= MinAffinityTokens || best == nil || best.Slots > 0 && float64(best.InFlight) >= BusyFraction*float64(best.Slots)
+	return unreportedWork > OwnerRequestCost || tokens >= MinAffinityTokens || best == nil || best.Slots > 0 && float64(best.InFlight) >= BusyFraction*float64(best.Slots)
 }
 
 // Admits reports whether a server has the time and the memory for a call.
-func Admits(query Query, c *Candidate) bool { return HasPrefillTime(query, c) && FitsMemory(query, c) }
+func Admits(query Query, candidate *Candidate) bool {
+	return HasPrefillTime(query, candidate) && FitsMemory(query, candidate)
+}
 
-// HasTime reports whether a runner would read the call's prompt soon enough. A runner with
-// nothing to read takes a prompt of any length, since no other could read it sooner.
+// HasPrefillTime reports whether a runner would finish the prefill of the call's prompt soon
+// enough. A runner without pending prefill accepts a prompt of any length, since no other runner
+// would be faster.
 func HasPrefillTime(query Query, c *Candidate) bool {
 	if query.PrefillLimit == 0 || c.PendingTokens == 0 {
 		return true
 	}
 	limit := query.PrefillLimit / c.tokenCost(query)
-	return float64(c.PendingTokens)+min(float64(c.PrefillTokens), largestReadPart*limit) <= limit
+	return float64(c.PendingTokens)+min(float64(c.PrefillTokens), maxPrefillFraction*limit) <= limit
 }
 
-// Fits reports whether the call's prompt fits into a runner's memory beside what is
-// known to run there. A runner with nothing to run takes a prompt of any size, since no
-// other could do better.
+// FitsMemory reports whether the call's prompt fits into a runner's memory next to the calls known
+// to run there. A runner without calls accepts a prompt of any size, since no other runner would
+// have more memory free.
 func FitsMemory(query Query, c *Candidate) bool {
 	if query.Memory == 0 || c.HeldTokens == 0 {
 		return true
@@ -77,11 +83,11 @@
 	if c.HeldTokens+query.Tokens > query.Memory {
 		return false
 	}
-	part := MemoryFraction
+	fraction := MemoryFraction
 	if c.Headroom {
-		part = HeadroomFraction
+		fraction = HeadroomFraction
 	}
-	// The headroom is no reason to count more, so this is a part of what all may take.
-	counted := min(float64(query.Tokens), largestMemoryPart*MemoryFraction*float64(query.Memory))
-	return float64(c.HeldTokens)+counted <= part*float64(query.Memory)
+	// The headroom must not raise the cap, so the cap is a fraction of MemoryFraction.
+	counted := min(float64(query.Tokens), maxMemoryFraction*MemoryFraction*float64(query.Memory))
+	return float64(c.HeldTokens)+counted <= fraction*float64(query.Memory)
 }
--- a/internal/placing/placing.go
+++ b/internal/placing/placing.go
@@ -1,13 +1,12 @@
-// Package placing decides which backend servers may take a call (Admits, in admit.go) and
-// which of those it goes to (Choose): pure functions of plain data, without a clock and
-// without I/O.
+// Package placing decides which backend servers may take a call (Admits, in admit.go) and which of
+// them it goes to (Choose). Its functions are pure: they use no clock and no I/O.
 //
-// For a plain service it is the least loaded server, the box's own zone first.
-// For a prompt it is the least loaded runner too, as long as what the prompt
-// shares with others can be fetched from a store box, since then one runner is as
-// good as another. A shared part that no store box holds yet is read by one of two
-// runners that rendezvous hashing gives it, so that boxes that know nothing of
-// each other do not have it read by several at once.
+// A plain service's call goes to the least loaded server, with a preference for the box's own zone.
+// A prompt also goes to the least loaded runner as long as the parts that it shares with other
+// prompts can be fetched from a store box, since all runners are then equally suitable. A shared
+// part that isn't in any store box yet is computed by one of two runners chosen by rendezvous
+// hashing, so that boxes that are unaware of each other's calls don't have several runners compute
+// it at once.
 package placing
 
 import (
@@ -15,89 +14,92 @@
 	"math"
 )
 
-// Query is the work that a call brings.
+// Query describes the work of a call.
 type Query struct {
-	// Home gives calls that should meet at the same runner the same number; zero
-	// means that any runner will do.
+	// AffinityKey is the same number for calls that should go to the same runner; zero means that
+	// any runner will do.
 	AffinityKey uint64
-	// TokenCost is the time to read a prompt token, in milliseconds.
+	// TokenCost is the prefill time of a prompt token, in milliseconds.
 	TokenCost float64
-	// Spread breaks ties; it differs from call to call.
+	// TieBreaker breaks ties between servers; it differs from call to call.
 	TieBreaker uint64
-	// Unseen is the work in milliseconds that may have come to each runner without this
-	// box knowing of it yet, and LagElsewhere how many milliseconds old the word of boxes
-	// in other zones is.
+	// UnreportedWork is the work, in milliseconds, that may have reached each runner without being
+	// reported to this box yet. OtherZoneLag is the age of the load reports from other zones, in
+	// milliseconds.
 	UnreportedWork float64
 	OtherZoneLag   float64
-	// ReadLimit bounds the time in milliseconds that prompts wait to be read at a
-	// runner, this one included, unless it would be the only one; zero is no bound.
+	// PrefillLimit bounds the time, in milliseconds, until the prefill at a runner is done,
+	// including that of this prompt. It doesn't apply to a runner without other pending prefill.
+	// Zero means no limit.
 	PrefillLimit float64
-	// Tokens is the memory that the call takes at a runner until its end, and Memory
-	// what a runner has. A long prompt goes to no runner where it does not fit beside
-	// the others: it would drive one of them out, which is then read again. A Memory
-	// of zero is no bound.
+	// Tokens is the memory that the call uses at a runner until it ends, and Memory is the memory
+	// of a runner. A long prompt isn't placed where it doesn't fit next to the others: it would
+	// evict one of them, whose prefill would then run again. A Memory of zero means no limit.
 	Tokens int
 	Memory int
 }
 
-// Candidate is what is known of a server that may take the call.
+// Candidate is the known state of a server that may take the call.
 type Candidate struct {
 	// Name identifies the server for rendezvous hashing.
 	Name string
-	// InFlight counts the calls there that are known of; Slots is what it runs at once.
+	// InFlight counts the known calls at the server; Slots is how many calls it runs concurrently.
 	InFlight int
 	Slots    int
-	// PendingTokens is the known prompt work there that is not done.
+	// PendingTokens counts the prompt tokens at the server whose prefill isn't done, as far as
+	// known.
 	PendingTokens int
-	// WorkTokens is the prompt work that the call itself would bring.
+	// PrefillTokens counts the prompt tokens of the call itself that the server would have to
+	// compute.
 	PrefillTokens int
-	// TokenCost is the time to read a prompt token there, in milliseconds; zero stands for the
-	// query's.
+	// TokenCost is the prefill time of a prompt token at this server, in milliseconds; zero selects
+	// the query's value.
 	TokenCost float64
-	// HeldTokens is the memory that the known calls there take.
+	// HeldTokens is the memory that the known calls at the server use.
 	HeldTokens int
-	// Headroom says that this box alone may fill the memory beyond what all may.
+	// Headroom means that only this box may use the memory above the limit that applies to all
+	// boxes.
 	Headroom  bool
 	OtherZone bool
-	// Failing is the recent share of failed calls, 0 to 1.
+	// FailureRate is the recent share of calls that failed, from 0 to 1.
 	FailureRate float64
 	Cold        bool
-	// Exclusive says that this box may send the server a bounded number of calls and counts them itself,
-	// so that no owner knows better.
+	// Exclusive means that this box may send the server a bounded number of calls and counts them
+	// itself, so that no owner has a more accurate view.
 	Exclusive bool
-	// ExtraCost in milliseconds comes on top.
+	// ExtraCost is added to the estimated wait, in milliseconds.
 	ExtraCost float64
 }
 
 // Costs, in milliseconds of waiting.
 const (
-	// callCost is what each call in flight adds to the next one's time: a step of
-	// the batch grows by 0.05 to 0.12 ms with each, and an answer has some 20.
-	callCost = 2.0
-	// zoneCost covers the way to another zone and back, and the bytes that cross between
-	// zones.
-	zoneCost = 6.0
-	// lagCost is what each millisecond by which the word from other zones is older than
-	// usualLag adds: what is known of their runners is out of date by so much.
-	lagCost  = 0.06
-	usualLag = 100.0
-	// failingCost is what a certain failure costs.
-	failingCost = 400.0
-	// coldCost keeps calls from a server that is still slow, while others do.
+	// inFlightCost is how much each call in flight delays the next one. Each adds 0.05 to 0.12 ms
+	// to a step of the batch, and an answer takes some 20 steps.
+	inFlightCost = 2.0
+	// otherZoneCost covers the round trip to another zone and the traffic between zones.
+	otherZoneCost = 6.0
+	// lagCost is added for each millisecond by which load reports from other zones are older than
+	// normalLag, since the known load of their runners is outdated by as much.
+	lagCost   = 0.06
+	normalLag = 100.0
+	// failureCost is the cost of a call that is certain to fail.
+	failureCost = 400.0
+	// coldCost keeps calls away from a server that is still slow after its start, while other
+	// servers are available.
 	coldCost = 20.0
-	// fullCost is the wait for a slot when all are taken.
+	// fullCost is the wait for a slot when all are in use.
 	fullCost = 100.0
-	// homeSlack is how much longer a call waits at the home of what it shares
-	// before it goes elsewhere; reading 10,000 tokens again takes 60 to 180 ms.
-	homeSlack = 150.0
+	// affinitySlack is how much longer a call may wait at the runner that its affinity key selects
+	// before it goes to another one. Computing 10,000 tokens again takes 60 to 180 ms.
+	affinitySlack = 150.0
 )
 
-// Choose gives the index of the best of the candidates, which are admitted, or -1
-// without any.
+// Choose returns the index of the best candidate, or -1 if there are none. All candidates must have
+// been admitted.
 func Choose(query Query, candidates []Candidate) int {
 	best, bestCost := -1, math.Inf(1)
 	for i := range candidates {
-		cost := waiting(query, &candidates[i]) + tie(query, candidates[i].Name)
+		cost := waiting(query, &candidates[i]) + tieBreak(query, candidates[i].Name)
 		if cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -105,20 +107,20 @@
 	if query.AffinityKey == 0 || best < 0 {
 		return best
 	}
-	first, second := homes(query.AffinityKey, candidates)
-	for _, home := range [...]int{first, second} {
-		if home >= 0 && waiting(query, &candidates[home]) <= bestCost+homeSlack {
-			return home
+	first, second := affinityCandidates(query.AffinityKey, candidates)
+	for _, preferred := range [...]int{first, second} {
+		if preferred >= 0 && waiting(query, &candidates[preferred]) <= bestCost+affinitySlack {
+			return preferred
 		}
 	}
 	return best
 }
 
-// waiting estimates the time that a call waits at a server.
+// waiting estimates how long a call waits at a server.
 func waiting(query Query, c *Candidate) float64 {
-	cost := float64(c.PendingTokens+c.PrefillTokens)*c.tokenCost(query) + float64(c.InFlight)*callCost + c.FailureRate*failingCost + c.ExtraCost
+	cost := float64(c.PendingTokens+c.PrefillTokens)*c.tokenCost(query) + float64(c.InFlight)*inFlightCost + c.FailureRate*failureCost + c.ExtraCost
 	if c.OtherZone {
-		cost += zoneCost + lagCost*max(query.OtherZoneLag-usualLag, 0)
+		cost += otherZoneCost + lagCost*max(query.OtherZoneLag-normalLag, 0)
 	}
 	if c.Cold {
 		cost += coldCost
@@ -129,24 +131,24 @@
 	return cost
 }
 
-// tokenCost gives the time to read a prompt token at the server, in milliseconds.
+// tokenCost returns the prefill time of a prompt token at the server, in milliseconds.
 func (c *Candidate) tokenCost(query Query) float64 { return cmp.Or(c.TokenCost, query.TokenCost) }
 
-// tieRange spreads calls over servers that differ by less, in milliseconds.
+// tieRange is the cost difference, in milliseconds, below which calls are spread over servers.
 const tieRange = 1.0
 
-// tie gives a server's part in the breaking of ties for a call, of 0 to tieRange, or to the
-// work that may have come there unseen.
-func tie(query Query, name string) float64 {
+// tieBreak returns a pseudo-random cost for a server and a call, from 0 to tieRange, or to the
+// unreported work that may have reached the server if that is more.
+func tieBreak(query Query, name string) float64 {
 	return max(tieRange, query.UnreportedWork) * float64(rank(query.TieBreaker, name)>>11) / (1 << 53)
 }
 
-// homes gives the two candidates of lowest rendezvous rank.
-func homes(home uint64, candidates []Candidate) (first, second int) {
+// affinityCandidates returns the indices of the two candidates with the lowest rendezvous rank.
+func affinityCandidates(key uint64, candidates []Candidate) (first, second int) {
 	first, second = -1, -1
 	var firstRank, secondRank uint64
 	for i := range candidates {
-		r := rank(home, candidates[i].Name)
+		r := rank(key, candidates[i].Name)
 		switch {
 		case first < 0 || r < firstRank:
 			first, second, firstRank, secondRank = i, first, r, firstRank
@@ -157,8 +159,8 @@
 	return first, second
 }
 
-// Numbers of the two hashes that rank is made of. All boxes must rank alike, so they are
-// no more to be changed than a message between boxes.
+// Constants of the two hashes that rank combines. All boxes must compute the same ranks, so
+// changing these is as incompatible as changing a message between boxes.
 const (
 	fnvOffset   = 14695981039346656037
 	fnvPrime    = 1099511628211
--- a/internal/placing/placing_test.go
+++ b/internal/placing/placing_test.go
@@ -17,15 +17,15 @@
 	return candidates
 }
 
-func TestTheLeastLoadedServerIsTaken(t *testing.T) {
+func TestChooseTakesLeastLoadedServer(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(c []placing.Candidate)
 		want   int
 	}{
 		{"fewer calls", func(c []placing.Candidate) { c[0].InFlight, c[1].InFlight, c[2].InFlight = 4, 1, 4 }, 1},
-		{"less to read", func(c []placing.Candidate) { c[0].PendingTokens, c[1].PendingTokens = 9000, 9000 }, 2},
-		{"less of its own to read", func(c []placing.Candidate) { c[0].PrefillTokens, c[2].PrefillTokens = 9000, 9000 }, 1},
+		{"less pending prefill", func(c []placing.Candidate) { c[0].PendingTokens, c[1].PendingTokens = 9000, 9000 }, 2},
+		{"less prefill of the call itself", func(c []placing.Candidate) { c[0].PrefillTokens, c[2].PrefillTokens = 9000, 9000 }, 1},
 		{"not failing", func(c []placing.Candidate) { c[0].FailureRate, c[1].FailureRate = 0.5, 0.5 }, 2},
 		{"own zone", func(c []placing.Candidate) { c[0].OtherZone, c[2].OtherZone = true, true }, 1},
 		{"not full", func(c []placing.Candidate) { c[0].InFlight, c[1].InFlight, c[2].InFlight = 16, 16, 15 }, 2},
@@ -37,53 +37,53 @@
 			g := NewWithT(t)
 			candidates := runners(3)
 			test.change(candidates)
-			for spread := range uint64(20) {
-				g.Expect(placing.Choose(placing.Query{TieBreaker: spread, TokenCost: 0.01}, candidates)).To(Equal(test.want))
+			for tieBreaker := range uint64(20) {
+				g.Expect(placing.Choose(placing.Query{TieBreaker: tieBreaker, TokenCost: 0.01}, candidates)).To(Equal(test.want))
 			}
 		})
 	}
 }
 
-func TestNobodyIsTakenWithoutCandidates(t *testing.T) {
+func TestChooseWithoutCandidates(t *testing.T) {
 	NewWithT(t).Expect(placing.Choose(placing.Query{AffinityKey: 7}, nil)).To(Equal(-1))
 }
 
-func TestEqualServersShareTheCalls(t *testing.T) {
+func TestEqualServersShareCalls(t *testing.T) {
 	g := NewWithT(t)
 	counts := make([]int, 4)
-	for spread := range uint64(4000) {
-		counts[placing.Choose(placing.Query{TieBreaker: spread * 0x9e3779b97f4a7c15}, runners(4))]++
+	for tieBreaker := range uint64(4000) {
+		counts[placing.Choose(placing.Query{TieBreaker: tieBreaker * 0x9e3779b97f4a7c15}, runners(4))]++
 	}
 	for _, count := range counts {
 		g.Expect(count).To(BeNumerically("~", 1000, 150))
 	}
 }
 
-// Boxes that know nothing of each other must choose the same runner for a part that
-// is kept nowhere, and one that is busy must give way to another, the same for all.
-func TestCallsOfOneHomeMeet(t *testing.T) {
+// Boxes that are unaware of each other's calls must choose the same runner for a part that isn't in
+// any store box. If that runner is busy, all must choose the same alternative.
+func TestCallsWithSameAffinityKeyMeet(t *testing.T) {
 	g := NewWithT(t)
-	for home := uint64(1); home < 200; home++ {
-		first := placing.Choose(placing.Query{AffinityKey: home, TieBreaker: 1, TokenCost: 0.01}, runners(14))
-		for spread := range uint64(8) {
-			g.Expect(placing.Choose(placing.Query{AffinityKey: home, TieBreaker: spread, TokenCost: 0.01}, runners(14))).To(Equal(first))
+	for key := uint64(1); key < 200; key++ {
+		first := placing.Choose(placing.Query{AffinityKey: key, TieBreaker: 1, TokenCost: 0.01}, runners(14))
+		for tieBreaker := range uint64(8) {
+			g.Expect(placing.Choose(placing.Query{AffinityKey: key, TieBreaker: tieBreaker, TokenCost: 0.01}, runners(14))).To(Equal(first))
 		}
 		busy := runners(14)
 		busy[first].PendingTokens = 100_000
-		second := placing.Choose(placing.Query{AffinityKey: home, TieBreaker: 1, TokenCost: 0.01}, busy)
+		second := placing.Choose(placing.Query{AffinityKey: key, TieBreaker: 1, TokenCost: 0.01}, busy)
 		g.Expect(second).NotTo(Equal(first))
-		g.Expect(placing.Choose(placing.Query{AffinityKey: home, TieBreaker: 2, TokenCost: 0.01}, busy)).To(Equal(second))
+		g.Expect(placing.Choose(placing.Query{AffinityKey: key, TieBreaker: 2, TokenCost: 0.01}, busy)).To(Equal(second))
 	}
 }
 
-// A runner that goes moves only the homes that it was.
-func TestHomesStayWhenAnotherRunnerGoes(t *testing.T) {
+// When a runner goes away, only the affinity keys that selected it move to another one.
+func TestAffinityIsKeptWhenAnotherRunnerLeaves(t *testing.T) {
 	g := NewWithT(t)
 	all := runners(14)
-	for home := uint64(1); home < 200; home++ {
-		before := all[placing.Choose(placing.Query{AffinityKey: home, TokenCost: 0.01}, all)].Name
+	for key := uint64(1); key < 200; key++ {
+		before := all[placing.Choose(placing.Query{AffinityKey: key, TokenCost: 0.01}, all)].Name
 		fewer := all[:13]
-		after := fewer[placing.Choose(placing.Query{AffinityKey: home, TokenCost: 0.01}, fewer)].Name
+		after := fewer[placing.Choose(placing.Query{AffinityKey: key, TokenCost: 0.01}, fewer)].Name
 		if before != "runner-13" {
 			g.Expect(after).To(Equal(before))
 		}
--- a/internal/placing/unreported_test.go
+++ b/internal/placing/unreported_test.go
@@ -8,16 +8,16 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// herd has boxes that all see the same old loads choose, and gives how many chose the
-// runner that most of them did.
-func herd(boxes int, unseen float64) int {
+// maxCallsAtOneRunner has many boxes choose from the same outdated loads, and returns how many
+// calls the most chosen runner gets.
+func maxCallsAtOneRunner(boxes int, unreportedWork float64) int {
 	candidates := runners(15)
 	for i := range candidates {
 		candidates[i].InFlight = i % 4 // 2 ms of waiting each
 	}
 	chosen := make([]int, len(candidates))
 	for box := range boxes {
-		at := placing.Choose(placing.Query{TieBreaker: uint64(box+1) * 0x9e3779b97f4a7c15, TokenCost: 0.02, UnreportedWork: unseen}, candidates)
+		at := placing.Choose(placing.Query{TieBreaker: uint64(box+1) * 0x9e3779b97f4a7c15, TokenCost: 0.02, UnreportedWork: unreportedWork}, candidates)
 		chosen[at]++
 	}
 	most := 0
@@ -27,26 +27,26 @@
 	return most
 }
 
-// Sixteen calls come to a zone of twenty boxes before these hear of each other's. When all
-// chose the least busy runner of what they knew, first events came 400 ms later than
-// expected at 82 boxes; the mean worth of two days there rose from 0.54 to 0.64.
-func TestBoxesThatSeeTheSameOldLoadsSpreadTheirCalls(t *testing.T) {
+// Sixteen calls arrive in a zone with twenty boxes before the boxes get each other's load reports.
+// When all boxes chose the runner that looked least busy, first events at 82 boxes came 400 ms
+// later than expected. Spreading the calls raised the mean score over two days from 0.54 to 0.64.
+func TestBoxesWithSameOutdatedLoadsSpreadCalls(t *testing.T) {
 	g := NewWithT(t)
 	const boxes = 160
-	g.Expect(herd(boxes, 0)).To(BeNumerically(">", boxes/5), "four runners are least busy")
-	g.Expect(herd(boxes, 30)).To(BeNumerically("<", boxes/5), "fifteen runners differ by less than what may have come")
+	g.Expect(maxCallsAtOneRunner(boxes, 0)).To(BeNumerically(">", boxes/5), "four runners look least busy")
+	g.Expect(maxCallsAtOneRunner(boxes, 30)).To(BeNumerically("<", boxes/5), "the loads of fifteen runners differ by less than the unreported work")
 }
 
-// What is known of runners in other zones is old in a large fleet, so they must look much
+// In a large fleet, the known load of runners in other zones is outdated, so they must look much
 // better to be chosen.
-func TestRunnersElsewhereMustLookBetterTheOlderTheWordOfThem(t *testing.T) {
+func TestOutdatedLoadsOfOtherZonesCostMore(t *testing.T) {
 	tests := []struct {
 		name string
 		lag  float64
 		want int
 	}{
 		{"news", 80, 1},
-		{"old word", 700, 0},
+		{"outdated reports", 700, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
