--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -1,15 +1,17 @@
-// Package coldstart bounds the calls that reach a backend server while it is cold: for some seconds
-// after its start, and whenever it says so, a server bears few calls a second and crashes under many
-// more.
+// Package coldstart limits the calls to a backend server while it is cold. A server is cold for
+// some seconds after its start, and whenever it reports so. It can then handle only a few calls per
+// second, and crashes under many more.
 //
-// The load that it answers: all servers of an availability zone return at once, empty, while every
-// other one is busy, so each entry box finds them the least loaded.
+// The package protects against the return of a whole availability zone. All of its servers come
+// back at once and idle while every other server is busy, so each entry box finds them the least
+// loaded.
 //
-// Boxes share no counter. One box, which rendezvous hashing over the listed boxes gives (package
-// loadshare), calls a cold server. Lists differ by their lag, so a box begins some seconds after it
-// was listed, and stops when it is about to leave or knows nothing new of the servers for as long.
-// Its Window admits half of what the platform allows in a second, so the bound also holds while two
-// boxes take themselves for the one.
+// Boxes share no counter. Instead, a single box sends calls to a cold server; rendezvous hashing
+// over the listed boxes selects it (package loadshare). The boxes' lists may differ for a while
+// because they are replicated with a lag. So a box starts only some seconds after it was listed,
+// and stops when it is about to leave or when its view of the servers hasn't been updated for as
+// long. A Window admits half of the calls that the platform allows per second, so the limit also
+// holds while two boxes both consider themselves the selected one.
 package coldstart
 
 import (
@@ -17,55 +19,55 @@
 	"time"
 )
 
-// Limit is what a platform says of the cold servers of a service. The zero value bounds nothing.
+// Limit is the platform's limit for the cold servers of a service. The zero value sets no limit.
 type Limit struct {
-	// Length is how long a server is cold after its start.
+	// ColdTime is how long a server is cold after its start.
 	ColdTime time.Duration
-	// PerSecond is how many calls a second a cold server bears; all boxes together may send it
-	// Overage times as many, and Slack more, in any second.
+	// PerSecond is how many calls per second a cold server can handle. All boxes together may send
+	// Overage times as many, plus Slack, within any second.
 	PerSecond, Overage, Slack float64
 }
 
-// Bounded reports whether the calls to cold servers are bounded at all.
+// Bounded reports whether calls to cold servers are limited at all.
 func (l Limit) Bounded() bool { return l.PerSecond > 0 }
 
 const (
-	// concurrentOwners is for how many boxes at a time the bound holds that take themselves for the
-	// only one that calls a server.
+	// concurrentOwners is the number of boxes that may consider themselves the only caller of a
+	// server at the same time without exceeding the limit.
 	concurrentOwners = 2
-	// sendMargin is how much later than it was admitted a call may reach the server: as long as it
-	// stays valid (AdmittedFor), and a connect.
-	sendMargin = 300 * time.Millisecond
-	// AdmittedFor is how long an admitted call may take until it is handed over. A box that was
-	// suspended or lacked the processor for longer has to admit it anew.
+	// deliveryMargin is the longest time from a call's admission to its arrival at the server: the
+	// validity of the admission (AdmissionValidity) plus a connect.
+	deliveryMargin = 300 * time.Millisecond
+	// AdmissionValidity is how long after its admission a call may be sent. A box that was
+	// suspended or got no CPU time for longer must admit the call again.
 	AdmissionValidity = 150 * time.Millisecond
 )
 
-// windowLength is the time over which a Window counts: a call admitted within it may arrive in the
-// same second as one that is admitted now.
-const windowLength = time.Second + sendMargin
+// windowLength is the period over which a Window counts. A call admitted within it may arrive in
+// the same second as one that is admitted now.
+const windowLength = time.Second + deliveryMargin
 
-// calls gives how many calls one box may admit within windowLength: its part of what all may send in
-// a second, and no more than the server bears for long.
-func (l Limit) calls() int {
-	part := math.Floor((l.PerSecond*l.Overage + l.Slack) / concurrentOwners)
-	return int(max(min(part, math.Floor(l.PerSecond*windowLength.Seconds())), 1))
+// maxCalls returns how many calls one box may admit within windowLength: its share of what all
+// boxes may send in a second, but no more than the server can handle permanently.
+func (l Limit) maxCalls() int {
+	share := math.Floor((l.PerSecond*l.Overage + l.Slack) / concurrentOwners)
+	return int(max(min(share, math.Floor(l.PerSecond*windowLength.Seconds())), 1))
 }
 
-// Window counts the calls that this box admitted to one server lately. The zero value has admitted
-// none. It is not safe for concurrent use.
+// Window counts the calls that this box recently admitted to one server. The zero value is an empty
+// window. It is not safe for concurrent use.
 type Window struct {
-	// admitted are the times of the last calls, oldest first.
+	// admitted holds the times of the last admissions, oldest first.
 	admitted []time.Time
 }
 
-// HasRoom reports whether a call may be admitted at time now.
+// HasRoom reports whether a call may be admitted at the time now.
 func (w *Window) HasRoom(limit Limit, now time.Time) bool {
 	w.expire(now)
-	return len(w.admitted) < limit.calls()
+	return len(w.admitted) < limit.maxCalls()
 }
 
-// Admit notes a call that is admitted at time now.
+// Admit records a call that is admitted at the time now.
 func (w *Window) Admit(now time.Time) {
 	w.expire(now)
 	w.admitted = append(w.admitted, now)
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -9,22 +9,23 @@
 	"github.com/cometlock/cometlock/internal/coldstart"
 )
 
-// A window admits its part of what all boxes may send in a second, however the calls come.
-func TestAWindowAdmitsItsPart(t *testing.T) {
+// A window admits its share of what all boxes may send in a second, at any arrival rate.
+func TestWindowAdmitsItsShare(t *testing.T) {
 	tests := []struct {
 		name  string
 		limit coldstart.Limit
-		// pause lies between two calls, and most is what may be admitted in any second.
+		// pause is the time between two calls, and most is the maximum that may be admitted in any
+		// second.
 		pause time.Duration
 		most  int
-		// least is what must be admitted in ten seconds.
+		// least is the minimum that must be admitted in ten seconds.
 		least int
 	}{
 		{"all at once", coldstart.Limit{PerSecond: 14, Overage: 1.5, Slack: 5}, time.Millisecond, 13, 90},
-		{"one after the other", coldstart.Limit{PerSecond: 14, Overage: 1.5, Slack: 5}, 90 * time.Millisecond, 13, 90},
-		{"fewer than allowed", coldstart.Limit{PerSecond: 14, Overage: 1.5, Slack: 5}, 250 * time.Millisecond, 4, 40},
-		{"no more than it bears for long", coldstart.Limit{PerSecond: 4, Overage: 3, Slack: 20}, time.Millisecond, 5, 35},
-		{"a bound of one", coldstart.Limit{PerSecond: 1, Overage: 1}, time.Millisecond, 1, 7},
+		{"evenly spread", coldstart.Limit{PerSecond: 14, Overage: 1.5, Slack: 5}, 90 * time.Millisecond, 13, 90},
+		{"below the limit", coldstart.Limit{PerSecond: 14, Overage: 1.5, Slack: 5}, 250 * time.Millisecond, 4, 40},
+		{"no more than it can handle permanently", coldstart.Limit{PerSecond: 4, Overage: 3, Slack: 20}, time.Millisecond, 5, 35},
+		{"a limit of one", coldstart.Limit{PerSecond: 1, Overage: 1}, time.Millisecond, 1, 7},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -51,7 +52,7 @@
 	}
 }
 
-func TestALimitWithoutARateBoundsNothing(t *testing.T) {
+func TestLimitWithoutRateIsUnbounded(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(coldstart.Limit{ColdTime: time.Second, Overage: 1}.Bounded()).To(BeFalse())
 	g.Expect(coldstart.Limit{PerSecond: 1}.Bounded()).To(BeTrue())
