--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,8 +1,9 @@
-// Package evacuation keeps which availability zones operators have evacuated. No call is handed to
-// a server of an evacuated zone until the operators take the zone back; calls that run there go on.
+// Package evacuation tracks which availability zones operators have evacuated. Servers of an
+// evacuated zone get no new calls until the operators return the zone to service; calls in progress
+// there continue.
 //
-// The newest record on a zone decides, by the order of the platform's log: a record that arrives
-// late changes nothing.
+// The record with the highest offset in the platform's log wins for each zone, so a record that
+// arrives late changes nothing.
 package evacuation
 
 import (
@@ -10,60 +11,61 @@
 	"time"
 )
 
-// Change is one record of the operators.
+// Change is an operator's record about a zone.
 type Change struct {
 	Zone string
-	// Active says that the zone is evacuated, rather than taken back.
+	// Evacuate is true if the zone is evacuated, and false if it returns to service.
 	Evacuate bool
 	// Offset is the record's position in the log.
 	Offset int64
 }
 
-// Zones holds the state of all zones on which there was a record. The zero value knows none. It is
-// not safe for concurrent use.
+// Zones holds the state of all zones with a record. The zero value has none. It is not safe for
+// concurrent use.
 type Zones struct {
-	zones map[string]state
+	states map[string]state
 }
 
-// state is what the newest record on a zone says.
+// state is the content of the newest record about a zone.
 type state struct {
-	active bool
-	offset int64
-	// endedAt is when this process learned that the zone was taken back.
+	evacuated bool
+	offset    int64
+	// endedAt is when this process learned that the evacuation ended.
 	endedAt time.Time
 }
 
-// Apply takes over a record at time now, and reports whether the zone's state changed.
+// Apply processes a record at the time now, and reports whether the zone's state changed.
 func (z *Zones) Apply(change Change, now time.Time) (changed bool) {
-	before, known := z.zones[change.Zone]
+	before, known := z.states[change.Zone]
 	if known && change.Offset < before.offset {
 		return false
 	}
-	next := state{active: change.Evacuate, offset: change.Offset, endedAt: before.endedAt}
-	if before.active && !next.active {
+	next := state{evacuated: change.Evacuate, offset: change.Offset, endedAt: before.endedAt}
+	if before.evacuated && !next.evacuated {
 		next.endedAt = now
 	}
-	if z.zones == nil {
-		z.zones = map[string]state{}
+	if z.states == nil {
+		z.states = map[string]state{}
 	}
-	z.zones[change.Zone] = next
-	return before.active != next.active
+	z.states[change.Zone] = next
+	return before.evacuated != next.evacuated
 }
 
-// Active reports whether a zone is evacuated.
-func (z *Zones) IsEvacuated(zone string) bool { return z.zones[zone].active }
+// IsEvacuated reports whether a zone is evacuated.
+func (z *Zones) IsEvacuated(zone string) bool { return z.states[zone].evacuated }
 
-// EndedAt gives when this process learned that a zone was taken back; zero if it never was.
-func (z *Zones) EndedAt(zone string) time.Time { return z.zones[zone].endedAt }
+// EndedAt returns when this process learned that the last evacuation of a zone ended; zero if none
+// has.
+func (z *Zones) EndedAt(zone string) time.Time { return z.states[zone].endedAt }
 
-// All lists the evacuated zones in the order of their names.
+// List returns the evacuated zones, sorted by name.
 func (z *Zones) List() []string {
-	var active []string
-	for zone, state := range z.zones {
-		if state.active {
-			active = append(active, zone)
+	var evacuated []string
+	for zone, state := range z.states {
+		if state.evacuated {
+			evacuated = append(evacuated, zone)
 		}
 	}
-	slices.Sort(active)
-	return active
+	slices.Sort(evacuated)
+	return evacuated
 }
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -9,7 +9,7 @@
 	"github.com/cometlock/cometlock/internal/evacuation"
 )
 
-func TestTheNewestRecordOnAZoneDecides(t *testing.T) {
+func TestNewestZoneRecordWins(t *testing.T) {
 	begin, end := evacuation.Change{Zone: "a", Evacuate: true, Offset: 3}, evacuation.Change{Zone: "a", Offset: 5}
 	tests := []struct {
 		name    string
@@ -19,9 +19,9 @@
 	}{
 		{"none", nil, nil, false},
 		{"evacuated", []evacuation.Change{begin}, []string{"a"}, false},
-		{"taken back", []evacuation.Change{begin, end}, nil, true},
-		{"taken back before this process knew of it", []evacuation.Change{end, begin}, nil, false},
-		{"the same record again", []evacuation.Change{begin, begin}, []string{"a"}, false},
+		{"returned to service", []evacuation.Change{begin, end}, nil, true},
+		{"a late record after the end", []evacuation.Change{end, begin}, nil, false},
+		{"the same record twice", []evacuation.Change{begin, begin}, []string{"a"}, false},
 		{"evacuated again", []evacuation.Change{begin, end, {Zone: "a", Evacuate: true, Offset: 6}}, []string{"a"}, true},
 		{"two zones", []evacuation.Change{begin, {Zone: "b", Evacuate: true, Offset: 4}}, []string{"a", "b"}, false},
 	}
