--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,17 +1,18 @@
-// Package retrybudget keeps retries from outliving their cause.
+// Package retrybudget limits retries with a token bucket, so that they don't prolong the overload
+// that caused them.
 //
-// Every first try earns a part of a retry, and every retry costs a whole one.
-// With a tenth earned a try, an outage can add at most a tenth to the load, so
-// a fleet that failed under load is not held down by the retries of that load.
+// Every first try adds a fraction of a token, and every retry takes a whole one. With a tenth of a
+// token per first try, an outage adds at most a tenth to the load, so retries can't keep a fleet
+// down that failed under load.
 package retrybudget
 
 import "sync"
 
-// Config sets up a Budget.
+// Config configures a Budget.
 type Config struct {
-	// PerRequest is how much of a retry each first try earns.
+	// PerRequest is the fraction of a retry that each first try adds.
 	PerRequest float64
-	// Burst is how many retries may be saved up.
+	// Burst is the maximum number of saved retries.
 	Burst float64
 }
 
@@ -21,17 +22,17 @@
 	DefaultBurst      = 20
 )
 
-// Budget counts retries against first tries.
+// Budget limits the ratio of retries to first tries.
 type Budget struct {
 	perRequest float64
 	burst      float64
 
-	mu     sync.Mutex
-	saved  float64
-	denied uint64
+	mu      sync.Mutex
+	balance float64
+	denied  uint64
 }
 
-// New makes a budget that is full.
+// New returns a full budget.
 func New(cfg Config) *Budget {
 	if cfg.PerRequest == 0 {
 		cfg.PerRequest = DefaultPerRequest
@@ -39,41 +40,41 @@
 	if cfg.Burst == 0 {
 		cfg.Burst = DefaultBurst
 	}
-	return &Budget{perRequest: cfg.PerRequest, burst: cfg.Burst, saved: cfg.Burst}
+	return &Budget{perRequest: cfg.PerRequest, burst: cfg.Burst, balance: cfg.Burst}
 }
 
-// SetBurst changes how many retries may be saved up.
+// SetBurst changes the maximum number of saved retries.
 func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.burst = burst
-	b.saved = min(b.saved, burst)
+	b.balance = min(b.balance, burst)
 }
 
-// Earn counts a first try.
+// Deposit counts a first try.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.saved+b.perRequest, b.burst)
+	b.balance = min(b.balance+b.perRequest, b.burst)
 }
 
-// Take asks for one retry and reports whether the budget allows it.
+// TryWithdraw takes one retry out of the budget, and reports whether the budget allowed it.
 func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.balance < 1 {
 		b.denied++
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
 
-// Return gives a retry back that was taken and not made.
+// Refund returns a retry that was withdrawn but not made.
 func (b *Budget) Refund() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.saved+1, b.burst)
+	b.balance = min(b.balance+1, b.burst)
 }
 
 // State is the part of a state dump that describes the budget.
@@ -82,9 +83,9 @@
 	Denied  uint64  `json:"denied"`
 }
 
-// State describes the budget as it is now.
+// State returns the current state of the budget.
 func (b *Budget) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return State{Balance: b.saved, Denied: b.denied}
+	return State{Balance: b.balance, Denied: b.denied}
 }
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -8,16 +8,16 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// After the saved-up retries are gone, an outage can add at most a tenth to the
-// load, however many requests fail.
-func TestRetriesCannotOutgrowTheLoad(t *testing.T) {
+// Once the saved retries are used up, an outage can add at most a tenth to the load, no matter how
+// many requests fail.
+func TestRetriesAreBoundedByLoad(t *testing.T) {
 	g := NewWithT(t)
 	budget := retrybudget.New(retrybudget.Config{})
 	retries := 0
 	const requests = 10_000
 	for range requests {
 		budget.Deposit()
-		for range 3 { // each failure would like several retries
+		for range 3 { // each failed request attempts several retries
 			if budget.TryWithdraw() {
 				retries++
 			}
