--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,6 +1,6 @@
-// Package mechanism names what an entry box does beyond the least, so that each can be
-// switched off alone and its worth measured. All are on unless the box's settings say
-// otherwise; nothing is switched while a process lives.
+// Package mechanism names the optional features of an entry box, so that each one can be switched
+// off separately to measure its effect. All are on unless the box's settings switch them off. They
+// can't be changed while a process runs.
 package mechanism
 
 import (
@@ -10,48 +10,49 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Mechanism is one of them.
+// Mechanism is an optional feature.
 type Mechanism string
 
 // The mechanisms.
 const (
-	// ZoneReaders has one box of a zone read the log and ask the store boxes.
+	// ZoneReaders has one box per zone read the log and query the store boxes for all boxes of the
+	// zone.
 	ZoneReaders Mechanism = "zone-readers"
-	// Hubs has one box of a zone pass on what boxes tell each other, where there are many.
+	// Hubs has one box per zone relay the load reports between boxes when there are many boxes.
 	Hubs Mechanism = "hubs"
 	// Owners has the owner of a zone's runners place the long prompts of all boxes there.
 	Owners Mechanism = "owners"
-	// WaitingLine lets calls wait for room.
+	// WaitingLine queues calls until there is capacity.
 	WaitingLine Mechanism = "waiting-line"
-	// Homes has calls that share an unknown part meet at one runner.
+	// Homes routes calls that share a prompt part that no store box holds to the same runner.
 	Homes Mechanism = "homes"
-	// Headroom leaves a part of a runner's memory to one box.
+	// Headroom reserves a fraction of a runner's memory for one box.
 	Headroom Mechanism = "headroom"
-	// SlowStores spares store boxes whose links are slow.
+	// SlowStores reduces the load on store boxes with slow links.
 	SlowStores Mechanism = "slow-stores"
-	// StoreKinds sends large parts to large store boxes and small ones to quick ones.
+	// StoreKinds saves large parts to large store boxes and small ones to fast store boxes.
 	StoreKinds Mechanism = "store-kinds"
-	// KeptConnections keeps connections to servers for as long as these leave them open.
+	// KeptConnections keeps idle connections to servers for as long as the servers leave them open.
 	KeptConnections Mechanism = "kept-connections"
-	// Suspicion leaves servers alone that could not be reached.
+	// Suspicion avoids servers that couldn't be reached.
 	Suspicion Mechanism = "suspicion"
-	// ReadRates places prompts by how fast each runner reads.
+	// ReadRates places prompts by the prefill rate of each runner.
 	ReadRates Mechanism = "read-rates"
-	// PausedLoading keeps new calls from a runner before it is ordered to load weights.
+	// PausedLoading stops new calls to a runner before it is ordered to load weights.
 	PausedLoading Mechanism = "paused-loading"
 )
 
-// All lists them.
+// All returns all mechanisms.
 func All() []Mechanism {
 	return []Mechanism{
 		ZoneReaders, Hubs, Owners, WaitingLine, Homes, Headroom, SlowStores, StoreKinds, KeptConnections, Suspicion, ReadRates, PausedLoading,
 	}
 }
 
-// Off is a set of mechanisms that are switched off; the zero value switches none off.
-type Switches struct{ off []Mechanism }
+// Switches records which mechanisms are switched off. In the zero value all are on.
+type Switches struct{ disabled []Mechanism }
 
-// Parse reads names separated by commas.
+// Parse parses a comma-separated list of the mechanisms to switch off.
 func Parse(names string) (Switches, error) {
 	var parsed Switches
 	for name := range strings.SplitSeq(names, ",") {
@@ -61,18 +62,18 @@
 		if !slices.Contains(All(), Mechanism(name)) {
 			return Switches{}, merry.Errorf("no mechanism %q; there are %v", name, All())
 		}
-		parsed.off = append(parsed.off, Mechanism(name))
+		parsed.disabled = append(parsed.disabled, Mechanism(name))
 	}
 	return parsed, nil
 }
 
-// On reports whether a mechanism is on.
-func (o Switches) Enabled(m Mechanism) bool { return !slices.Contains(o.off, m) }
+// Enabled reports whether a mechanism is on.
+func (s Switches) Enabled(m Mechanism) bool { return !slices.Contains(s.disabled, m) }
 
-// String gives the names, for the log.
-func (o Switches) String() string {
-	names := make([]string, len(o.off))
-	for i, m := range o.off {
+// String returns the names of the mechanisms that are off, for the log.
+func (s Switches) String() string {
+	names := make([]string, len(s.disabled))
+	for i, m := range s.disabled {
 		names[i] = string(m)
 	}
 	return strings.Join(names, ",")
