--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -1,5 +1,5 @@
-// Asking: a box asks the owner of a zone's servers, and chooses by itself when that one does not
-// answer soon.
+// Client side: a box requests a place from the owner of a zone's servers, and chooses a server
+// itself if the owner doesn't respond soon.
 
 package places
 
@@ -16,110 +16,113 @@
 )
 
 const (
-	// connectLimit bounds a connect, and answerLimit the wait for an answer besides what the
-	// call may wait for room: several times what an owner needs that is asked by 50 boxes at
-	// once, and a small part of the objective of a call.
-	connectLimit = 60 * time.Millisecond
-	answerLimit  = 60 * time.Millisecond
-	// silentFor is how long an owner that did not answer is left alone. Another one takes its
-	// place within a second if it is gone.
-	silentFor = 2 * time.Second
-	// mostIdle bounds the open connections to one owner that no question is on: calls that
-	// wait for room hold one each.
-	mostIdle = 4
-	// longestRest is how long a connection may rest. The owner closes it after questionLimit.
-	longestRest = 20 * time.Second
+	// connectTimeout bounds a connect, and responseTimeout the wait for a response on top of the
+	// time for which the call may wait for capacity. Both are several times the response time of an
+	// owner that gets requests from 50 boxes at once, and a small fraction of a call's latency
+	// objective.
+	connectTimeout  = 60 * time.Millisecond
+	responseTimeout = 60 * time.Millisecond
+	// unresponsiveTime is how long an owner that didn't respond gets no requests. If it is gone,
+	// another box becomes the owner within a second.
+	unresponsiveTime = 2 * time.Second
+	// maxIdle bounds the idle connections to one owner. Calls that wait for capacity use one
+	// connection each.
+	maxIdle = 4
+	// maxIdleTime is how long a connection may be idle. The owner closes it after idleTimeout.
+	maxIdleTime = 20 * time.Second
 )
 
-// Ask asks the owner of a zone's servers for a place. It gives the server's incarnation; empty
-// when there was no room. An error means that nobody answered.
-func (p *Placer) RequestPlace(ctx context.Context, zone string, q Request) (server string, err error) {
-	q.TargetZone = zone
-	owner, there := p.ownerOf(zone)
-	if !there {
+// RequestPlace requests a place from the owner of a zone's servers. It returns the server's
+// incarnation, or an empty string if there was no capacity. An error means that no owner decided.
+func (p *Placer) RequestPlace(ctx context.Context, zone string, request Request) (server string, err error) {
+	request.TargetZone = zone
+	owner, exists := p.ownerOf(zone)
+	if !exists {
 		return "", ErrNoOwner
 	}
 	if owner.Name == p.cfg.Self.Name {
-		return p.askSelf(ctx, q), nil
+		return p.requestLocal(ctx, request), nil
 	}
-	if p.isSilent(owner.Name) {
+	if p.isUnresponsive(owner.Name) {
 		return "", ErrOwnerUnresponsive
 	}
-	q.PrefillSamples = p.cfg.Fleet.TakePrefillSamples(zone)
-	answer, err := p.askOther(ctx, owner, q)
+	request.PrefillSamples = p.cfg.Fleet.TakePrefillSamples(zone)
+	response, err := p.requestRemote(ctx, owner, request)
 	if err != nil {
 		if ctx.Err() == nil {
-			p.noteSilent(owner, err)
+			p.noteUnresponsive(owner, err)
 		}
 		return "", err
 	}
-	if answer.NotOwner {
+	if response.NotOwner {
 		return "", ErrNotOwner
 	}
-	return answer.Server, nil
+	return response.Server, nil
 }
 
-// askSelf gives a call of this box a place.
-func (p *Placer) askSelf(ctx context.Context, q Request) string {
-	given := p.GrantPlace(ctx, q)
-	if given == nil {
+// requestLocal grants a place to a call of this box.
+func (p *Placer) requestLocal(ctx context.Context, request Request) string {
+	granted := p.GrantPlace(ctx, request)
+	if granted == nil {
 		return ""
 	}
-	p.takeBack(given) // the call counts as this box's own from now on
-	return given.Server()
+	p.revoke(granted) // this box counts the call as its own from now on
+	return granted.Server()
 }
 
-// askOther asks another box, on an open connection if there is one. That may have been closed
-// by the other box since, which then has not answered anything.
-func (p *Placer) askOther(ctx context.Context, owner Box, q Request) (Response, error) {
+// requestRemote sends a request to another box, on an idle connection if there is one. The other
+// box may have closed that connection in the meantime; then it hasn't processed the request, which
+// is sent again on a new connection.
+func (p *Placer) requestRemote(ctx context.Context, owner Box, request Request) (Response, error) {
 	if connection := p.takeIdle(owner.Address); connection != nil {
-		answer, err := p.askOn(ctx, owner, connection, q)
+		response, err := p.exchangeOn(ctx, owner, connection, request)
 		if err == nil || isTimeout(err) {
-			return answer, err
+			return response, err
 		}
 	}
-	connection, err := p.connect(ctx, owner.Address)
+	connection, err := p.dial(ctx, owner.Address)
 	if err != nil {
 		return Response{}, err
 	}
-	return p.askOn(ctx, owner, connection, q)
+	return p.exchangeOn(ctx, owner, connection, request)
 }
 
 func isTimeout(err error) bool {
-	var failed net.Error
-	return errors.As(err, &failed) && failed.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-func (p *Placer) connect(ctx context.Context, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, connectLimit)
+func (p *Placer) dial(ctx context.Context, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	return p.cfg.Dial(ctx, address)
 }
 
-// askOn asks on a connection, and keeps it for the next question.
-func (p *Placer) askOn(ctx context.Context, owner Box, connection net.Conn, q Request) (Response, error) {
-	// A caller that leaves ends its question, so that its place is taken back.
+// exchangeOn sends a request on a connection and returns the connection to the pool afterwards.
+func (p *Placer) exchangeOn(ctx context.Context, owner Box, connection net.Conn, request Request) (Response, error) {
+	// When the caller leaves, closing the connection ends the request, so that the owner revokes
+	// its grant.
 	defer context.AfterFunc(ctx, func() { _ = connection.Close() })()
-	answer, err := ask(connection, q)
+	response, err := exchange(connection, request)
 	if err != nil {
-		_ = connection.Close() // it has failed already
+		_ = connection.Close() // the connection has failed already
 		return Response{}, err
 	}
-	p.giveBack(owner.Address, connection)
-	return answer, nil
+	p.putIdle(owner.Address, connection)
+	return response, nil
 }
 
-func ask(connection net.Conn, q Request) (answer Response, err error) {
-	if err := frame.Write(connection, &q, answerLimit); err != nil {
-		return answer, err
+func exchange(connection net.Conn, request Request) (response Response, err error) {
+	if err := frame.Write(connection, &request, responseTimeout); err != nil {
+		return response, err
 	}
-	if err := connection.SetReadDeadline(time.Now().Add(q.MaxWait + answerLimit)); err != nil {
-		return answer, err
+	if err := connection.SetReadDeadline(time.Now().Add(request.MaxWait + responseTimeout)); err != nil {
+		return response, err
 	}
-	return answer, frame.Read(connection, &answer, maxAnswerBytes)
+	return response, frame.Read(connection, &response, maxResponseBytes)
 }
 
-// idleConnection is an open connection that no question has been on since a moment.
+// idleConnection is a pooled connection without a request since a given time.
 type idleConnection struct {
 	net.Conn
 	since time.Time
@@ -128,7 +131,7 @@
 func (p *Placer) takeIdle(address string) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeRested(boottime.Now())
+	p.closeExpired(boottime.Now())
 	idle := p.idle[address]
 	if len(idle) == 0 {
 		return nil
@@ -137,27 +140,27 @@
 	return idle[len(idle)-1].Conn
 }
 
-// giveBack keeps a connection for the next question.
-func (p *Placer) giveBack(address string, connection net.Conn) {
+// putIdle returns a connection to the pool.
+func (p *Placer) putIdle(address string, connection net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[address]) >= mostIdle {
-		_ = connection.Close() // nothing is on it
+	if len(p.idle[address]) >= maxIdle {
+		_ = connection.Close() // there is no request on it
 		return
 	}
 	p.idle[address] = append(p.idle[address], idleConnection{connection, boottime.Now()})
 }
 
-// closeRested closes the connections that the other box is about to close, or has closed: also
-// those to boxes that own nothing any more, and are not asked again. The caller holds mu.
-func (p *Placer) closeRested(now time.Time) {
+// closeExpired closes the connections that the other box is about to close or has closed, including
+// those to boxes that are no longer owners and get no further requests. The caller holds mu.
+func (p *Placer) closeExpired(now time.Time) {
 	for address, idle := range p.idle {
 		p.idle[address] = slices.DeleteFunc(idle, func(c idleConnection) bool {
-			rested := now.Sub(c.since) > longestRest
-			if rested {
-				_ = c.Close() // nothing is on it
+			expired := now.Sub(c.since) > maxIdleTime
+			if expired {
+				_ = c.Close() // there is no request on it
 			}
-			return rested
+			return expired
 		})
 		if len(p.idle[address]) == 0 {
 			delete(p.idle, address)
@@ -165,23 +168,23 @@
 	}
 }
 
-func (p *Placer) isSilent(owner string) bool {
+func (p *Placer) isUnresponsive(owner string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return boottime.Now().Before(p.silent[owner])
+	return boottime.Now().Before(p.unresponsive[owner])
 }
 
-// noteSilent leaves an owner alone that did not answer, and the connections to it, which may
-// have been cut with it.
-func (p *Placer) noteSilent(owner Box, err error) {
+// noteUnresponsive stops requests to an owner that didn't respond, and closes the idle connections
+// to it, which may be broken too.
+func (p *Placer) noteUnresponsive(owner Box, err error) {
 	p.cfg.Logger.Warn().Str("owner", owner.Name).Str("error", err.Error()).Msg("owner_silent")
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := boottime.Now()
-	maps.DeleteFunc(p.silent, func(_ string, until time.Time) bool { return now.After(until) })
-	p.silent[owner.Name] = now.Add(silentFor)
+	maps.DeleteFunc(p.unresponsive, func(_ string, until time.Time) bool { return now.After(until) })
+	p.unresponsive[owner.Name] = now.Add(unresponsiveTime)
 	for _, connection := range p.idle[owner.Address] {
-		_ = connection.Close() // nothing is on it
+		_ = connection.Close() // there is no request on it
 	}
 	delete(p.idle, owner.Address)
 }
--- a/internal/places/owner.go
+++ b/internal/places/owner.go
@@ -1,9 +1,10 @@
-// The owner's part: it chooses among its servers for whoever asks, and lets calls wait for room.
+// Owner side: the owner chooses among its servers for the boxes that send requests, and queues
+// calls until there is capacity.
 //
-// What it granted counts as work until the asker tells of the call itself. An asker's word that
-// was said late enough after the answer holds it: a word's own time is known, as a moment after
-// which it was said, by the echoes of package loadshare. Where no such word comes, from a box
-// whose work reaches this one in a sum, the grant lapses after grantLapse.
+// A granted call counts as work until the requesting box reports the call itself. A load report
+// includes the call if it was sent long enough after the response; the echoes of package loadshare
+// give a lower bound for the time at which a report was sent. If no such report arrives, because
+// the box's load reaches this box only as part of a sum, the grant expires after grantTimeout.
 
 package places
 
@@ -19,100 +20,102 @@
 )
 
 const (
-	// takeTime is how long an answer may be on its way before the asker counts the call.
-	takeTime = 30 * time.Millisecond
-	// grantLapse is how long a call counts whose box is not heard first-hand: its work comes by
-	// two hubs within 0.5 s.
-	grantLapse = 500 * time.Millisecond
-	// longestWait bounds the wait of a call, whatever the asker says.
-	longestWait = time.Second
+	// responseDelay is the longest time between the grant and the moment when the requesting box
+	// counts the call.
+	responseDelay = 30 * time.Millisecond
+	// grantTimeout is how long a granted call counts if its box doesn't report to this one
+	// directly. Its load then arrives through two hubs within 0.5 s.
+	grantTimeout = 500 * time.Millisecond
+	// maxWait bounds the wait of a call, regardless of the request.
+	maxWait = time.Second
 )
 
-// grant is a place that was given.
+// grant is a granted place that still counts.
 type grant struct {
 	*fleet.Grant
 	box string
 	at  time.Time
 }
 
-// Give chooses a server for a call, which may wait for its turn. It gives nil when there was no
-// room.
-func (p *Placer) GrantPlace(ctx context.Context, q Request) *fleet.Grant {
-	limits := waitqueue.Call{Priority: q.Urgency, Until: boottime.Now().Add(min(q.MaxWait, longestWait))}
-	place, ok := p.queue(q.Service).Wait(ctx, limits, q)
+// GrantPlace chooses a server for a call, which may wait for its turn. It returns nil if there was
+// no capacity.
+func (p *Placer) GrantPlace(ctx context.Context, request Request) *fleet.Grant {
+	limits := waitqueue.Call{Priority: request.Urgency, Until: boottime.Now().Add(min(request.MaxWait, maxWait))}
+	granted, ok := p.queue(request.Service).Wait(ctx, limits, request)
 	if !ok {
 		return nil
 	}
-	return place
+	return granted
 }
 
-// queue gives the queue of a service.
+// queue returns the queue of a service.
 func (p *Placer) queue(service string) *queue {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	found := p.queues[service]
 	if found == nil {
-		found = admission.New(admission.Config[Request, *fleet.Grant]{Place: p.place, Freed: p.cfg.Fleet.CapacityChanged})
+		found = admission.New(admission.Config[Request, *fleet.Grant]{Place: p.tryGrant, Freed: p.cfg.Fleet.CapacityChanged})
 		p.queues[service] = found
 	}
 	return found
 }
 
-// place chooses a server for a call now.
-func (p *Placer) place(q Request) (*fleet.Grant, bool) {
-	p.settle()
-	given := p.cfg.Fleet.Grant(q.query(p.owns))
-	if given == nil {
+// tryGrant chooses a server for a call without waiting.
+func (p *Placer) tryGrant(request Request) (*fleet.Grant, bool) {
+	p.releaseReported()
+	granted := p.cfg.Fleet.Grant(request.query(p.owns))
+	if granted == nil {
 		return nil, false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open = append(p.open, grant{given, q.Box, boottime.Now()})
-	if !p.lapsing {
-		p.lapsing = true
-		time.AfterFunc(grantLapse, p.lapse)
+	p.openGrants = append(p.openGrants, grant{granted, request.Box, boottime.Now()})
+	if !p.expiryScheduled {
+		p.expiryScheduled = true
+		time.AfterFunc(grantTimeout, p.expireGrants)
 	}
-	return given, true
+	return granted, true
 }
 
-// lapse ends the grants that nobody's question ends, until none is open.
-func (p *Placer) lapse() {
-	p.settle()
+// expireGrants releases the grants that no later request releases, and runs again until none is
+// left.
+func (p *Placer) expireGrants() {
+	p.releaseReported()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lapsing = len(p.open) > 0; p.lapsing {
-		time.AfterFunc(boottime.Until(p.open[0].at.Add(grantLapse)), p.lapse)
+	if p.expiryScheduled = len(p.openGrants) > 0; p.expiryScheduled {
+		time.AfterFunc(boottime.Until(p.openGrants[0].at.Add(grantTimeout)), p.expireGrants)
 	}
 }
 
-// settle ends the grants whose calls the askers tell of themselves.
-func (p *Placer) settle() {
-	for _, told := range p.takeTold(boottime.Now()) {
-		told.Release()
+// releaseReported releases the grants whose calls are reported by the requesting boxes themselves.
+func (p *Placer) releaseReported() {
+	for _, reported := range p.takeReported(boottime.Now()) {
+		reported.Release()
 	}
 }
 
-// takeTold takes the grants that no longer count out of those that are open.
-func (p *Placer) takeTold(now time.Time) []grant {
+// takeReported removes and returns the grants that no longer count.
+func (p *Placer) takeReported(now time.Time) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var told []grant
-	p.open = slices.DeleteFunc(p.open, func(g grant) bool {
-		over := now.Sub(g.at) >= grantLapse || p.cfg.ReportedAt(g.box).After(g.at.Add(takeTime))
+	var reported []grant
+	p.openGrants = slices.DeleteFunc(p.openGrants, func(g grant) bool {
+		over := now.Sub(g.at) >= grantTimeout || p.cfg.ReportedAt(g.box).After(g.at.Add(responseDelay))
 		if over {
-			told = append(told, g)
+			reported = append(reported, g)
 		}
 		return over
 	})
-	return told
+	return reported
 }
 
-// takeBack ends a grant whose asker will not use it.
-func (p *Placer) takeBack(unused *fleet.Grant) {
+// revoke releases a grant that the requesting box won't use.
+func (p *Placer) revoke(unused *fleet.Grant) {
 	p.mu.Lock()
-	before := len(p.open)
-	p.open = slices.DeleteFunc(p.open, func(g grant) bool { return g.Grant == unused })
-	open := len(p.open) < before
+	before := len(p.openGrants)
+	p.openGrants = slices.DeleteFunc(p.openGrants, func(g grant) bool { return g.Grant == unused })
+	open := len(p.openGrants) < before
 	p.mu.Unlock()
 	if open {
 		unused.Release()
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -1,21 +1,23 @@
-// Package places has one box of each zone, the owner of its runners, choose the runner for each
-// long prompt that comes to any box.
+// Package places has one box per zone, the owner of the zone's runners, choose the runner for each
+// long prompt that arrives at any box.
 //
-// The load that it answers: a burst while runners are silent. Boxes that each place by what
-// they know of all others' work send 59 boxes' prompts to the runner that was least busy 0.3 s
-// ago, whose memory then holds five times what fits; prompts wait there while what was fetched
-// for them is thrown away, and are read anew, which holds up everybody else's answers.
+// It answers a burst of prompts while runners send no events. If each box chooses by the reported
+// load of the others, 59 boxes send their prompts to the runner that was least busy 0.3 s ago,
+// which then gets five times the prompts that fit into its memory. While the prompts wait there,
+// the parts that were fetched for them are evicted and have to be computed again, which delays the
+// answers of all other calls.
 //
-// An owner is a hint with a fallback: no lease, nothing replicated, no promise rests on it. It
-// follows from which boxes there are (package delegate), as hubs do; where there are hubs it is
-// the hub of its zone, which hears most of the zone's work first-hand, and small zones share
-// one. What it granted it counts at once, until the asker's own word on its work can hold the
-// call (owner.go). Boxes that disagree on the owner for a moment have two, each of which knows of
-// the other's calls as late as boxes without owners do. An asker that gets no answer within answerLimit chooses by itself and leaves that
-// owner alone for a while, so an owner that dies, stands still or is cut off costs one wait of
-// each box.
+// The choice of an owner is a hint with a fallback: there is no lease and no replication, and no
+// guarantee depends on it. The owner follows from the list of boxes (package delegate), like hubs
+// do. Where there are hubs, it is the hub of its zone, which gets most of the zone's load reports
+// directly, and small zones share one. An owner counts a granted call at once, until the requesting
+// box's own load report can include it (owner.go). While boxes disagree on the owner, there are
+// two, each of which learns of the other's calls as late as boxes without owners do. A box that
+// gets no response within responseTimeout chooses a server itself and sends that owner no requests
+// for a while. So an owner that crashes, stalls or is partitioned costs each box one such wait.
 //
-// Calls wait for room at the owner, so that there is one line for a zone, the most urgent first.
+// Calls wait for capacity at the owner, so that there is one queue per zone, the most urgent calls
+// first.
 package places
 
 import (
@@ -36,110 +38,112 @@
 	"github.com/cometlock/cometlock/internal/mechanism"
 )
 
-// Box is an entry box, with where others ask it for places.
+// Box is an entry box with the address at which it accepts requests for places.
 type Box struct {
 	delegate.Box
 	Address string
 }
 
-// Config sets up Places.
+// Config configures a Placer.
 type Config struct {
 	Fleet  *fleet.Fleet
 	Logger zerolog.Logger
-	// Self is this box, and Others gives the others. None is asked while Active reports
-	// false.
+	// Self is this box, and Others returns the other boxes. No requests are sent while Active
+	// returns false.
 	Self   Box
 	Others func() []Box
 	Active func() bool
-	// Said gives a moment after which another box has said what this one has of its work;
-	// zero when that is not known.
+	// ReportedAt returns a time after which another box has sent its latest load report to this
+	// one; zero if unknown.
 	ReportedAt func(box string) time.Time
-	// Off holds mechanisms that are switched off.
+	// Mechanisms records which mechanisms are switched off.
 	Mechanisms mechanism.Switches
-	// Dial connects to another box; nil stands for TCP.
+	// Dial connects to another box; nil selects TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Places asks owners, and answers where this box is one.
+// Placer sends requests to owners, and responds to those of other boxes where this box is the
+// owner.
 type Placer struct {
 	cfg Config
 
 	mu sync.Mutex
-	// owners are the boxes by the zones that they own, as of ownersAt.
+	// owners caches the owner of each zone since ownersAt.
 	owners   map[string]Box
 	ownersAt time.Time
-	// silent holds owners that did not answer, until when they are left alone, and idle the
-	// open connections to owners, by address.
-	silent map[string]time.Time
-	idle   map[string][]idleConnection
-	// queues holds the calls that wait here, by service, and open the grants that still count.
-	queues map[string]*queue
-	open   []grant
-	// lapsing says that a timer is set which ends them.
-	lapsing bool
-	server  *frame.Server
+	// unresponsive maps owners that didn't respond to the time until which they get no requests,
+	// and idle has the idle connections to owners, by address.
+	unresponsive map[string]time.Time
+	idle         map[string][]idleConnection
+	// queues has the calls that wait at this box, by service, and openGrants the grants that still
+	// count.
+	queues     map[string]*queue
+	openGrants []grant
+	// expiryScheduled means that a timer is set that expires them.
+	expiryScheduled bool
+	server          *frame.Server
 }
 
-// queue holds calls that wait for a place.
+// queue is a queue of calls that wait for a place.
 type queue = admission.Queue[Request, *fleet.Grant]
 
-// Errors of a box that gave no place.
+// Errors of a box that got no decision of an owner.
 var (
-	// ErrNoOwner says that nobody is there to ask.
+	// ErrNoOwner means that no box owns the zone's servers.
 	ErrNoOwner = merry.Sentinel("no box owns the servers of the zone")
-	// ErrSilent says that the owner did not answer a short while ago.
-	ErrOwnerUnresponsive = merry.Sentinel("the owner of the zone's servers did not answer lately")
-	// ErrNotOwner says that the box which was asked does not own the servers.
+	// ErrOwnerUnresponsive means that the owner recently didn't respond.
+	ErrOwnerUnresponsive = merry.Sentinel("the owner of the zone's servers recently did not respond")
+	// ErrNotOwner means that the receiver of the request doesn't own the servers.
 	ErrNotOwner = merry.Sentinel("the box does not own the servers of the zone")
 )
 
-// New makes places that nobody asks yet.
+// New returns a Placer that doesn't accept requests yet.
 func New(cfg Config) *Placer {
 	if cfg.Dial == nil {
-		dialer := net.Dialer{Timeout: connectLimit}
+		dialer := net.Dialer{Timeout: connectTimeout}
 		cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
 	}
-	p := &Placer{cfg: cfg, silent: map[string]time.Time{}, idle: map[string][]idleConnection{}, queues: map[string]*queue{}}
+	p := &Placer{cfg: cfg, unresponsive: map[string]time.Time{}, idle: map[string][]idleConnection{}, queues: map[string]*queue{}}
 	p.server = frame.NewServer(cfg.Logger, p.serve)
 	return p
 }
 
-// Active reports whether places are asked for at all.
+// Active reports whether boxes request places from owners at all.
 func (p *Placer) Active() bool { return p.cfg.Mechanisms.Enabled(mechanism.Owners) && p.cfg.Active() }
 
-// owning is what the owner of a zone does. The order is that of hubs, so that it is one, and
-// there is one for however many boxes.
-var owning = delegate.Config{Role: "hub", BoxesEach: 1 << 30}
+// ownerRole is the role of a zone's owner. It uses the ranking of hubs, so that the owner is a hub,
+// and one box covers any number of boxes.
+var ownerRole = delegate.Config{Role: "hub", BoxesEach: 1 << 30}
 
-// ownersFor is how long owners are remembered that were worked out: to rank 300 boxes takes
-// 0.1 ms, and which are there changes seldom.
-const ownersFor = 200 * time.Millisecond
+// ownerCacheTime is how long computed owners are cached. Ranking 300 boxes takes 0.1 ms, and the
+// list of boxes rarely changes.
+const ownerCacheTime = 200 * time.Millisecond
 
-// ownerOf gives the owner of a zone's servers.
+// ownerOf returns the owner of a zone's servers.
 func (p *Placer) ownerOf(zone string) (Box, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := boottime.Now(); now.Sub(p.ownersAt) > ownersFor {
+	if now := boottime.Now(); now.Sub(p.ownersAt) > ownerCacheTime {
 		p.owners, p.ownersAt = map[string]Box{}, now
 	}
 	if owner, known := p.owners[zone]; known {
 		return owner, owner.Name != ""
 	}
-	owner, there := p.workOutOwner(zone)
+	owner, exists := p.computeOwner(zone)
 	p.owners[zone] = owner
-	return owner, there
+	return owner, exists
 }
 
-func (p *Placer) workOutOwner(zone string) (Box, bool) {
+func (p *Placer) computeOwner(zone string) (Box, bool) {
 	all := append(slices.Clone(p.cfg.Others()), p.cfg.Self)
 	boxes := make([]delegate.Box, len(all))
 	for i, box := range all {
 		boxes[i] = box.Box
 	}
-	chosen, there := delegate.OfZone(owning, zone, boxes)
-	if !there {
+	chosen, exists := delegate.OfZone(ownerRole, zone, boxes)
+	if !exists {
 		return Box{}, false
 	}
 	return all[slices.IndexFunc(all, func(b Box) bool { return b.Name == chosen.Name })], true
@@ -147,6 +151,6 @@
 
 // owns reports whether this box owns the servers of a zone.
 func (p *Placer) owns(zone string) bool {
-	owner, there := p.ownerOf(zone)
-	return there && owner.Name == p.cfg.Self.Name
+	owner, exists := p.ownerOf(zone)
+	return exists && owner.Name == p.cfg.Self.Name
 }
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -24,25 +24,25 @@
 	memory  = 86_000
 )
 
-// zone is a zone of boxes in memory, the first of which is the largest and so the owner.
+// zone is an in-memory zone of boxes. The first box is the largest, and so the owner.
 type zone struct {
 	boxes []*box
 }
 
-// box is an entry box with what it knows of the runners.
+// box is an entry box with its view of the runners.
 type box struct {
 	*Placer
 	fleet   *fleet.Fleet
 	self    Box
 	accepts chan net.Conn
 	closed  chan struct{}
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 	loops   sync.WaitGroup
-	// said is when the owner last heard of this box's work.
-	mu   sync.Mutex
-	said time.Time
-	// silent boxes take connections and say nothing.
-	silent bool
+	// reportedAt is when the owner last received this box's load report.
+	mu         sync.Mutex
+	reportedAt time.Time
+	// unresponsive boxes accept connections and send nothing.
+	unresponsive bool
 }
 
 // Accept implements net.Listener.
@@ -64,19 +64,19 @@
 // Addr implements net.Listener.
 func (b *box) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (b *box) setSaid(at time.Time) {
+func (b *box) setReported(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.said = at
+	b.reportedAt = at
 }
 
-func (b *box) saidAt() time.Time {
+func (b *box) reported() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.said
+	return b.reportedAt
 }
 
-// inZone runs a test in paused time with some boxes before some runners.
+// inZone runs a test under a synctest clock with a number of boxes and runners.
 func inZone(t *testing.T, boxes, runners int, test func(g *WithT, z *zone)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -85,7 +85,7 @@
 			z.boxes = append(z.boxes, z.newBox(i, runners))
 		}
 		for _, b := range z.boxes {
-			b.begin(z)
+			b.start(z)
 		}
 		defer func() {
 			for _, b := range z.boxes {
@@ -112,19 +112,19 @@
 	return b
 }
 
-// begin starts a life of the box.
-func (b *box) begin(z *zone) {
+// start starts or restarts the box's placer.
+func (b *box) start(z *zone) {
 	b.Placer = New(Config{
 		Fleet: b.fleet, Logger: zerolog.Nop(), Self: b.self, Active: func() bool { return true }, Dial: z.dial,
-		Others: func() []Box { return z.others(b) }, ReportedAt: z.said,
+		Others: func() []Box { return z.others(b) }, ReportedAt: z.reportedAt,
 	})
 	ctx, end := context.WithCancel(context.Background())
-	b.end = end
+	b.cancel = end
 	b.loops.Go(func() { b.LoopAccept(ctx, b) })
 }
 
 func (b *box) stop() {
-	b.end()
+	b.cancel()
 	b.loops.Wait()
 	b.Wait()
 	for _, idle := range b.idle {
@@ -144,10 +144,10 @@
 	return others
 }
 
-func (z *zone) said(name string) time.Time {
+func (z *zone) reportedAt(name string) time.Time {
 	for _, b := range z.boxes {
 		if b.self.Name == name {
-			return b.saidAt()
+			return b.reported()
 		}
 	}
 	return time.Time{}
@@ -159,8 +159,8 @@
 			continue
 		}
 		near, far := net.Pipe()
-		if b.silent {
-			return near, nil // nobody reads what is written
+		if b.unresponsive {
+			return near, nil // nothing reads from the other end
 		}
 		select {
 		case b.accepts <- far:
@@ -174,23 +174,23 @@
 	return nil, errors.New("no such box")
 }
 
-// long asks for a place for a prompt of which a runner's memory takes four.
-func (b *box) long(wait time.Duration) Request {
+// longPrompt returns a request for a prompt of which four fit into a runner's memory.
+func (b *box) longPrompt(wait time.Duration) Request {
 	const tokens = 20_000
 	query := fleet.Query{
 		Service: service, Model: model, Zone: "a", Load: placing.Query{Tokens: tokens, Memory: memory, PrefillLimit: 600},
 		VersionCost: func(int) (float64, bool) { return 0, true }, PrefillWork: func(int) int { return 2000 },
 		Fetch: func(int) (string, time.Duration) { return "a", 0 },
 	}
-	q := NewRequest(query, b.self.Name, b.fleet.HeldVersions(service, model))
-	q.MaxWait = wait
-	return q
+	request := NewRequest(query, b.self.Name, b.fleet.HeldVersions(service, model))
+	request.MaxWait = wait
+	return request
 }
 
-// A burst of calls comes to as many boxes at the same moment, before any could hear of another
-// one's call. Boxes that choose by themselves all see the same runners empty; on a day with
-// 59 boxes runners had five times the prompts that fit into their memory.
-func TestABurstOverManyBoxesFillsNoRunnerTwice(t *testing.T) {
+// A burst reaches many boxes at the same moment, before any box can have the others' load reports.
+// If each box chooses by itself, all see the same runners empty; with 59 boxes, runners got five
+// times the prompts that fit into their memory.
+func TestBurstDoesNotOverfillRunners(t *testing.T) {
 	const boxes, runners, fit = 41, 5, 4
 	inZone(t, boxes, runners, func(g *WithT, z *zone) {
 		var mu sync.Mutex
@@ -198,7 +198,7 @@
 		var burst sync.WaitGroup
 		for _, b := range z.boxes[1:] {
 			burst.Go(func() {
-				server, err := b.RequestPlace(context.Background(), "a", b.long(0))
+				server, err := b.RequestPlace(context.Background(), "a", b.longPrompt(0))
 				mu.Lock()
 				defer mu.Unlock()
 				g.Expect(err).NotTo(HaveOccurred())
@@ -213,73 +213,73 @@
 	})
 }
 
-// What the owner granted counts until the asker's own word can hold the call, and for
-// grantLapse at most.
-func TestAGrantCountsUntilItsCallIsToldOf(t *testing.T) {
+// A granted call counts until the requesting box's own report can include it, and for grantTimeout
+// at most.
+func TestGrantCountsUntilCallIsReported(t *testing.T) {
 	tests := []struct {
 		name      string
-		said      time.Duration // after the answer
+		sent      time.Duration // relative to the response
 		freeAfter time.Duration
 	}{
-		{"the word was said in time", 2 * takeTime, 100 * time.Millisecond},
-		{"the word is from before the answer came", takeTime / 2, grantLapse},
-		{"no word comes", -time.Hour, grantLapse},
+		{"report sent after the grant", 2 * responseDelay, 100 * time.Millisecond},
+		{"report sent before the response arrived", responseDelay / 2, grantTimeout},
+		{"no report", -time.Hour, grantTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			inZone(t, 2, 1, func(g *WithT, z *zone) {
-				asker := z.boxes[1]
+				requester := z.boxes[1]
 				const fit = 4
 				for range fit {
-					g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+					g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(Equal("runner-0"))
 				}
 				answered := time.Now()
 				time.Sleep(100 * time.Millisecond)
-				asker.setSaid(answered.Add(test.said))
+				requester.setReported(answered.Add(test.sent))
 				for time.Since(answered) < test.freeAfter {
-					g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(BeEmpty())
+					g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(BeEmpty())
 					time.Sleep(20 * time.Millisecond)
 				}
 				time.Sleep(20 * time.Millisecond)
-				g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+				g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(Equal("runner-0"))
 			})
 		})
 	}
 }
 
-// Grants were ended when the next question came, and not before: an owner that was asked once a
-// minute kept its own calls away for as long from a runner where nothing ran any more.
-func TestAGrantEndsThoughNobodyAsksAgain(t *testing.T) {
+// Grants were released only by the next request. So an owner that got one request a minute kept its
+// own calls away from an idle runner for a minute.
+func TestGrantExpiresWithoutFurtherRequests(t *testing.T) {
 	inZone(t, 2, 1, func(g *WithT, z *zone) {
-		asker, owner := z.boxes[1], z.boxes[0]
-		held := func() int { return owner.fleet.Shortage(asker.long(0).query(nil)).HeldTokens }
+		requester, owner := z.boxes[1], z.boxes[0]
+		held := func() int { return owner.fleet.Shortage(requester.longPrompt(0).query(nil)).HeldTokens }
 		for range 2 {
-			g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
-			time.Sleep(grantLapse / 3)
+			g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(Equal("runner-0"))
+			time.Sleep(grantTimeout / 3)
 		}
 		g.Expect(held()).To(Equal(40_000))
-		time.Sleep(2 * grantLapse)
+		time.Sleep(2 * grantTimeout)
 		g.Expect(held()).To(BeZero())
 	})
 }
 
-// Calls wait at the owner for their turn, the more urgent first.
-func TestCallsWaitAtTheOwnerInTheirOrder(t *testing.T) {
+// Calls wait in the owner's queue, the most urgent first.
+func TestCallsQueueAtOwnerByUrgency(t *testing.T) {
 	inZone(t, 3, 1, func(g *WithT, z *zone) {
 		const fit = 4
 		var holds []*fleet.Grant
 		for range fit {
-			holds = append(holds, z.boxes[0].fleet.Grant(z.boxes[1].long(0).query(nil)))
+			holds = append(holds, z.boxes[0].fleet.Grant(z.boxes[1].longPrompt(0).query(nil)))
 		}
 		var mu sync.Mutex
 		var order []string
 		var waiting sync.WaitGroup
 		for i, urgency := range []int{1, 0} {
 			waiting.Go(func() {
-				asker := z.boxes[1+i]
-				q := asker.long(500 * time.Millisecond)
-				q.Urgency = urgency
-				server, err := asker.RequestPlace(context.Background(), "a", q)
+				requester := z.boxes[1+i]
+				request := requester.longPrompt(500 * time.Millisecond)
+				request.Urgency = urgency
+				server, err := requester.RequestPlace(context.Background(), "a", request)
 				mu.Lock()
 				defer mu.Unlock()
 				g.Expect(err).NotTo(HaveOccurred())
@@ -287,8 +287,8 @@
 			})
 			time.Sleep(10 * time.Millisecond)
 		}
-		// Between two looks: room that comes while the line is looked through goes to whoever is
-		// looked at after that.
+		// Release between two checks of the queue: capacity that is freed during a check goes to
+		// the call that is checked next, whatever its urgency.
 		time.Sleep(55 * time.Millisecond)
 		holds[0].Release()
 		time.Sleep(100 * time.Millisecond)
@@ -298,77 +298,77 @@
 	})
 }
 
-// An owner that gives no answer costs a box one short wait; then the box chooses by itself until
-// the owner may be there again.
-func TestASilentOwnerIsLeftAlone(t *testing.T) {
+// An owner that doesn't respond costs a box one short wait. After that the box chooses servers
+// itself until the owner may be back.
+func TestUnresponsiveOwnerGetsNoRequests(t *testing.T) {
 	inZone(t, 2, 1, func(g *WithT, z *zone) {
-		asker := z.boxes[1]
-		z.boxes[0].silent = true
+		requester := z.boxes[1]
+		z.boxes[0].unresponsive = true
 		began := time.Now()
-		_, err := asker.RequestPlace(context.Background(), "a", asker.long(0))
+		_, err := requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))
 		g.Expect(err).To(HaveOccurred())
-		g.Expect(time.Since(began)).To(BeNumerically("<=", answerLimit))
+		g.Expect(time.Since(began)).To(BeNumerically("<=", responseTimeout))
 		began = time.Now()
-		_, err = asker.RequestPlace(context.Background(), "a", asker.long(0))
+		_, err = requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))
 		g.Expect(err).To(MatchError(ErrOwnerUnresponsive))
 		g.Expect(time.Since(began)).To(BeZero())
-		z.boxes[0].silent = false
-		time.Sleep(silentFor)
-		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		z.boxes[0].unresponsive = false
+		time.Sleep(unresponsiveTime)
+		g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(Equal("runner-0"))
 	})
 }
 
-// A box that asks again after the owner has started anew finds its connection closed, which is
-// no sign of silence.
-func TestAnOwnerThatStartedAgainIsAskedOnANewConnection(t *testing.T) {
+// After the owner has restarted, the requesting box finds its pooled connection closed. That
+// doesn't make the owner unresponsive.
+func TestRestartedOwnerGetsNewConnection(t *testing.T) {
 	inZone(t, 2, 1, func(g *WithT, z *zone) {
-		asker, owner := z.boxes[1], z.boxes[0]
-		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		requester, owner := z.boxes[1], z.boxes[0]
+		g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(Equal("runner-0"))
 		owner.stop()
 		owner.closed = make(chan struct{})
-		owner.begin(z)
-		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		owner.start(z)
+		g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(Equal("runner-0"))
 	})
 }
 
-// A box kept the connections to every box that had ever been an owner, though that one closes
-// them after questionLimit: four descriptors for each box that is replaced, for good.
-func TestConnectionsThatRestAreClosed(t *testing.T) {
+// A box kept its connections to every box that had ever been an owner, although that box closes
+// them after idleTimeout. That leaked four descriptors for each replaced box.
+func TestExpiredIdleConnectionsAreClosed(t *testing.T) {
 	inZone(t, 2, 1, func(g *WithT, z *zone) {
-		asker, owner := z.boxes[1], z.boxes[0]
-		asker.giveBack("a box that is gone", &net.TCPConn{})
-		time.Sleep(questionLimit)
-		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
-		g.Expect(asker.idle).To(HaveLen(1))
-		g.Expect(asker.idle).To(HaveKey(owner.self.Address))
+		requester, owner := z.boxes[1], z.boxes[0]
+		requester.putIdle("a removed box", &net.TCPConn{})
+		time.Sleep(idleTimeout)
+		g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(Equal("runner-0"))
+		g.Expect(requester.idle).To(HaveLen(1))
+		g.Expect(requester.idle).To(HaveKey(owner.self.Address))
 	})
 }
 
-// A place whose asker has left is free at once.
-func TestThePlaceOfACallerThatLeftIsTakenBack(t *testing.T) {
+// If the caller leaves, its grant is revoked at once.
+func TestGrantIsRevokedWhenCallerLeaves(t *testing.T) {
 	inZone(t, 2, 1, func(g *WithT, z *zone) {
-		asker, owner := z.boxes[1], z.boxes[0]
+		requester, owner := z.boxes[1], z.boxes[0]
 		const fit = 4
 		var holds []*fleet.Grant
 		for range fit {
-			holds = append(holds, owner.fleet.Grant(asker.long(0).query(nil)))
+			holds = append(holds, owner.fleet.Grant(requester.longPrompt(0).query(nil)))
 		}
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, leave)
-		_, err := asker.RequestPlace(ctx, "a", asker.long(500*time.Millisecond))
+		_, err := requester.RequestPlace(ctx, "a", requester.longPrompt(500*time.Millisecond))
 		g.Expect(err).To(HaveOccurred())
-		g.Expect(asker.isSilent(owner.self.Name)).To(BeFalse(), "the owner is not to blame")
+		g.Expect(requester.isUnresponsive(owner.self.Name)).To(BeFalse(), "the caller left, the owner was responsive")
 		holds[0].Release()
 		time.Sleep(50 * time.Millisecond)
-		g.Expect(asker.RequestPlace(context.Background(), "a", asker.long(0))).To(Equal("runner-0"))
+		g.Expect(requester.RequestPlace(context.Background(), "a", requester.longPrompt(0))).To(Equal("runner-0"))
 	})
 }
 
-// A box that is asked though it owns nothing, by what it knows, says so.
-func TestABoxThatDoesNotOwnTheServersSaysSo(t *testing.T) {
+// A box that gets a request without owning the servers, by its own list of boxes, rejects it.
+func TestNonOwnerRejectsRequest(t *testing.T) {
 	inZone(t, 3, 1, func(g *WithT, z *zone) {
-		asker, other := z.boxes[1], z.boxes[2]
-		answer, err := asker.askOther(context.Background(), other.self, asker.long(0))
+		requester, other := z.boxes[1], z.boxes[2]
+		answer, err := requester.requestRemote(context.Background(), other.self, requester.longPrompt(0))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(answer.NotOwner).To(BeTrue())
 	})
--- a/internal/places/serve.go
+++ b/internal/places/serve.go
@@ -1,4 +1,4 @@
-// Answering: a box asks on connections of its own, one question at a time on each.
+// Server side: each connection carries one request at a time.
 
 package places
 
@@ -12,52 +12,52 @@
 )
 
 const (
-	// maxQuestionBytes and maxAnswerBytes bound messages: a question is some 200 bytes, and 40
+	// maxRequestBytes and maxResponseBytes bound messages. A request takes some 200 bytes, plus 40
 	// for each version of weights.
-	maxQuestionBytes = 16 << 10
-	maxAnswerBytes   = 1 << 10
-	// questionLimit bounds the wait for the next question on a connection.
-	questionLimit = 30 * time.Second
-	// writeLimit bounds a write.
-	writeLimit = 300 * time.Millisecond
+	maxRequestBytes  = 16 << 10
+	maxResponseBytes = 1 << 10
+	// idleTimeout bounds the wait for the next request on a connection.
+	idleTimeout = 30 * time.Second
+	// writeTimeout bounds a write.
+	writeTimeout = 300 * time.Millisecond
 )
 
-// LoopAccept answers other boxes until ctx ends.
+// LoopAccept accepts and serves connections of other boxes until ctx ends.
 func (p *Placer) LoopAccept(ctx context.Context, listener net.Listener) {
 	p.server.LoopAccept(ctx, listener)
 }
 
-// Wait waits until all answering has ended; LoopAccept must have returned.
+// Wait waits until all connections have been served; LoopAccept must have returned.
 func (p *Placer) Wait() { p.server.Wait() }
 
-// serve answers the questions on one connection.
+// serve handles the requests on one connection.
 func (p *Placer) serve(ctx context.Context, connection net.Conn, reader *bufio.Reader) {
 	for ctx.Err() == nil {
-		if err := connection.SetReadDeadline(time.Now().Add(questionLimit)); err != nil {
+		if err := connection.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return
 		}
-		var asked Request
-		if err := frame.Read(reader, &asked, maxQuestionBytes); err != nil {
+		var request Request
+		if err := frame.Read(reader, &request, maxRequestBytes); err != nil {
 			return
 		}
-		if err := p.answer(ctx, connection, asked); err != nil {
+		if err := p.respond(ctx, connection, request); err != nil {
 			return
 		}
 	}
 }
 
-// answer answers one question.
-func (p *Placer) answer(ctx context.Context, connection net.Conn, asked Request) error {
-	if !p.owns(asked.TargetZone) {
-		return frame.Write(connection, &Response{NotOwner: true}, writeLimit)
+// respond handles one request.
+func (p *Placer) respond(ctx context.Context, connection net.Conn, request Request) error {
+	if !p.owns(request.TargetZone) {
+		return frame.Write(connection, &Response{NotOwner: true}, writeTimeout)
 	}
-	p.cfg.Fleet.LearnPrefillSamples(asked.PrefillSamples)
-	given := p.GrantPlace(ctx, asked)
-	if given == nil {
-		return frame.Write(connection, &Response{}, writeLimit)
+	p.cfg.Fleet.LearnPrefillSamples(request.PrefillSamples)
+	granted := p.GrantPlace(ctx, request)
+	if granted == nil {
+		return frame.Write(connection, &Response{}, writeTimeout)
 	}
-	if err := frame.Write(connection, &Response{Server: given.Server()}, writeLimit); err != nil {
-		p.takeBack(given)
+	if err := frame.Write(connection, &Response{Server: granted.Server()}, writeTimeout); err != nil {
+		p.revoke(granted)
 		return err
 	}
 	return nil
