--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,20 +1,20 @@
-// Package boottime is the steady clock that also counts the time in which the machine was
+// Package boottime provides a monotonic clock that includes the time in which the machine was
 // suspended.
 //
-// The runtime's steady clock stands still meanwhile. Whatever is worked out from it is too
-// young after waking: how old another box's word is, how long ago a server left, whether a
-// permission or a caller's patience is over. A box that had slept for five seconds would hand
-// calls to servers that left four seconds ago, and give orders by a lease that another box has
-// taken over. So all ages, leases and deadlines of an entry box are worked out from this
-// clock, and a machine that was suspended is one that stood still.
+// The monotonic clock of the Go runtime stops during a suspension. Everything computed from it is
+// too young after the resume: the age of another box's load report, the time since a server left,
+// and the expiry of leases and call deadlines. A box that was suspended for five seconds would send
+// calls to servers that left four seconds ago, and issue orders under a lease that another box has
+// taken over. So an entry box computes all ages, leases and deadlines with this clock, and a
+// suspension has the same effect as a process that was stalled.
 //
-// Nothing waits for a timer to see it: each reading looks whether the machine was suspended
-// since the last one. The time of day, which a reading of the runtime's clock gives besides,
-// moves on during a suspension; only when it has moved otherwise than the steady clock is the
-// system's boot clock asked, which tells a suspension from a time of day that was set.
+// No timer watches for suspensions. Each reading checks whether the machine was suspended since the
+// last one. The wall clock, which a reading of the runtime's clock includes, continues during a
+// suspension. Only when it has moved differently from the monotonic clock does the package read the
+// system's boot clock, which distinguishes a suspension from a change of the wall clock.
 //
-// Timers and deadlines of connections go by the runtime's clock. A moment of this clock is no
-// moment of that one: give them a length (Until) and never a moment.
+// Timers and connection deadlines use the runtime's clock. A time from this package is not a valid
+// time there: pass a duration (Until) instead of a time.
 package boottime
 
 import (
@@ -25,79 +25,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// tolerance is how far the time of day may move otherwise than the steady clock before the boot
-// clock is asked, and how short a suspension may be that is not counted.
+// tolerance is the difference between the wall clock and the monotonic clock above which the boot
+// clock is read, and the length up to which a suspension is ignored.
 const tolerance = 10 * time.Millisecond
 
 // clock is the state of this process's clock.
 type clock struct {
-	// steady and timeOfDay are those of one reading of the runtime's clock, from which shift
-	// is counted.
-	steady    time.Time
-	timeOfDay time.Time
-	// shift is how far the time of day had moved past the steady clock at the last look.
+	// monotonic and wall come from one reading of the runtime's clock, the reference from which
+	// shift is measured.
+	monotonic time.Time
+	wall      time.Time
+	// shift is how far the wall clock had advanced past the monotonic clock at the last check.
 	shift atomic.Int64
-	// suspended is how long the machine has been suspended since the process began.
+	// suspended is how long the machine has been suspended since the process started.
 	suspended atomic.Int64
-	// pretended, where a test set it, is asked instead of the system.
-	pretended atomic.Pointer[func() time.Duration]
+	// fakeSuspension, if a test has set it, replaces the system's clocks.
+	fakeSuspension atomic.Pointer[func() time.Duration]
 
 	mu sync.Mutex
-	// ahead is how far the boot clock was ahead of the steady clock at the last look.
-	ahead time.Duration
-	woke  func(length time.Duration)
+	// ahead is how far the boot clock was ahead of the monotonic clock at the last check.
+	ahead    time.Duration
+	onResume func(length time.Duration)
 }
 
-var system = newClock()
+var processClock = newClock()
 
 func newClock() *clock {
 	now := time.Now()
-	c := &clock{steady: now, timeOfDay: now.Round(0)}
+	c := &clock{monotonic: now, wall: now.Round(0)}
 	c.ahead, _ = bootAhead()
 	return c
 }
 
-// Now gives the time. Its difference to another reading counts suspensions; its time of day
-// does not mean anything.
-func Now() time.Time { return system.now() }
+// Now returns the current time. The difference between two readings includes suspensions; the wall
+// clock part has no meaning.
+func Now() time.Time { return processClock.now() }
 
-// Since gives the time that has passed since a reading of Now.
+// Since returns the time elapsed since a reading of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until gives the time that is left until a moment of this clock.
+// Until returns the time left until a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// OnWake has a function told how long the machine was suspended, on the goroutine that finds it
-// out. It must not wait.
-func OnResume(told func(length time.Duration)) {
-	system.mu.Lock()
-	defer system.mu.Unlock()
-	system.woke = told
+// OnResume sets the function that is called with the length of a suspension after the machine has
+// resumed. It runs on the goroutine that detects the suspension, and must not block.
+func OnResume(notify func(length time.Duration)) {
+	processClock.mu.Lock()
+	defer processClock.mu.Unlock()
+	processClock.onResume = notify
 }
 
-// Pretend has the clock believe that the machine was suspended for as long as a function says,
-// until restore is called; for tests.
+// FakeSuspension makes the clock report the suspension that a function returns, until restore is
+// called. It is meant for tests.
 func FakeSuspension(suspended func() time.Duration) (restore func()) {
-	system.pretended.Store(&suspended)
-	return func() { system.pretended.Store(nil) }
+	processClock.fakeSuspension.Store(&suspended)
+	return func() { processClock.fakeSuspension.Store(nil) }
 }
 
 func (c *clock) now() time.Time {
 	now := time.Now()
-	if pretended := c.pretended.Load(); pretended != nil {
-		return now.Add((*pretended)())
+	if fake := c.fakeSuspension.Load(); fake != nil {
+		return now.Add((*fake)())
 	}
-	shift := now.Round(0).Sub(c.timeOfDay) - now.Sub(c.steady)
+	shift := now.Round(0).Sub(c.wall) - now.Sub(c.monotonic)
 	if before := time.Duration(c.shift.Load()); (shift - before).Abs() > tolerance {
-		c.look(shift)
+		c.measureSuspension(shift)
 	}
 	return now.Add(time.Duration(c.suspended.Load()))
 }
 
-// look asks the system whether the machine was suspended.
-func (c *clock) look(shift time.Duration) {
+// measureSuspension reads the system's clocks to find out whether the machine was suspended.
+func (c *clock) measureSuspension(shift time.Duration) {
 	c.mu.Lock()
-	length, told := time.Duration(0), c.woke
+	length, notify := time.Duration(0), c.onResume
 	if ahead, ok := bootAhead(); ok {
 		if length = ahead - c.ahead; length > tolerance {
 			c.ahead = ahead
@@ -106,36 +106,36 @@
 	}
 	c.shift.Store(int64(shift))
 	c.mu.Unlock()
-	if told != nil && length > tolerance {
-		told(length)
+	if notify != nil && length > tolerance {
+		notify(length)
 	}
 }
 
 const (
-	// mostReadings bounds the readings of a pair of clocks that is taken within closeTogether.
-	mostReadings  = 5
-	closeTogether = time.Millisecond
+	// maxReads is the number of attempts to read both clocks within maxReadGap.
+	maxReads   = 5
+	maxReadGap = time.Millisecond
 )
 
-// bootAhead gives how far the boot clock is ahead of the steady clock. Both cannot be read at
-// once, and a reading between which the process had to wait would look like a suspension, so
-// one is taken that lies close together.
+// bootAhead returns how far the boot clock is ahead of the monotonic clock. They can't be read at
+// the same instant, and a delay of the process between the two readings would look like a
+// suspension, so a pair of readings is used only if they are close together.
 func bootAhead() (ahead time.Duration, ok bool) {
-	for range mostReadings {
-		before, first := read(unix.CLOCK_MONOTONIC)
-		boot, second := read(unix.CLOCK_BOOTTIME)
-		after, third := read(unix.CLOCK_MONOTONIC)
-		if first && second && third && after-before <= closeTogether {
+	for range maxReads {
+		before, first := readClock(unix.CLOCK_MONOTONIC)
+		boot, second := readClock(unix.CLOCK_BOOTTIME)
+		after, third := readClock(unix.CLOCK_MONOTONIC)
+		if first && second && third && after-before <= maxReadGap {
 			return boot - before, true
 		}
 	}
 	return 0, false
 }
 
-func read(id int32) (time.Duration, bool) {
+func readClock(id int32) (time.Duration, bool) {
 	var at unix.Timespec
 	if err := unix.ClockGettime(id, &at); err != nil {
-		return 0, false // this system has no such clock, and no suspension is seen
+		return 0, false // the system doesn't have this clock, so no suspension can be detected
 	}
 	return time.Duration(at.Nano()), true
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Each reading lies between two of the runtime's clock, so what passes between two readings does
-// too, however long the machine holds the test up.
-func TestItGoesWithTheSteadyClock(t *testing.T) {
+// Each reading is taken between two readings of the runtime's clock, so the elapsed time lies
+// between theirs, however long the test is delayed.
+func TestFollowsMonotonicClock(t *testing.T) {
 	g := NewWithT(t)
 	outer, begun, inner := time.Now(), Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
@@ -20,7 +20,7 @@
 	g.Expect(passed).To(And(BeNumerically(">=", shortest), BeNumerically("<=", longest)))
 }
 
-func TestItGoesWithAPausedClock(t *testing.T) {
+func TestFollowsSynctestClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		begun := Now()
@@ -29,7 +29,7 @@
 	})
 }
 
-func TestAPretendedSuspensionCounts(t *testing.T) {
+func TestFakeSuspensionCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		suspended := time.Duration(0)
@@ -41,27 +41,27 @@
 	})
 }
 
-// The time of day may be set; that is no suspension, and costs one look.
-func TestATimeOfDayThatWasSetIsNoSuspension(t *testing.T) {
+// A change of the wall clock is not a suspension, and costs one reading of the boot clock.
+func TestWallClockChangeIsNoSuspension(t *testing.T) {
 	g := NewWithT(t)
 	c := newClock()
-	told := 0
-	c.woke = func(time.Duration) { told++ }
-	c.timeOfDay = c.timeOfDay.Add(-3 * time.Second)
+	calls := 0
+	c.onResume = func(time.Duration) { calls++ }
+	c.wall = c.wall.Add(-3 * time.Second)
 	c.now()
 	g.Expect(time.Duration(c.suspended.Load())).To(BeZero())
 	g.Expect(time.Duration(c.shift.Load())).To(BeNumerically("~", 3*time.Second, 10*time.Millisecond))
-	g.Expect(told).To(BeZero())
+	g.Expect(calls).To(BeZero())
 }
 
-// A suspension shows in the time of day, and the boot clock says how long it was.
-func TestASuspensionIsSeenByTheNextReading(t *testing.T) {
+// A suspension shows as a jump of the wall clock, and the boot clock gives its length.
+func TestNextReadingDetectsSuspension(t *testing.T) {
 	g := NewWithT(t)
 	c := newClock()
 	var lengths []time.Duration
-	c.woke = func(length time.Duration) { lengths = append(lengths, length) }
+	c.onResume = func(length time.Duration) { lengths = append(lengths, length) }
 	outer, begun := time.Now(), c.now()
-	c.timeOfDay, c.ahead = c.timeOfDay.Add(-3*time.Second), c.ahead-3*time.Second
+	c.wall, c.ahead = c.wall.Add(-3*time.Second), c.ahead-3*time.Second
 	passed := c.now().Sub(begun)
 	g.Expect(passed).To(And(BeNumerically(">=", 3*time.Second-tolerance), BeNumerically("<=", 3*time.Second+tolerance+time.Since(outer))))
 	c.now()
--- a/internal/boottime/usage_test.go
+++ b/internal/boottime/usage_test.go
@@ -10,10 +10,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// A moment of this clock and one of the runtime's differ by all suspensions so far, and nothing
-// but their use tells them apart. So a package that uses this clock uses it for all moments;
-// deadlines of connections alone are the runtime's.
-func TestPackagesWithThisClockUseNoOther(t *testing.T) {
+// A time of this clock differs from one of the runtime's clock by all suspensions so far, but both
+// have the same type. So a package that uses this clock must use it for all times except connection
+// deadlines, which use the runtime's clock.
+func TestPackagesUseOneClock(t *testing.T) {
 	g := NewWithT(t)
 	files, err := filepath.Glob("../*/*.go")
 	g.Expect(err).NotTo(HaveOccurred())
