--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -69,9 +69,9 @@
 }
 
 // ChooseUnless is like Choose, but doesn't place the call if skip returns true for the best server
-// and the unreported work that may have reached it. It then returns that server's zone, which is
-// empty if there is no server. Calling Best first and Choose afterwards would describe all servers
-// twice.
+// and the unreported work that may have reached it. In both cases it returns the zone of the best
+// server, which is empty if there is none. Calling Best first and Choose afterwards would describe
+// all servers twice.
 func (f *Fleet) ChooseUnless(query Query, skip func(best *placing.Candidate, unreportedWork float64) bool) (hold *Hold, zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -1,11 +1,11 @@
 // Package places has one box per zone, the owner of the zone's runners, choose the runner for each
 // long prompt that arrives at any box.
 //
-// It answers a burst of prompts while runners send no events. If each box chooses by the reported
-// load of the others, 59 boxes send their prompts to the runner that was least busy 0.3 s ago,
-// which then gets five times the prompts that fit into its memory. While the prompts wait there,
-// the parts that were fetched for them are evicted and have to be computed again, which delays the
-// answers of all other calls.
+// This protects runners from bursts of prompts that arrive while the runners send no events. If
+// each box chooses by the reported load of the others, 59 boxes send their prompts to the runner
+// that was least busy 0.3 s ago, which then gets five times the prompts that fit into its memory.
+// While the prompts wait there, the parts that were fetched for them are evicted and have to be
+// computed again, which delays the answers of all other calls.
 //
 // The choice of an owner is a hint with a fallback: there is no lease and no replication, and no
 // guarantee depends on it. The owner follows from the list of boxes (package delegate), like hubs
