--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,8 +23,8 @@
 
 // Config sets up a Queue of calls C, which find places P.
 type Config[C, P any] struct {
-	// Place finds a place for a call now. It is never called by two at once.
-	Place func(call C) (P, bool)
+	// TryPlace finds a place for a call now. It is never called by two at once.
+	TryPlace func(call C) (P, bool)
 	// Freed gives a channel that is closed when there may be room again.
 	Freed func() <-chan struct{}
 }
@@ -48,9 +48,9 @@
 // New makes an empty queue.
 func New[C, P any](cfg Config[C, P]) *Queue[C, P] { return &Queue[C, P]{cfg: cfg} }
 
-// Wait places a call at once if there is room. Otherwise it waits until the call's turn comes,
+// Acquire places a call at once if there is room. Otherwise it waits until the call's turn comes,
 // its wait is over or ctx ends; not at all if its turn would come too late.
-func (q *Queue[C, P]) Wait(ctx context.Context, limits waitqueue.Call, call C) (place P, ok bool) {
+func (q *Queue[C, P]) Acquire(ctx context.Context, limits waitqueue.Params, call C) (place P, ok bool) {
 	entry, place, ok := q.enter(limits, call)
 	if entry == nil {
 		return place, ok
@@ -60,18 +60,18 @@
 
 // enter places a call at once if there is room for it, and puts it into the queue otherwise.
 // Without an entry it has been placed, or to wait is pointless.
-func (q *Queue[C, P]) enter(limits waitqueue.Call, call C) (entry *waitqueue.Entry[*waiter[C, P]], place P, ok bool) {
+func (q *Queue[C, P]) enter(limits waitqueue.Params, call C) (entry *waitqueue.Entry[*waiter[C, P]], place P, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := boottime.Now()
-	if place, ok = q.cfg.Place(call); ok {
-		q.calls.Admitted(now)
+	if place, ok = q.cfg.TryPlace(call); ok {
+		q.calls.RecordAdmission(now)
 		return nil, place, true
 	}
-	if !now.Before(limits.Until) || q.calls.CannotMeetDeadline(limits, now) {
+	if !now.Before(limits.Deadline) || q.calls.CannotMeetDeadline(limits, now) {
 		return nil, place, false
 	}
-	return q.calls.Enter(limits, &waiter[C, P]{call, make(chan P, 1)}), place, false
+	return q.calls.Add(limits, &waiter[C, P]{call, make(chan P, 1)}), place, false
 }
 
 // wait waits until a call's turn comes, its wait is over, or ctx ends.
@@ -106,10 +106,10 @@
 		return
 	}
 	q.recheckedAt = now
-	for _, entry := range q.calls.InOrder() {
-		if place, ok := q.cfg.Place(entry.Value.call); ok {
-			q.calls.Leave(entry)
-			q.calls.Admitted(now)
+	for _, entry := range q.calls.Sorted() {
+		if place, ok := q.cfg.TryPlace(entry.Value.call); ok {
+			q.calls.Remove(entry)
+			q.calls.RecordAdmission(now)
 			entry.Value.found <- place
 		}
 	}
@@ -119,7 +119,7 @@
 func (q *Queue[C, P]) giveUp(entry *waitqueue.Entry[*waiter[C, P]]) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return boottime.Now().After(entry.Until) && q.calls.Leave(entry) // it may have been placed just now
+	return boottime.Now().After(entry.Deadline) && q.calls.Remove(entry) // it may have been placed just now
 }
 
 // abandon takes a call out of the queue that nobody waits for any more. It may have been placed
@@ -127,7 +127,7 @@
 func (q *Queue[C, P]) abandon(entry *waitqueue.Entry[*waiter[C, P]]) (place P, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.calls.Leave(entry) {
+	if q.calls.Remove(entry) {
 		return place, false
 	}
 	return <-entry.Value.found, true
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 }
 
 func (r *room) queue() *Queue[string, string] {
-	return New(Config[string, string]{Freed: r.freed.Wait, Place: func(call string) (string, bool) {
+	return New(Config[string, string]{Freed: r.freed.Wait, TryPlace: func(call string) (string, bool) {
 		if r.free == 0 {
 			return "", false
 		}
@@ -28,7 +28,9 @@
 	}})
 }
 
-func soon(wait time.Duration) waitqueue.Call { return waitqueue.Call{Until: time.Now().Add(wait)} }
+func soon(wait time.Duration) waitqueue.Params {
+	return waitqueue.Params{Deadline: time.Now().Add(wait)}
+}
 
 func TestWait(t *testing.T) {
 	tests := []struct {
@@ -64,7 +66,7 @@
 				})
 				began := time.Now()
 				time.Sleep(time.Nanosecond) // past the moment itself
-				place, ok := q.Wait(ctx, soon(test.wait), "a")
+				place, ok := q.Acquire(ctx, soon(test.wait), "a")
 				g.Expect(place).To(Equal(test.place))
 				g.Expect(ok).To(Equal(test.place != ""))
 				g.Expect(time.Since(began)).To(BeNumerically("~", test.took, 5*time.Millisecond))
--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -241,10 +241,10 @@
 	b.gateway = gateway.New(gateway.Config{
 		Protocol: b.cfg.Protocol, Pool: b.pool,
 		Off: b.settings.Off, Fleet: b.fleet, Parts: b.parts, Logger: b.logger, Scope: b.metrics.Scope(), Zone: b.settings.Zone,
-		Budget: b.budget, Boxes: b.share.Boxes, Headroom: b.share.OwnsHeadroom, Lag: b.share.Lag,
-		Places: b.places, Box: b.settings.Box, Regions: b.settings.Regions,
+		Budget: b.budget, BoxCount: b.share.Boxes, OwnsHeadroom: b.share.OwnsHeadroom, LoadReportAge: b.share.Lag,
+		Places: b.places, BoxName: b.settings.Box, Regions: b.settings.Regions,
 		Catalog: b.registry.Catalog, Weights: b.registry, Retire: b.retire, OutdatedAfter: b.settings.WeightsLimit,
-		Answers: b.answers, ServersAge: b.registry.ServersAge, Quarantine: b.quarantine, Crashed: b.crashes.Judge,
+		IsResponsive: b.answers, ServerListAge: b.registry.ServersAge, Quarantine: b.quarantine, ConfirmCrash: b.crashes.Judge,
 	})
 	b.assembleServers()
 }
--- a/internal/entrybox/suspects.go
+++ b/internal/entrybox/suspects.go
@@ -13,7 +13,7 @@
 // assembleSuspects makes what finds out which requests end servers.
 func (b *Box) assembleSuspects() {
 	scope := b.metrics.Scope()
-	b.pool = handover.NewPool(handover.PoolConfig{Off: b.settings.Off, Dialed: func() { scope.Counter("server_connections").Inc(1) }})
+	b.pool = handover.NewPool(handover.PoolConfig{Off: b.settings.Off, OnDial: func() { scope.Counter("server_connections").Inc(1) }})
 	b.quarantine = quarantine.New(quarantine.Config{
 		MayTry:  func(request quarantine.Request) bool { return b.share.RanksFirst(request.String()) },
 		Changed: b.suspectChanged,
@@ -49,7 +49,7 @@
 		b.share.TellNow()
 	}
 	if change.Held {
-		b.gateway.StopRequest(change.Request)
+		b.gateway.CancelRequest(change.Request)
 	}
 	event, message := b.logger.Warn(), ""
 	switch {
--- a/internal/entrybox/upkeep.go
+++ b/internal/entrybox/upkeep.go
@@ -44,7 +44,7 @@
 		woke := b.woke.Wait()
 		select {
 		case <-woke:
-			b.gateway.EndOverdue()
+			b.gateway.CancelExpired()
 		case <-ctx.Done():
 		}
 	}
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -63,12 +63,12 @@
 // answers reports whether the server of a try says anything, though not to the call. Those that
 // cannot be asked are believed to.
 func (t *try) answers() bool {
-	if t.chosen.namespace == "" || t.gateway.cfg.Answers == nil {
+	if t.chosen.namespace == "" || t.gateway.cfg.IsResponsive == nil {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(t.ctx, answerLimit)
 	defer cancel()
-	return t.gateway.cfg.Answers(ctx, t.chosen.hold.Server())
+	return t.gateway.cfg.IsResponsive(ctx, t.chosen.hold.Server())
 }
 
 // drop leaves a server that does not answer. Nobody else is to be handed to it for a while either.
@@ -107,7 +107,7 @@
 	}
 	observed := w.observe(boottime.Now())
 	if w.passing {
-		w.scheduleCheck(observed.Limit())
+		w.scheduleCheck(observed.IdleLimit())
 		return nil, ""
 	}
 	if another, next := observed.ShouldTryAnother(); !another {
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// StopRequest ends all calls under way that are sendings of a request which ends servers. One
+// CancelRequest ends all calls under way that are sendings of a request which ends servers. One
 // that a server has begun to run may thereby be taken back before the server ends.
-func (g *Gateway) StopRequest(request fingerprint.Fingerprint) {
+func (g *Gateway) CancelRequest(request fingerprint.Fingerprint) {
 	g.running.mu.Lock()
 	defer g.running.mu.Unlock()
 	for x := range g.running.calls[request] {
@@ -65,8 +65,8 @@
 // errOverdue ends a call whose time passed while the machine was suspended: timers did not see it.
 var errOverdue = merry.Sentinel("the call's time ended while the machine was suspended")
 
-// EndOverdue ends all calls under way whose time is over.
-func (g *Gateway) EndOverdue() {
+// CancelExpired ends all calls under way whose time is over.
+func (g *Gateway) CancelExpired() {
 	g.running.mu.Lock()
 	defer g.running.mu.Unlock()
 	for _, calls := range g.running.calls {
@@ -100,10 +100,10 @@
 // the call is not to go on at another for that: it was not the first that ended under this
 // request. After the first one, the other calls that it took along are best served at once.
 func (t *try) judgeEnd(end fleet.End) (endsServers bool) {
-	if end != fleet.EndUnreachable || t.endedBy() == sideBox || t.gateway.cfg.Crashed == nil {
+	if end != fleet.EndUnreachable || t.endedBy() == sideBox || t.gateway.cfg.ConfirmCrash == nil {
 		return false
 	}
 	x := t.x
 	loss := crash.Loss{Server: t.chosen.hold.Server(), Request: x.fingerprint, Caller: xxhash.Sum64String(x.caller())}
-	return t.gateway.cfg.Crashed(x.ctx, loss) && t.gateway.cfg.Quarantine.Ends(x.fingerprint) > 1
+	return t.gateway.cfg.ConfirmCrash(x.ctx, loss) && t.gateway.cfg.Quarantine.Ends(x.fingerprint) > 1
 }
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -31,11 +31,11 @@
 	e := &endings{Gateway: promptGateway(newPlanProtocol(), f, emptyStore(c), c), fleet: f}
 	e.known = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
 		if change.Held {
-			e.StopRequest(change.Request)
+			e.CancelRequest(change.Request)
 		}
 	}})
 	e.cfg.Quarantine = e.known
-	e.cfg.Crashed = func(_ context.Context, loss crash.Loss) bool {
+	e.cfg.ConfirmCrash = func(_ context.Context, loss crash.Loss) bool {
 		if crashes {
 			e.end(loss.Server.Incarnation)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -42,21 +42,21 @@
 	Fleet    *fleet.Fleet
 	Parts    *partindex.Index
 	Budget   *retrybudget.Budget
-	// Boxes gives the number of entry boxes, this one included.
-	Boxes func() int
-	// Lag gives how old the word of other boxes on their work is, of those of this box's
+	// BoxCount gives the number of entry boxes, this one included.
+	BoxCount func() int
+	// LoadReportAge gives how old the word of other boxes on their work is, of those of this box's
 	// zone or of the others; nil stands for none.
-	Lag func(ownZone bool) time.Duration
-	// Places gives the places of long prompts, for calls of this Box; nil where this box
+	LoadReportAge func(ownZone bool) time.Duration
+	// Places gives the places of long prompts, for calls of BoxName; nil where this box
 	// chooses for itself.
-	Places *places.Places
-	Box    string
+	Places  *places.Places
+	BoxName string
 	// Off holds mechanisms that are switched off.
 	Off mechanism.Off
-	// Headroom reports whether a server's headroom belongs to this box.
-	Headroom func(server string) bool
-	Logger   zerolog.Logger
-	Scope    tally.Scope
+	// OwnsHeadroom reports whether a server's headroom belongs to this box.
+	OwnsHeadroom func(server string) bool
+	Logger       zerolog.Logger
+	Scope        tally.Scope
 	// Zone is the availability zone of this box.
 	Zone string
 	// Regions gives the region of each zone.
@@ -64,25 +64,25 @@
 	// Catalog gives the configuration in force, or nil before the first.
 	Catalog func() *catalog.Catalog
 	// Weights knows which versions of weights were named.
-	Weights Weights
+	Weights WeightVersions
 	// Retire says which kept parts may be fetched.
 	Retire *retire.Policy
-	// ServersAge gives how old the knowledge of the backend servers is; nil when it has no
+	// ServerListAge gives how old the knowledge of the backend servers is; nil when it has no
 	// age.
-	ServersAge func() time.Duration
+	ServerListAge func() time.Duration
 	// OutdatedAfter is when answers by older weights have lost all their worth.
 	OutdatedAfter time.Duration
-	// Answers reports whether a runner answers at all, whatever it is busy with; nil where none
+	// IsResponsive reports whether a runner answers at all, whatever it is busy with; nil where none
 	// can be asked.
-	Answers func(ctx context.Context, server fleet.Server) bool
-	// Quarantine knows which requests end servers, Crashed reports whether the server of a
+	IsResponsive func(ctx context.Context, server fleet.Server) bool
+	// Quarantine knows which requests end servers, ConfirmCrash reports whether the server of a
 	// call that broke off has ended; nil where nothing of it is known.
-	Quarantine *quarantine.Set
-	Crashed    func(ctx context.Context, loss crash.Loss) bool
+	Quarantine   *quarantine.Set
+	ConfirmCrash func(ctx context.Context, loss crash.Loss) bool
 }
 
-// Weights knows which versions of weights were named.
-type Weights interface {
+// WeightVersions knows which versions of weights were named.
+type WeightVersions interface {
 	// Weights gives the newest version named for a model.
 	Weights(model string) registry.NamedWeights
 	// OutdatedSince gives the first version named after the given one, if any.
--- a/internal/gateway/offer.go
+++ b/internal/gateway/offer.go
@@ -24,7 +24,7 @@
 	// done is closed when the head of the answer has come, or none will; answer and err are
 	// written before.
 	done   chan struct{}
-	answer *handover.Answer
+	answer *handover.Response
 	err    error
 
 	mu sync.Mutex
@@ -44,7 +44,7 @@
 	go o.run(message)
 }
 
-func (o *offer) run(message handover.Call) {
+func (o *offer) run(message handover.Request) {
 	answer, err := o.t.handOver(message)
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // wait gives the head of the answer.
-func (o *offer) wait() (*handover.Answer, error) {
+func (o *offer) wait() (*handover.Response, error) {
 	<-o.done
 	return o.answer, o.err
 }
@@ -106,7 +106,7 @@
 		return false // it is at work
 	}
 	switch {
-	case errors.Is(o.err, handover.ErrNotHanded), errors.Is(o.err, errPlaceExpired):
+	case errors.Is(o.err, handover.ErrNotSent), errors.Is(o.err, errPlaceExpired):
 		o.reached = false
 		return true
 	case o.err != nil:
@@ -134,7 +134,7 @@
 		t.log("not_handed_over", errPlaceExpired.Error())
 		return
 	}
-	if errors.Is(o.err, handover.ErrNotHanded) {
+	if errors.Is(o.err, handover.ErrNotSent) {
 		t.gateway.cfg.Budget.Return()
 		t.noteUnreached(o.err)
 		return
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -49,7 +49,7 @@
 	if here != nil {
 		return g.placed(x, here, plans), true, true
 	}
-	asked := places.Ask(query, g.cfg.Box, g.cfg.Fleet.Versions(query.Service, query.Model))
+	asked := places.Ask(query, g.cfg.BoxName, g.cfg.Fleet.Versions(query.Service, query.Model))
 	asked.Urgency = x.urgency
 	hold, err := g.askZones(x, zone, query, asked)
 	if err != nil {
@@ -79,7 +79,7 @@
 	if !g.mayRunIn(x, g.cfg.Zone) {
 		return nil, errOtherRegion // it waits at this box
 	}
-	asked.Wait = max(boottime.Until(x.limits().Until), 0)
+	asked.Wait = max(boottime.Until(x.limits().Deadline), 0)
 	return g.askZone(x, g.cfg.Zone, query, asked)
 }
 
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -52,8 +52,8 @@
 		chosen = plans.at(hold.Weights())
 	}
 	chosen.hold = hold
-	if g.cfg.ServersAge != nil {
-		chosen.serversAge = g.cfg.ServersAge()
+	if g.cfg.ServerListAge != nil {
+		chosen.serversAge = g.cfg.ServerListAge()
 	}
 	if plans == nil {
 		return chosen
@@ -75,7 +75,7 @@
 		Service: x.service.Name, Zone: g.cfg.Zone, Exclude: x.tried, In: g.allowedZones(x),
 		Load: placing.Query{Spread: x.number * homeSeed},
 		// Shared with one box more than is known, which may have just started.
-		ConnectionLimit: max(x.service.ConnectionLimit/(g.cfg.Boxes()+1), leastConnections),
+		ConnectionLimit: max(x.service.ConnectionLimit/(g.cfg.BoxCount()+1), leastConnections),
 	}
 	if x.facts.Prompt == nil || x.service.Engine == nil {
 		return query, nil
@@ -96,8 +96,8 @@
 		plan := plans.at(weights).plan
 		return plan.FetchZone, plan.FetchTime
 	}
-	if g.cfg.Lag != nil {
-		query.Lag, query.LagElsewhere, query.Boxes = g.cfg.Lag(true), g.cfg.Lag(false), g.cfg.Boxes()
+	if g.cfg.LoadReportAge != nil {
+		query.Lag, query.LagElsewhere, query.Boxes = g.cfg.LoadReportAge(true), g.cfg.LoadReportAge(false), g.cfg.BoxCount()
 	}
 	load := &query.Load
 	load.ReadLimit = readLimit(x)
@@ -105,7 +105,7 @@
 	if load.Tokens >= placing.HomePart {
 		load.Memory = x.service.Engine.CapacityTokens
 		if g.cfg.Off.On(mechanism.Headroom) {
-			query.Headroom = g.cfg.Headroom
+			query.Headroom = g.cfg.OwnsHeadroom
 		}
 	}
 	if g.cfg.Off.On(mechanism.Homes) {
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -113,8 +113,8 @@
 func promptGateway(protocol call.Protocol, f *fleet.Fleet, index *partindex.Index, c *catalog.Catalog) *Gateway {
 	known := registry.New(registry.Config{Logger: zerolog.Nop()})
 	return New(Config{
-		Protocol: protocol, Pool: handover.NewPool(handover.PoolConfig{Dialed: func() {}}), Fleet: f, Parts: index,
-		Budget: retrybudget.New(retrybudget.Config{PerRequest: 1, Burst: 5}), Boxes: func() int { return 1 },
+		Protocol: protocol, Pool: handover.NewPool(handover.PoolConfig{OnDial: func() {}}), Fleet: f, Parts: index,
+		Budget: retrybudget.New(retrybudget.Config{PerRequest: 1, Burst: 5}), BoxCount: func() int { return 1 },
 		Logger: zerolog.Nop(), Scope: tally.NoopScope, Catalog: func() *catalog.Catalog { return c }, Weights: known,
 		Retire: retire.New(retire.Config{Registry: known, Peers: func() []retire.Peer { return nil }, Boxes: func() int { return 1 }}),
 	})
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -18,7 +18,7 @@
 
 // relayWhole takes in an answer whole and passes it on, so that one that breaks off
 // never looks whole, and another server can be tried instead.
-func (t *try) relayWhole(answer *handover.Answer) next {
+func (t *try) relayWhole(answer *handover.Response) next {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	if err != nil || len(body) > maxAnswerBytes {
 		return t.lost("answer_broke_off", fleet.EndUnreachable)
@@ -64,7 +64,7 @@
 }
 
 // relayStream passes a stream on, event by event.
-func (t *try) relayStream(answer *handover.Answer) next {
+func (t *try) relayStream(answer *handover.Response) next {
 	reader := eventstream.NewReader(answer.Body)
 	for {
 		event, err := reader.Next()
@@ -87,7 +87,7 @@
 }
 
 // pass sends an event on that the caller has not had.
-func (t *try) pass(answer *handover.Answer, event eventstream.Event) {
+func (t *try) pass(answer *handover.Response, event eventstream.Event) {
 	x := t.x
 	if x.events == 0 {
 		x.firstEvent = boottime.Now()
@@ -119,7 +119,7 @@
 }
 
 // beginStream sends the head of the first server's answer.
-func (t *try) beginStream(answer *handover.Answer) {
+func (t *try) beginStream(answer *handover.Response) {
 	x := t.x
 	if x.answering {
 		return
@@ -143,7 +143,7 @@
 }
 
 // streamEnded ends a stream whose server ended it properly.
-func (t *try) streamEnded(answer *handover.Answer) next {
+func (t *try) streamEnded(answer *handover.Response) next {
 	if t.x.events == 0 && !answer.Framed() {
 		return t.lost("stream_empty", fleet.EndFailed)
 	}
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -100,7 +100,7 @@
 			}()
 			<-begun
 			machine.Suspend(test.suspended)
-			gateway.EndOverdue()
+			gateway.CancelExpired()
 			if test.status == http.StatusOK {
 				close(release)
 			} else {
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -95,7 +95,7 @@
 
 // send hands the call over, if that was not done before the try's turn came, and gives the head
 // of the answer.
-func (t *try) send() (*handover.Answer, error) {
+func (t *try) send() (*handover.Response, error) {
 	t.watch.begin()
 	if t.offer != nil {
 		return t.offer.wait()
@@ -105,7 +105,7 @@
 
 // handOver hands the call over, and takes in what the head of the answer says of the server, also when
 // the rest of it is lost or no longer wanted.
-func (t *try) handOver(message handover.Call) (*handover.Answer, error) {
+func (t *try) handOver(message handover.Request) (*handover.Response, error) {
 	if !t.chosen.hold.MayHandOver() {
 		return nil, errPlaceExpired
 	}
@@ -130,11 +130,11 @@
 	return server.Incarnation
 }
 
-func isEventStream(answer *handover.Answer) bool {
+func isEventStream(answer *handover.Response) bool {
 	return answer.Status/100 == 2 && strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
 }
 
-func (t *try) message() handover.Call {
+func (t *try) message() handover.Request {
 	x := t.x
 	header := forwardable(x.request.Header)
 	t.gateway.cfg.Protocol.WriteHandover(header, x.handover(t.chosen, t.gateway.remaining(x, t.chosen)))
@@ -142,9 +142,9 @@
 	if x.route.MayRepeat() {
 		rest = repeatableRest
 	}
-	return handover.Call{
+	return handover.Request{
 		Address: t.chosen.hold.Server().Address, Method: x.request.Method, Target: x.target(), Host: x.request.Host,
-		Header: header, Body: x.body, MaxIdle: rest, Belongs: t.belongs, Connected: t.watch.connected,
+		Header: header, Body: x.body, MaxIdle: rest, Matches: t.belongs, OnConnect: t.watch.connected,
 	}
 }
 
--- a/internal/gateway/verdict.go
+++ b/internal/gateway/verdict.go
@@ -22,7 +22,7 @@
 	if errors.Is(err, errPlaceExpired) {
 		return t.expired()
 	}
-	if errors.Is(err, handover.ErrNotHanded) {
+	if errors.Is(err, handover.ErrNotSent) {
 		if t.callerGone() {
 			return t.left()
 		}
@@ -53,7 +53,7 @@
 // noteUnreached notes that the server could not be reached.
 func (t *try) noteUnreached(err error) {
 	t.finish(fleet.EndUnreachable)
-	t.gateway.cfg.Pool.Forget(t.chosen.hold.Server().Address)
+	t.gateway.cfg.Pool.CloseIdle(t.chosen.hold.Server().Address)
 	t.log("not_handed_over", err.Error())
 }
 
@@ -89,7 +89,7 @@
 }
 
 // refused judges a server's word that it did not run the call.
-func (t *try) refused(answer *handover.Answer, marks call.Marks) next {
+func (t *try) refused(answer *handover.Response, marks call.Marks) next {
 	t.noteRefusal(answer, marks)
 	if t.watch.takeOver() {
 		return nextTaken
@@ -102,7 +102,7 @@
 }
 
 // noteRefusal notes that the server did not run the call, and what that shows of it.
-func (t *try) noteRefusal(answer *handover.Answer, marks call.Marks) {
+func (t *try) noteRefusal(answer *handover.Response, marks call.Marks) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswerBytes)) // so that the connection can be kept
 	server := t.chosen.hold.Server()
 	replaced := marks.Server != "" && marks.Server != server.CalledBy()
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -21,7 +21,7 @@
 	if found, ok := g.queues.Load(service); ok {
 		return found.(*queue)
 	}
-	found, _ := g.queues.LoadOrStore(service, admission.New(admission.Config[*exchange, choice]{Place: g.place, Freed: g.cfg.Fleet.Freed}))
+	found, _ := g.queues.LoadOrStore(service, admission.New(admission.Config[*exchange, choice]{TryPlace: g.place, Freed: g.cfg.Fleet.Freed}))
 	return found.(*queue)
 }
 
@@ -32,11 +32,11 @@
 // limits says how urgent a call is and until when it may wait for room. A stream of which the
 // caller has a part is not refused and sent again, but cut; so it waits also when the time in which
 // a new call may wait is long over.
-func (x *exchange) limits() waitqueue.Call {
+func (x *exchange) limits() waitqueue.Params {
 	if x.answering {
-		return waitqueue.Call{Priority: x.urgency, Until: boottime.Now().Add(continueWait)}
+		return waitqueue.Params{Priority: x.urgency, Deadline: boottime.Now().Add(continueWait)}
 	}
-	return waitqueue.Call{Priority: x.urgency, Until: x.arrived.Add(time.Duration(placing.WaitPart * float64(x.route.Objective)))}
+	return waitqueue.Params{Priority: x.urgency, Deadline: x.arrived.Add(time.Duration(placing.WaitPart * float64(x.route.Objective)))}
 }
 
 // canStartInTime reports whether a server may take the call before its wait for room is over. A stream
@@ -47,7 +47,7 @@
 	if !available.Servers {
 		return x.answering
 	}
-	return available.Here && (available.Wait == 0 || !boottime.Now().Add(available.Wait).After(x.limits().Until))
+	return available.Here && (available.Wait == 0 || !boottime.Now().Add(available.Wait).After(x.limits().Deadline))
 }
 
 // placeSoon places a call, and lets one with a prompt wait for its turn.
@@ -65,5 +65,5 @@
 	if chosen, ok, answered := g.placeByOwner(x); answered {
 		return chosen, ok
 	}
-	return g.queue(x.service.Name).Wait(x.ctx, x.limits(), x)
+	return g.queue(x.service.Name).Acquire(x.ctx, x.limits(), x)
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -59,7 +59,7 @@
 	defer w.mu.Unlock()
 	w.heardAt = boottime.Now()
 	if w.t.x.route.MayRepeat() {
-		w.scheduleCheck(w.observe(w.heardAt).Limit())
+		w.scheduleCheck(w.observe(w.heardAt).IdleLimit())
 	}
 }
 
@@ -94,7 +94,7 @@
 // observe describes the call and its server to package silence. The caller holds mu.
 func (w *watch) observe(now time.Time) silence.Observation {
 	return silence.Observation{
-		Objective: w.t.x.route.Objective, Begun: w.begun, Prompt: w.t.chosen.namespace != "",
+		Objective: w.t.x.route.Objective, Started: w.begun, HasPrompt: w.t.chosen.namespace != "",
 		Idle: now.Sub(w.heardAt), Delay: now.Sub(w.due), Responsive: w.t.chosen.hold != nil && w.t.chosen.hold.Speaks(),
 	}
 }
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -99,7 +99,7 @@
 			startRunner(t, f, "first", silentFor(silentLength, begun, nil))
 			c := silentCatalog(g, 2)
 			gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
-			gateway.cfg.Answers = func(ctx context.Context, server fleet.Server) bool {
+			gateway.cfg.IsResponsive = func(ctx context.Context, server fleet.Server) bool {
 				if server.Incarnation != "second" {
 					return true
 				}
@@ -334,7 +334,7 @@
 	g.Expect(next).NotTo(BeNil())
 	g.Expect(tried.watch.takeOver()).To(BeTrue())
 
-	then := tried.relayWhole(&handover.Answer{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader("answer")})
+	then := tried.relayWhole(&handover.Response{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader("answer")})
 	g.Expect(then).To(Equal(nextEnd))
 	g.Expect(tried.watch.close(false)).To(BeNil(), "nobody goes on with it")
 	g.Expect(caller.Body.String()).To(Equal("answer"))
--- a/internal/handover/export_test.go
+++ b/internal/handover/export_test.go
@@ -7,7 +7,7 @@
 )
 
 // KeepAlive gives the system's setting of an answer's connection: whether it is probed.
-func KeepAlive(answer *Answer) int {
+func KeepAlive(answer *Response) int {
 	raw, err := answer.connection.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		panic(err)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,15 +20,15 @@
 
 // Errors of a call.
 var (
-	// ErrNotHanded says that no byte of the call left this process.
-	ErrNotHanded = merry.Sentinel("the backend server could not be reached")
-	// ErrNoAnswer says that the call was handed over, at least in part, and
+	// ErrNotSent says that no byte of the call left this process.
+	ErrNotSent = merry.Sentinel("the backend server could not be reached")
+	// ErrNoResponse says that the call was handed over, at least in part, and
 	// nothing is known of what became of it.
-	ErrNoAnswer = merry.Sentinel("the backend server gave no answer")
+	ErrNoResponse = merry.Sentinel("the backend server gave no answer")
 )
 
-// Call is one call as it goes to a backend server.
-type Call struct {
+// Request is one call as it goes to a backend server.
+type Request struct {
 	Address string
 	Method  string
 	// Target is the path and query as the caller sent them.
@@ -39,12 +39,12 @@
 	// MaxIdle is the longest rest of a kept connection that may carry the call.
 	// A server may close a resting connection just as the call is written.
 	MaxIdle time.Duration
-	// Belongs reports whether an answer is the one to this call. A server may
+	// Matches reports whether an answer is the one to this call. A server may
 	// put an answer to an earlier call in its place; such an answer is dropped.
-	Belongs func(response *http.Response) bool
-	// Connected is told of the connection before the call is written, by what has the system
+	Matches func(response *http.Response) bool
+	// OnConnect is told of the connection before the call is written, by what has the system
 	// probe it (see probe); it may be nil.
-	Connected func(probe func() error)
+	OnConnect func(probe func() error)
 }
 
 // maxForeignAnswers bounds the answers that are dropped while the call's own is
@@ -58,8 +58,8 @@
 // maxForeignBytes bounds the body of an answer that is dropped.
 const maxForeignBytes = 1 << 20
 
-// Answer is a backend server's answer. Close must be called once.
-type Answer struct {
+// Response is a backend server's answer. Close must be called once.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body gives the whole body, or an error where the server broke off.
@@ -74,14 +74,14 @@
 }
 
 // Send hands a call over. When ctx ends, the connection is closed, which tells the
-// server to stop. The error is ErrNotHanded or ErrNoAnswer.
-func (p *Pool) Send(ctx context.Context, call Call) (*Answer, error) {
+// server to stop. The error is ErrNotSent or ErrNoResponse.
+func (p *Pool) Send(ctx context.Context, call Request) (*Response, error) {
 	c, err := p.connect(ctx, call)
 	if err != nil {
-		return nil, merry.Wrap(ErrNotHanded, merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(ErrNotSent, merry.AppendMessage(err.Error()))
 	}
-	if call.Connected != nil {
-		call.Connected(c.probe)
+	if call.OnConnect != nil {
+		call.OnConnect(c.probe)
 	}
 	unwatch := context.AfterFunc(ctx, c.close) // makes reads and writes under way fail
 	written := make(chan error, 1)
@@ -94,9 +94,9 @@
 	if err != nil {
 		unwatch()
 		c.close()
-		return nil, merry.Wrap(ErrNoAnswer, merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(ErrNoResponse, merry.AppendMessage(err.Error()))
 	}
-	answer := &Answer{
+	answer := &Response{
 		Status: response.StatusCode, Header: response.Header,
 		pool: p, connection: c, response: response, written: written, unwatch: unwatch,
 	}
@@ -105,7 +105,7 @@
 }
 
 // head writes the request line and the headers.
-func head(call Call) []byte {
+func head(call Request) []byte {
 	var buffer bytes.Buffer
 	buffer.WriteString(call.Method + " " + call.Target + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
 	_ = call.Header.Write(&buffer) // a bytes.Buffer takes everything
@@ -124,7 +124,7 @@
 }
 
 // readOwn reads answers until the one that belongs to the call.
-func (c *connection) readOwn(call Call) (*http.Response, error) {
+func (c *connection) readOwn(call Request) (*http.Response, error) {
 	request := &http.Request{Method: call.Method}
 	for range maxForeignAnswers + 1 {
 		response, err := http.ReadResponse(c.reader, request)
@@ -134,7 +134,7 @@
 		if response.StatusCode/100 == 1 {
 			continue
 		}
-		if call.Belongs == nil || call.Belongs(response) {
+		if call.Matches == nil || call.Matches(response) {
 			return response, nil
 		}
 		c.tainted = true
@@ -146,7 +146,7 @@
 }
 
 // wholeReader notes when the body has been read to its proper end.
-type wholeReader struct{ answer *Answer }
+type wholeReader struct{ answer *Response }
 
 func (r wholeReader) Read(p []byte) (int, error) {
 	n, err := r.answer.response.Body.Read(p)
@@ -158,13 +158,13 @@
 
 // Framed reports whether the answer says itself where it ends. The end of one
 // that does not is the end of its connection.
-func (a *Answer) Framed() bool {
+func (a *Response) Framed() bool {
 	return a.response.ContentLength >= 0 || len(a.response.TransferEncoding) > 0
 }
 
 // Close ends the use of the answer. The connection is kept when both directions
 // are known to be at the end of this call and nothing more.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	watching := a.unwatch()
 	select {
 	case err := <-a.written:
@@ -177,7 +177,7 @@
 	a.connection.close()
 }
 
-func (a *Answer) keepable() bool {
+func (a *Response) keepable() bool {
 	c := a.connection
 	return a.whole && !a.response.Close && !c.tainted && c.reader.Buffered() == 0
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -63,11 +63,11 @@
 	}
 }
 
-func call(s *server, id string) handover.Call {
-	return handover.Call{
+func call(s *server, id string) handover.Request {
+	return handover.Request{
 		Address: s.address, Method: http.MethodGet, Target: "/x", Host: "h.example",
 		Header: http.Header{"X-Id": {id}}, MaxIdle: time.Minute,
-		Belongs: func(response *http.Response) bool { return response.Header.Get("X-Id") == id },
+		Matches: func(response *http.Response) bool { return response.Header.Get("X-Id") == id },
 	}
 }
 
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func get(pool *handover.Pool, c handover.Call) (string, error) {
+func get(pool *handover.Pool, c handover.Request) (string, error) {
 	sent, err := pool.Send(context.Background(), c)
 	if err != nil {
 		return "", err
@@ -162,7 +162,7 @@
 			})
 			_, err := get(handover.NewPool(handover.PoolConfig{}), call(s, "1"))
 			g.Expect(err).To(HaveOccurred())
-			g.Expect(err).NotTo(MatchError(handover.ErrNotHanded))
+			g.Expect(err).NotTo(MatchError(handover.ErrNotSent))
 		})
 	}
 }
@@ -189,11 +189,11 @@
 	pool := handover.NewPool(handover.PoolConfig{})
 	c := call(&server{address: closedAddress}, "1")
 	_, err := pool.Send(context.Background(), c)
-	g.Expect(err).To(MatchError(handover.ErrNotHanded))
+	g.Expect(err).To(MatchError(handover.ErrNotSent))
 
 	hangsUp := serve(t, func(int, *http.Request, net.Conn) bool { return false })
 	_, err = pool.Send(context.Background(), call(hangsUp, "1"))
-	g.Expect(err).To(MatchError(handover.ErrNoAnswer))
+	g.Expect(err).To(MatchError(handover.ErrNoResponse))
 	g.Expect(hangsUp.calls.Load()).To(BeEquivalentTo(1), "a call is written once")
 }
 
@@ -262,9 +262,9 @@
 	defer server.Close()
 	pool := handover.NewPool(handover.PoolConfig{})
 	var probe func() error
-	call := handover.Call{
+	call := handover.Request{
 		Address: server.Listener.Addr().String(), Method: http.MethodGet, Target: "/", Host: "h", MaxIdle: time.Second,
-		Connected: func(found func() error) { probe = found },
+		OnConnect: func(found func() error) { probe = found },
 	}
 	answer, err := pool.Send(t.Context(), call)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/handover/pool.go
+++ b/internal/handover/pool.go
@@ -26,12 +26,12 @@
 type PoolConfig struct {
 	// DialTimeout bounds the making of a connection.
 	DialTimeout time.Duration
-	// IdlePerServer bounds the resting connections to one server.
-	IdlePerServer int
+	// MaxIdlePerServer bounds the resting connections to one server.
+	MaxIdlePerServer int
 	// Off holds mechanisms that are switched off.
 	Off mechanism.Off
-	// Dialed is told of each new connection, for the metrics; it may be nil.
-	Dialed func()
+	// OnDial is told of each new connection, for the metrics; it may be nil.
+	OnDial func()
 }
 
 // Defaults of PoolConfig.
@@ -40,9 +40,9 @@
 	// below the second after which the system sends a lost packet of a new connection
 	// again; longer waits are of no use to calls whose server is cut off.
 	DefaultDialTimeout = 150 * time.Millisecond
-	// DefaultIdlePerServer is what one box keeps of a server's connections; a
+	// DefaultMaxIdlePerServer is what one box keeps of a server's connections; a
 	// server takes some 100 of all boxes together.
-	DefaultIdlePerServer = 10
+	DefaultMaxIdlePerServer = 10
 )
 
 const (
@@ -95,7 +95,7 @@
 // NewPool makes an empty pool.
 func NewPool(cfg PoolConfig) *Pool {
 	cfg.DialTimeout = cmp.Or(cfg.DialTimeout, DefaultDialTimeout)
-	cfg.IdlePerServer = cmp.Or(cfg.IdlePerServer, DefaultIdlePerServer)
+	cfg.MaxIdlePerServer = cmp.Or(cfg.MaxIdlePerServer, DefaultMaxIdlePerServer)
 	return &Pool{cfg: cfg, idle: map[string][]*connection{}, rests: map[string]time.Duration{}, dialer: net.Dialer{Timeout: cfg.DialTimeout, KeepAlive: -1, Control: limitUnacknowledged}}
 }
 
@@ -112,7 +112,7 @@
 }
 
 // connect gives a kept connection that is sound, or a new one.
-func (p *Pool) connect(ctx context.Context, call Call) (*connection, error) {
+func (p *Pool) connect(ctx context.Context, call Request) (*connection, error) {
 	for {
 		c := p.take(call.Address)
 		if c == nil {
@@ -152,8 +152,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.cfg.Dialed != nil {
-		p.cfg.Dialed()
+	if p.cfg.OnDial != nil {
+		p.cfg.OnDial()
 	}
 	return &connection{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
@@ -200,7 +200,7 @@
 		kept[0].close()
 		kept = kept[1:]
 	}
-	if rest <= 0 || len(kept) >= p.cfg.IdlePerServer {
+	if rest <= 0 || len(kept) >= p.cfg.MaxIdlePerServer {
 		c.close()
 	} else {
 		kept = append(kept, c)
@@ -208,8 +208,8 @@
 	p.idle[c.address] = kept
 }
 
-// Forget closes the resting connections to a server.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the resting connections to a server.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
--- a/internal/places/owner.go
+++ b/internal/places/owner.go
@@ -38,8 +38,8 @@
 // Give chooses a server for a call, which may wait for its turn. It gives nil when there was no
 // room.
 func (p *Places) Give(ctx context.Context, q Question) *fleet.Grant {
-	limits := waitqueue.Call{Priority: q.Urgency, Until: boottime.Now().Add(min(q.Wait, longestWait))}
-	place, ok := p.queue(q.Service).Wait(ctx, limits, q)
+	limits := waitqueue.Params{Priority: q.Urgency, Deadline: boottime.Now().Add(min(q.Wait, longestWait))}
+	place, ok := p.queue(q.Service).Acquire(ctx, limits, q)
 	if !ok {
 		return nil
 	}
@@ -52,7 +52,7 @@
 	defer p.mu.Unlock()
 	found := p.queues[service]
 	if found == nil {
-		found = admission.New(admission.Config[Question, *fleet.Grant]{Place: p.place, Freed: p.cfg.Fleet.Freed})
+		found = admission.New(admission.Config[Question, *fleet.Grant]{TryPlace: p.place, Freed: p.cfg.Fleet.Freed})
 		p.queues[service] = found
 	}
 	return found
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -74,8 +74,8 @@
 	nothingNamed := registry.New(registry.Config{Logger: cfg.Logger})
 	r.gateway = gateway.New(gateway.Config{
 		Protocol: Headers{}, Pool: handover.NewPool(handover.PoolConfig{}), Fleet: r.fleet, Parts: partindex.New(partindex.Config{}),
-		Budget: cfg.Budget, Boxes: cfg.Boxes, Logger: cfg.Logger, Scope: cfg.Scope.SubScope("routed"), Zone: cfg.Zone,
-		Catalog: r.catalog.Load, Weights: nothingNamed, Answers: r.responds,
+		Budget: cfg.Budget, BoxCount: cfg.Boxes, Logger: cfg.Logger, Scope: cfg.Scope.SubScope("routed"), Zone: cfg.Zone,
+		Catalog: r.catalog.Load, Weights: nothingNamed, IsResponsive: r.responds,
 		Retire: retire.New(retire.Config{Registry: nothingNamed, Peers: func() []retire.Peer { return nil }, Boxes: cfg.Boxes}),
 	})
 	return r
--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -33,10 +33,10 @@
 type Observation struct {
 	// Objective is that of the call's route; zero where it names none.
 	Objective time.Duration
-	// Begun says that a part of the response has come.
-	Begun bool
-	// Prompt says that the server has a prompt to read before it responds.
-	Prompt bool
+	// Started says that a part of the response has come.
+	Started bool
+	// HasPrompt says that the server has a prompt to read before it responds.
+	HasPrompt bool
 	// Idle is for how long nothing has come.
 	Idle time.Duration
 	// Delay is how much later than scheduled this check runs.
@@ -45,9 +45,9 @@
 	Responsive bool
 }
 
-// Limit is the idle time after which a call looks for another server.
-func (o Observation) Limit() time.Duration {
-	if o.Begun {
+// IdleLimit is the idle time after which a call looks for another server.
+func (o Observation) IdleLimit() time.Duration {
+	if o.Started {
 		return streamGap
 	}
 	return max(patienceFactor*o.Objective, shortestPatience)
@@ -59,12 +59,12 @@
 // ShouldTryAnother reports whether the call is to look for another server now, and otherwise how long
 // until the next check.
 func (o Observation) ShouldTryAnother() (another bool, next time.Duration) {
-	switch limit := o.Limit(); {
+	switch limit := o.IdleLimit(); {
 	case o.Idle < limit:
 		return false, limit - o.Idle
 	case o.Delay > maxSchedulingDelay:
 		return false, drainInterval
-	case !o.Begun && o.Prompt && o.Responsive && o.Idle < busyRunnerFactor*o.Objective:
+	case !o.Started && o.HasPrompt && o.Responsive && o.Idle < busyRunnerFactor*o.Objective:
 		return false, o.RecheckInterval()
 	default:
 		return true, 0
--- a/internal/waitqueue/waitqueue.go
+++ b/internal/waitqueue/waitqueue.go
@@ -20,12 +20,12 @@
 	"time"
 )
 
-// Call is what the order goes by.
-type Call struct {
+// Params are what the order goes by.
+type Params struct {
 	// Priority is the call's rank; 0 goes first.
 	Priority int
-	// Until is when the call's wait ends.
-	Until time.Time
+	// Deadline is when the call's wait ends.
+	Deadline time.Time
 }
 
 const (
@@ -47,22 +47,22 @@
 
 // Entry is a call in the queue.
 type Entry[T any] struct {
-	Call
+	Params
 	Value T
 }
 
 // Len counts the calls that wait.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
-// Enter puts a call into the queue.
-func (q *Queue[T]) Enter(call Call, value T) *Entry[T] {
+// Add puts a call into the queue.
+func (q *Queue[T]) Add(call Params, value T) *Entry[T] {
 	entry := &Entry[T]{call, value}
 	q.entries = append(q.entries, entry)
 	return entry
 }
 
-// Leave takes a call out of the queue. It reports false when it is out already.
-func (q *Queue[T]) Leave(entry *Entry[T]) bool {
+// Remove takes a call out of the queue. It reports false when it is out already.
+func (q *Queue[T]) Remove(entry *Entry[T]) bool {
 	at := slices.Index(q.entries, entry)
 	if at >= 0 {
 		q.entries = slices.Delete(q.entries, at, at+1)
@@ -70,8 +70,8 @@
 	return at >= 0
 }
 
-// Admitted notes that a call has found room, whether it waited or not.
-func (q *Queue[T]) Admitted(now time.Time) {
+// RecordAdmission notes that a call has found room, whether it waited or not.
+func (q *Queue[T]) RecordAdmission(now time.Time) {
 	q.fade(now)
 	q.admitted++
 }
@@ -84,19 +84,19 @@
 }
 
 // order compares calls by who goes first.
-func (c Call) order(other Call) int {
-	return cmp.Or(cmp.Compare(c.Priority, other.Priority), c.Until.Compare(other.Until))
+func (c Params) order(other Params) int {
+	return cmp.Or(cmp.Compare(c.Priority, other.Priority), c.Deadline.Compare(other.Deadline))
 }
 
-// InOrder lists the calls that wait, the next one first.
-func (q *Queue[T]) InOrder() []*Entry[T] {
-	slices.SortStableFunc(q.entries, func(a, b *Entry[T]) int { return a.order(b.Call) })
+// Sorted lists the calls that wait, the next one first.
+func (q *Queue[T]) Sorted() []*Entry[T] {
+	slices.SortStableFunc(q.entries, func(a, b *Entry[T]) int { return a.order(b.Params) })
 	return slices.Clone(q.entries)
 }
 
-// Wait estimates how long a call waits for its turn, in the queue or not: as long as those
+// EstimateWait estimates how long a call waits for its turn, in the queue or not: as long as those
 // before it need to find room.
-func (q *Queue[T]) Wait(call Call, now time.Time) time.Duration {
+func (q *Queue[T]) EstimateWait(call Params, now time.Time) time.Duration {
 	ahead := 0
 	for _, entry := range q.entries {
 		if entry.order(call) < 0 {
@@ -109,6 +109,6 @@
 }
 
 // CannotMeetDeadline reports whether a call's turn comes after its wait has ended.
-func (q *Queue[T]) CannotMeetDeadline(call Call, now time.Time) bool {
-	return now.Add(q.Wait(call, now)).After(call.Until)
+func (q *Queue[T]) CannotMeetDeadline(call Params, now time.Time) bool {
+	return now.Add(q.EstimateWait(call, now)).After(call.Deadline)
 }
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -12,8 +12,8 @@
 var start = time.Unix(1_000_000, 0)
 
 // at makes a call whose wait ends some milliseconds after the start.
-func at(priority, until int) waitqueue.Call {
-	return waitqueue.Call{Priority: priority, Until: after(until)}
+func at(priority, until int) waitqueue.Params {
+	return waitqueue.Params{Priority: priority, Deadline: after(until)}
 }
 
 func after(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
@@ -21,7 +21,7 @@
 func TestWhoGoesFirst(t *testing.T) {
 	tests := []struct {
 		name          string
-		first, second waitqueue.Call
+		first, second waitqueue.Params
 	}{
 		{"the more urgent", at(0, 240), at(1, 100)},
 		{"of these the one whose wait ends first", at(1, 100), at(1, 240)},
@@ -30,9 +30,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			var queue waitqueue.Queue[string]
-			queue.Enter(test.second, "second")
-			queue.Enter(test.first, "first")
-			order := queue.InOrder()
+			queue.Add(test.second, "second")
+			queue.Add(test.first, "first")
+			order := queue.Sorted()
 			g.Expect([]string{order[0].Value, order[1].Value}).To(Equal([]string{"first", "second"}))
 		})
 	}
@@ -41,9 +41,9 @@
 func TestACallThatLeavesIsOut(t *testing.T) {
 	g := NewWithT(t)
 	var queue waitqueue.Queue[int]
-	entry := queue.Enter(at(0, 1), 1)
-	g.Expect(queue.Leave(entry)).To(BeTrue())
-	g.Expect(queue.Leave(entry)).To(BeFalse())
+	entry := queue.Add(at(0, 1), 1)
+	g.Expect(queue.Remove(entry)).To(BeTrue())
+	g.Expect(queue.Remove(entry)).To(BeFalse())
 	g.Expect(queue.Len()).To(BeZero())
 }
 
@@ -51,7 +51,7 @@
 func busy(perSecond int) *waitqueue.Queue[int] {
 	queue := &waitqueue.Queue[int]{}
 	for i := range 10 * perSecond {
-		queue.Admitted(start.Add(time.Duration(i-10*perSecond) * time.Second / time.Duration(perSecond)))
+		queue.RecordAdmission(start.Add(time.Duration(i-10*perSecond) * time.Second / time.Duration(perSecond)))
 	}
 	return queue
 }
@@ -61,7 +61,7 @@
 		name    string
 		queue   *waitqueue.Queue[int]
 		ahead   int
-		call    waitqueue.Call
+		call    waitqueue.Params
 		tooLate bool
 	}{
 		{"the first call of a quiet box", busy(0), 0, at(1, 240), false},
@@ -75,7 +75,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			for range test.ahead {
-				test.queue.Enter(at(1, 100), 0)
+				test.queue.Add(at(1, 100), 0)
 			}
 			g.Expect(test.queue.CannotMeetDeadline(test.call, start)).To(Equal(test.tooLate))
 		})
@@ -85,7 +85,7 @@
 func TestTheRateIsThatOfTheLastSeconds(t *testing.T) {
 	g := NewWithT(t)
 	queue := busy(50)
-	queue.Enter(at(0, 100), 0)
-	g.Expect(queue.Wait(at(0, 60_000), start)).To(BeNumerically("~", 20*time.Millisecond, 2*time.Millisecond))
-	g.Expect(queue.Wait(at(0, 60_000), after(20_000))).To(Equal(20*time.Millisecond), "the least rate")
+	queue.Add(at(0, 100), 0)
+	g.Expect(queue.EstimateWait(at(0, 60_000), start)).To(BeNumerically("~", 20*time.Millisecond, 2*time.Millisecond))
+	g.Expect(queue.EstimateWait(at(0, 60_000), after(20_000))).To(Equal(20*time.Millisecond), "the least rate")
 }
