--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -1,6 +1,5 @@
-// The first stages: everything that the caller sent is read and judged before a
-// backend server is chosen, so that a slow or faulty caller costs none of them
-// anything.
+// The stages before placement. A call is read and validated completely before a backend server is
+// chosen, so that a slow or invalid caller uses no server capacity.
 
 package gateway
 
@@ -16,17 +15,16 @@
 	"github.com/cometlock/cometlock/internal/fingerprint"
 )
 
-// defaultTimeout holds for routes without a timeout and callers who do not say how
-// long they wait.
+// defaultTimeout applies where neither the route nor the caller sets a timeout.
 const defaultTimeout = 30 * time.Second
 
-// accept decodes the head of a call and finds its route.
+// accept reads the headers of a call, finds its route and sets its deadline.
 func (g *Gateway) accept(x *exchange) bool {
 	x.facts = g.cfg.Protocol.ReadFacts(x.request.Header)
 	x.resumeAfter = x.facts.ResumeAfter
 	x.catalog = g.cfg.Catalog()
 	if x.catalog == nil {
-		return g.refuse(x, "no_configuration", startingPause)
+		return g.refuse(x, "no_configuration", retryAfterStartup)
 	}
 	x.route = x.catalog.Route(x.request.Host, x.request.URL.Path)
 	if x.route == nil {
@@ -39,20 +37,20 @@
 	if x.facts.Malformed != "" {
 		return g.reject(x, http.StatusBadRequest, x.facts.Malformed)
 	}
-	x.urgency = x.route.Urgency
-	patience := x.route.Timeout
-	if patience <= 0 {
-		patience = defaultTimeout
+	x.priority = x.route.Urgency
+	timeout := x.route.Timeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
 	if x.facts.Patience > 0 {
-		patience = min(patience, x.facts.Patience)
+		timeout = min(timeout, x.facts.Patience)
 	}
-	x.deadline = x.arrived.Add(patience)
+	x.deadline = x.arrived.Add(timeout)
 	return true
 }
 
-// headerBytes is the length of a call's head as its caller sent it, within a few
-// bytes.
+// headerBytes returns the size of a call's request line and headers as the caller sent them, within
+// a few bytes.
 func headerBytes(r *http.Request) int {
 	const lineEnds, separators = 2, 4 // "\r\n", and ": " with it
 	total := len(r.Method) + len(r.RequestURI) + len(r.Proto) + lineEnds + len("Host") + len(r.Host) + separators
@@ -64,20 +62,20 @@
 	return total
 }
 
-// authorise finds the organisation that the caller's key belongs to.
+// authorise looks up the organisation of the caller's API key.
 func (g *Gateway) authorise(x *exchange) bool {
 	x.organisation = x.catalog.Organisation(x.facts.Key)
 	if x.organisation == nil && x.catalog.KeysRequired() && !x.route.Public {
 		return g.reject(x, http.StatusUnauthorized, "unknown_key")
 	}
 	if x.organisation != nil && x.organisation.Urgency != nil {
-		x.urgency = *x.organisation.Urgency
+		x.priority = *x.organisation.Urgency
 	}
 	return true
 }
 
-// readBody takes in the whole body, so that a slow caller holds no backend server
-// and a call can be handed over again.
+// readBody buffers the whole body, so that a slow caller occupies no backend server and the call
+// can be sent again.
 func (g *Gateway) readBody(x *exchange) bool {
 	limit := x.catalog.Limits().BodyBytes
 	if x.request.ContentLength > limit {
@@ -85,13 +83,13 @@
 	}
 	connection := http.NewResponseController(x.writer)
 	if err := connection.SetReadDeadline(time.Now().Add(boottime.Until(x.deadline))); err != nil {
-		g.cfg.Logger.Debug().Str("error", err.Error()).Msg("no_read_deadline") // the writer of a test
+		g.cfg.Logger.Debug().Str("error", err.Error()).Msg("no_read_deadline") // the response writers of tests support no deadlines
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.writer, x.request.Body, limit))
 	if err == nil {
-		x.body, x.readAt = body, boottime.Now()
-		x.fingerprint = x.identify()
-		_ = connection.SetReadDeadline(time.Time{}) // as above
+		x.body, x.bodyReadAt = body, boottime.Now()
+		x.fingerprint = x.requestFingerprint()
+		_ = connection.SetReadDeadline(time.Time{}) // likewise
 		return true
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -108,46 +106,47 @@
 	return g.reject(x, http.StatusBadRequest, "body_unreadable")
 }
 
-// identify names the request that this call is a sending of.
-func (x *exchange) identify() fingerprint.Fingerprint {
+// requestFingerprint identifies the request of this call; a call that is sent again has the same
+// fingerprint.
+func (x *exchange) requestFingerprint() fingerprint.Fingerprint {
 	return fingerprint.Of(fingerprint.Request{
-		Caller: x.caller(), Method: x.request.Method, Host: x.request.Host, Target: x.target(), Body: x.body,
+		Caller: x.callerName(), Method: x.request.Method, Host: x.request.Host, Target: x.target(), Body: x.body,
 	})
 }
 
-// caller names the organisation that the call belongs to; empty where anybody may call.
-func (x *exchange) caller() string {
+// callerName returns the name of the call's organisation, or "" for a call without one.
+func (x *exchange) callerName() string {
 	if x.organisation == nil {
 		return ""
 	}
 	return x.organisation.Name
 }
 
-// target gives the path and query as the caller sent them.
+// target returns the path and query as the caller sent them.
 func (x *exchange) target() string {
 	target := x.request.RequestURI
 	if strings.HasPrefix(target, "/") {
 		return target
 	}
-	return x.request.URL.RequestURI() // a caller may name the host in the request line too
+	return x.request.URL.RequestURI() // the request line may also hold an absolute URL
 }
 
-// hopByHop lists the headers that belong to one connection (RFC 9110, 7.6.1), and
-// the length, which is written anew.
-var hopByHop = []string{
+// hopByHopHeaders lists the headers of a single connection (RFC 9110, 7.6.1), and Content-Length,
+// which is set again when the message is written.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwardable copies the headers that travel past this hop.
-func forwardable(header http.Header) http.Header {
+// endToEndHeaders copies the headers without those of the connection that they came on.
+func endToEndHeaders(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, names := range header.Values("Connection") {
 		for name := range strings.SplitSeq(names, ",") {
 			copied.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		copied.Del(name)
 	}
 	return copied
--- /dev/null
+++ b/internal/gateway/attempt.go
@@ -0,0 +1,156 @@
+// One attempt of a call: the call is forwarded to one server, and the response relayed.
+
+package gateway
+
+import (
+	"context"
+	"net/http"
+	"strings"
+
+	"github.com/ansel1/merry/v2"
+
+	"github.com/cometlock/cometlock/internal/advisory"
+	"github.com/cometlock/cometlock/internal/boottime"
+	"github.com/cometlock/cometlock/internal/call"
+	"github.com/cometlock/cometlock/internal/fleet"
+	"github.com/cometlock/cometlock/internal/handover"
+)
+
+// errPlacementExpired is the error of a call that must no longer be sent to its server. A placement
+// at a server that takes few calls is valid only for a short time, and a server may have announced
+// since the placement that it drains or wants a pause.
+var errPlacementExpired = merry.Sentinel("the placement has expired")
+
+// attempt is one attempt of a call at one server.
+type attempt struct {
+	gateway *Gateway
+	x       *exchange
+	chosen  placement
+	// number counts the attempts of a call, starting at 1; serversReached is the number of servers
+	// that the call was sent to, this one included.
+	number         int
+	serversReached int
+	ctx            context.Context
+	cancel         context.CancelFunc
+	// watch hedges the call to another server while this one is unresponsive.
+	watch *watch
+	// asyncSend is set for an attempt that was started as a hedge.
+	asyncSend *asyncSend
+}
+
+// newAttempt creates the attempt of a call that was just assigned to a server.
+func (g *Gateway) newAttempt(x *exchange, chosen placement) *attempt {
+	return g.makeAttempt(x, chosen, len(x.attempted), x.serversReached)
+}
+
+// makeAttempt creates an attempt. It reads no field that an attempt in progress writes.
+func (g *Gateway) makeAttempt(x *exchange, chosen placement, number, serversReached int) *attempt {
+	ctx, cancel := context.WithTimeout(x.ctx, boottime.Until(x.deadline.Add(lateResponseLimit)))
+	a := &attempt{gateway: g, x: x, chosen: chosen, number: number, serversReached: serversReached, ctx: ctx, cancel: cancel}
+	a.watch = newWatch(a)
+	return a
+}
+
+// runAll runs an attempt, and then those that the call switches to.
+func (a *attempt) runAll() nextStep {
+	for {
+		step, successor := a.runOne()
+		if successor == nil {
+			return step
+		}
+		a = successor
+	}
+}
+
+// runOne runs an attempt, and returns the one that the call switches to, if any. The watch is also
+// closed when the caller's connection is aborted, which leaves this function by a panic.
+func (a *attempt) runOne() (step nextStep, successor *attempt) {
+	defer a.cancel()
+	defer func() { successor = a.watch.close(step == stepSwitched) }()
+	return a.run(), nil
+}
+
+// run forwards the call to one server and relays its response.
+func (a *attempt) run() nextStep {
+	response, err := a.send()
+	if err != nil {
+		return a.handleNoResponse(err)
+	}
+	defer response.Close()
+	marks := a.gateway.cfg.Protocol.ReadMarks(response.Status, response.Header)
+	if marks.NotRun {
+		return a.handleRefusal(response, marks)
+	}
+	a.x.mayHaveRun = true
+	if !marks.Genuine {
+		return a.handleLost("answer_not_genuine", fleet.EndFailed)
+	}
+	if isEventStream(response) {
+		return a.relayStream(response)
+	}
+	if a.x.responseStarted {
+		return a.handleLost("stream_not_continued", fleet.EndFailed)
+	}
+	return a.relayBuffered(response)
+}
+
+// send forwards the call, unless a hedge has done so already, and returns the response headers.
+func (a *attempt) send() (*handover.Response, error) {
+	a.watch.start()
+	if a.asyncSend != nil {
+		return a.asyncSend.wait()
+	}
+	return a.forward(a.buildRequest())
+}
+
+// forward sends the call to the server and applies the server's advisory from the response headers,
+// even if the body is lost or no longer needed.
+func (a *attempt) forward(request handover.Request) (*handover.Response, error) {
+	if !a.chosen.hold.MayHandOver() {
+		return nil, errPlacementExpired
+	}
+	sent := boottime.Now()
+	response, err := a.gateway.cfg.Pool.Send(a.ctx, request)
+	if err != nil {
+		return nil, err
+	}
+	marks := a.gateway.cfg.Protocol.ReadMarks(response.Status, response.Header)
+	a.gateway.cfg.Fleet.Advise(a.respondingServer(response.Status, marks), advisory.Answer{
+		Advisory: marks.Advisory, Sent: sent, Received: boottime.Now(), Genuine: marks.Genuine,
+	})
+	return response, nil
+}
+
+// respondingServer returns the incarnation that responded: a new incarnation may be running at the
+// server's address.
+func (a *attempt) respondingServer(status int, marks call.Marks) string {
+	server := a.chosen.hold.Server()
+	if status == http.StatusMisdirectedRequest && marks.Server != "" && marks.Server != server.CalledBy() {
+		return marks.Server
+	}
+	return server.Incarnation
+}
+
+func isEventStream(response *handover.Response) bool {
+	return response.Status/100 == 2 && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
+}
+
+func (a *attempt) buildRequest() handover.Request {
+	x := a.x
+	header := endToEndHeaders(x.request.Header)
+	a.gateway.cfg.Protocol.WriteHandover(header, x.handoverData(a.chosen, a.gateway.serverTimeout(x, a.chosen)))
+	maxIdle := maxIdleOnce
+	if x.route.MayRepeat() {
+		maxIdle = maxIdleRepeatable
+	}
+	return handover.Request{
+		Address: a.chosen.hold.Server().Address, Method: x.request.Method, Target: x.target(), Host: x.request.Host,
+		Header: header, Body: x.body, MaxIdle: maxIdle, Matches: a.matches, OnConnect: a.watch.onConnect,
+	}
+}
+
+// matches reports whether a response names this call, or names none.
+func (a *attempt) matches(response *http.Response) bool {
+	marks := a.gateway.cfg.Protocol.ReadMarks(response.StatusCode, response.Header)
+	return marks.RequestID == "" || marks.RequestID == a.x.facts.RequestID
+}
--- a/internal/gateway/fetches_test.go
+++ b/internal/gateway/fetches_test.go
@@ -12,9 +12,9 @@
 	"github.com/cometlock/cometlock/internal/partindex"
 )
 
-// When the link of a store box turns slow, calls that wait for its parts are late and
-// read them in the end. After some of them the next reads its prompt at once.
-func TestAPromptIsReadWhereFetchesComeLate(t *testing.T) {
+// When the link of a store box turns slow, calls that wait for its parts are late. After several
+// late fetches the next call has its prompt recomputed at once.
+func TestAPromptIsRecomputedWhenFetchesAreLate(t *testing.T) {
 	cases := []struct {
 		name  string
 		takes time.Duration
@@ -35,7 +35,7 @@
 			f := fleet.New(fleet.Config{Logger: zerolog.Nop()})
 			startRunner(t, f, "one", runner)
 			configuration := promptCatalog(g)
-			index := emptyStore(configuration)
+			index := emptyIndex(configuration)
 			index.Apply(storeAddress, report(partindex.Change{Key: partindex.Key{Namespace: "m/1", ID: "shared"}, Tokens: 5000}))
 			protocol := newPlanProtocol()
 			gateway := promptGateway(protocol, f, index, configuration)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,12 +1,13 @@
-// Package gateway is the way of a routed call through an entry box:
+// Package gateway serves a routed call at an entry box, as a reverse proxy with retries and
+// hedging:
 //
-//	accept ─▶ authorise ─▶ [ place ─▶ hand over ─▶ relay ]… ─▶ settle
+//	accept ─▶ authorise ─▶ [ place ─▶ forward ─▶ relay ]… ─▶ record
 //
-// The stages work one after the other on one exchange, plain data in which each
-// writes its own fields. All wait for sockets or need a microsecond, so they run
-// on the goroutine that the HTTP server gave the call. What is in brackets repeats
-// while another backend server may be tried. Only while a server says nothing, another one is
-// asked beside it (watch.go).
+// The stages run one after the other on one exchange, a plain struct in which each stage writes its
+// own fields. All of them wait for sockets or take a microsecond, so they run on the goroutine that
+// the HTTP server started for the call. The stages in brackets repeat while another backend server
+// may be tried. Attempts run one at a time, except while a server is unresponsive and a hedge is
+// sent to another one (watch.go).
 package gateway
 
 import (
@@ -35,85 +36,86 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// Config sets up a Gateway.
+// Config configures a Gateway.
 type Config struct {
 	Protocol call.Protocol
 	Pool     *handover.Pool
 	Fleet    *fleet.Fleet
 	Parts    *partindex.Index
 	Budget   *retrybudget.Budget
-	// BoxCount gives the number of entry boxes, this one included.
+	// BoxCount returns the number of entry boxes, this one included.
 	BoxCount func() int
-	// LoadReportAge gives how old the word of other boxes on their work is, of those of this box's
-	// zone or of the others; nil stands for none.
+	// LoadReportAge returns the age of the load reports from other boxes, either those of this
+	// box's zone or those of other zones; nil means that there are none.
 	LoadReportAge func(ownZone bool) time.Duration
-	// Places gives the places of long prompts, for calls of BoxName; nil where this box
-	// chooses for itself.
+	// Places asks the owner boxes of runners to place long prompts, on behalf of the box BoxName;
+	// nil where this box places all calls itself.
 	Places  *places.Places
 	BoxName string
-	// Off holds mechanisms that are switched off.
+	// Off holds the mechanisms that are switched off.
 	Off mechanism.Off
-	// OwnsHeadroom reports whether a server's headroom belongs to this box.
+	// OwnsHeadroom reports whether a server's headroom is assigned to this box.
 	OwnsHeadroom func(server string) bool
 	Logger       zerolog.Logger
 	Scope        tally.Scope
 	// Zone is the availability zone of this box.
 	Zone string
-	// Regions gives the region of each zone.
+	// Regions maps each zone to its region.
 	Regions map[string]string
-	// Catalog gives the configuration in force, or nil before the first.
+	// Catalog returns the configuration in force, or nil before the first one.
 	Catalog func() *catalog.Catalog
-	// Weights knows which versions of weights were named.
+	// Weights looks up the announced versions of weights.
 	Weights WeightVersions
-	// Retire says which kept parts may be fetched.
+	// Retire decides which stored prompt parts may be fetched.
 	Retire *retire.Policy
-	// ServerListAge gives how old the knowledge of the backend servers is; nil when it has no
-	// age.
+	// ServerListAge returns the age of this box's list of backend servers; nil where the list has
+	// no age.
 	ServerListAge func() time.Duration
-	// OutdatedAfter is when answers by older weights have lost all their worth.
+	// OutdatedAfter is how long after a newer version of weights was announced responses by older
+	// ones are worthless.
 	OutdatedAfter time.Duration
-	// IsResponsive reports whether a runner answers at all, whatever it is busy with; nil where none
-	// can be asked.
+	// IsResponsive reports whether a runner responds to a health check, however busy it is; nil
+	// where runners cannot be checked.
 	IsResponsive func(ctx context.Context, server fleet.Server) bool
-	// Quarantine knows which requests end servers, ConfirmCrash reports whether the server of a
-	// call that broke off has ended; nil where nothing of it is known.
+	// Quarantine holds the requests that crash servers. ConfirmCrash reports whether the server of
+	// a lost call has crashed; nil where that cannot be checked.
 	Quarantine   *quarantine.Set
 	ConfirmCrash func(ctx context.Context, loss crash.Loss) bool
 }
 
-// WeightVersions knows which versions of weights were named.
+// WeightVersions looks up the announced versions of weights.
 type WeightVersions interface {
-	// Weights gives the newest version named for a model.
+	// Weights returns the newest announced version of a model's weights.
 	Weights(model string) registry.NamedWeights
-	// OutdatedSince gives the first version named after the given one, if any.
+	// OutdatedSince returns the first version that was announced after the given one, if any.
 	OutdatedSince(model string, version int) (registry.NamedWeights, bool)
 }
 
 // Gateway serves routed calls.
 type Gateway struct {
-	cfg      Config
-	metrics  metrics
-	inFlight atomic.Int64
-	waiting  atomic.Int64
-	number   atomic.Uint64
+	cfg       Config
+	metrics   metrics
+	inFlight  atomic.Int64
+	waiting   atomic.Int64
+	callCount atomic.Uint64
 	// queues holds the calls that wait for room, by service.
-	queues  sync.Map
-	running running
+	queues sync.Map
+	active activeCalls
 }
 
-// New makes a gateway.
+// New creates a gateway.
 func New(cfg Config) *Gateway {
 	if cfg.Quarantine == nil {
 		cfg.Quarantine = quarantine.New(quarantine.Config{})
 	}
-	return &Gateway{cfg: cfg, metrics: newMetrics(cfg.Scope), running: newRunning()}
+	return &Gateway{cfg: cfg, metrics: newMetrics(cfg.Scope), active: newActiveCalls()}
 }
 
-// InFlight counts the calls under way.
+// InFlight returns the number of calls in flight.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// Waiting counts the calls that are being placed; seen at any moment, most of them wait
-// for room at a server.
+// Waiting returns the number of calls that are being placed; at any moment, most of them wait for
+// room at a server.
 func (g *Gateway) Waiting() int64 { return g.waiting.Load() }
 
 // ServeHTTP takes one call through the stages.
@@ -121,95 +123,97 @@
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	x := g.newExchange(w, r)
-	defer x.stop(nil)
-	defer g.settle(x)
+	defer x.cancel(nil)
+	defer g.recordCall(x)
 	if !g.accept(x) || !g.authorise(x) || !g.readBody(x) {
 		return
 	}
 	g.serve(x)
 }
 
-// exchange is one call on its way. Each group of fields is written by the stage
-// named with it.
+// exchange is the state of one call. Each group of fields is written by the stage named above it.
 type exchange struct {
 	writer  http.ResponseWriter
 	request *http.Request
 	arrived time.Time
 	number  uint64
-	// ctx ends with the caller's patience for the connection, or by stop.
-	ctx  context.Context
-	stop context.CancelCauseFunc
+	// ctx ends when the caller's connection does, or by cancel.
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 
 	// Written by accept.
 	catalog *catalog.Catalog
 	facts   call.Facts
 	route   *catalog.Route
 	service *catalog.Service
-	// deadline ends the caller's patience or the route's timeout.
+	// deadline is the earlier one of the caller's and the route's deadline.
 	deadline time.Time
 
 	// Written by authorise.
 	organisation *catalog.Organisation
-	urgency      int
+	priority     int
 
 	// Written by readBody.
 	body        []byte
-	readAt      time.Time
+	bodyReadAt  time.Time
 	fingerprint fingerprint.Fingerprint
 
-	// Written while the call is handed over.
-	tried []string
-	// handed counts the servers that the call was handed to: those tried but for such as
-	// no connection was made to.
-	handed int
-	// paid says that the try under way, or that is being placed, was taken from the retry budget.
-	paid bool
-	// mayHaveRun says that no later refusal makes the call "not run".
+	// Written while the call is forwarded.
+	attempted []string
+	// serversReached counts the servers that the call was sent to: those attempted, except those
+	// that no connection was made to.
+	serversReached int
+	// tookRetry is set if the current attempt, or the one that is being placed, took a retry from
+	// the budget.
+	tookRetry bool
+	// mayHaveRun is set once the call can no longer be reported as "not run", whatever servers
+	// respond later.
 	mayHaveRun bool
-	// resumeAfter is the last event that the caller has; the lock of the present try's watch
-	// guards it.
+	// resumeAfter is the id of the last event that the caller has; the lock of the current
+	// attempt's watch guards it.
 	resumeAfter string
-	// answering says that a part of an answer has reached the caller.
-	answering bool
-	// lostBy says who ended the last try that was lost.
-	lostBy side
-	// failure is a backend server's answer that says that it failed; it is passed
-	// on unless another server does better.
-	failure *wholeAnswer
-	// choice is the last placement, for the log; placeTime is what all of them took.
-	choice    choice
+	// responseStarted is set once a part of a response has been sent to the caller.
+	responseStarted bool
+	// lossClosedBy is the side that closed the connection of the last lost attempt.
+	lossClosedBy side
+	// serverFailure is a backend server's error response; it is sent to the caller unless another
+	// server succeeds.
+	serverFailure *bufferedResponse
+	// placement is the last one, for the log; placeTime is the total time of all placements.
+	placement placement
 	placeTime time.Duration
-	// placedBy says who chose its server, and unplaced why the last owner that failed to did not.
-	placedBy string
-	unplaced string
-	// shortage says why the call was placed nowhere, when it was not.
+	// placedBy is placedByThisBox or placedByOwner; ownerError is why the last owner that was asked
+	// chose no server.
+	placedBy   string
+	ownerError string
+	// shortage is why the call was not placed at any server.
 	shortage fleet.Shortage
 
-	// Written by whoever ends the call, for settle.
-	status     int
-	outcome    outcome
-	reason     string
-	firstEvent time.Time
-	events     int
-	bytesOut   int64
+	// Written where the call ends, for recordCall.
+	status       int
+	outcome      outcome
+	reason       string
+	firstEventAt time.Time
+	eventsSent   int
+	bytesSent    int64
 }
 
-// outcome says what became of a call.
+// outcome is the final result of a call.
 type outcome string
 
 // Outcomes of calls.
 const (
-	outcomeServed   outcome = "served"   // a whole answer reached the caller
-	outcomeFailed   outcome = "failed"   // a backend server's failure was passed on
+	outcomeServed   outcome = "served"   // a complete response was sent to the caller
+	outcomeFailed   outcome = "failed"   // a backend server's error response was passed on
 	outcomeRefused  outcome = "refused"  // the call did not run
-	outcomeUnknown  outcome = "unknown"  // the call may have run, and there is no answer
-	outcomeBroken   outcome = "broken"   // the answer broke off after a part of it
-	outcomeGone     outcome = "gone"     // the caller left
-	outcomeRejected outcome = "rejected" // the call itself is at fault
+	outcomeUnknown  outcome = "unknown"  // the call may have run, and there is no response
+	outcomeBroken   outcome = "broken"   // the response was cut after a part of it
+	outcomeGone     outcome = "gone"     // the caller disconnected
+	outcomeRejected outcome = "rejected" // the call itself is invalid
 )
 
 func (g *Gateway) newExchange(w http.ResponseWriter, r *http.Request) *exchange {
-	x := &exchange{writer: w, request: r, arrived: boottime.Now(), number: g.number.Add(1)}
-	x.ctx, x.stop = context.WithCancelCause(r.Context())
+	x := &exchange{writer: w, request: r, arrived: boottime.Now(), number: g.callCount.Add(1)}
+	x.ctx, x.cancel = context.WithCancelCause(r.Context())
 	return x
 }
--- a/internal/gateway/lateanswer_test.go
+++ b/internal/gateway/lateresponse_test.go
@@ -11,15 +11,15 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// routeTimeout is short, so that the test is.
+// routeTimeout is short, to keep the test fast.
 const routeTimeout = 200 * time.Millisecond
 
-// A call was sent at 1.501 s to a small box that was busy starting. It came to its server at
-// 2.337 s and had run at 2.376 s; its caller got a 504 at 2.477 s, when its route's time was
-// over, 55 times in a day's first seconds. The answer was on its way or lay unread at the
-// box, which had not had the processor to take it. A server stops at the time that it was
-// given, so whatever it made comes within moments of it.
-func TestAnAnswerThatIsReadyAtTheDeadlineIsDelivered(t *testing.T) {
+// A small box that was still starting up was so short of CPU that the responses of calls that had
+// run well in time were in transit or in its socket buffer when the route's timeout passed; the
+// callers got a 504. For example, a call sent at 1.501 s reached its server at 2.337 s and finished
+// at 2.376 s, but got a 504 at 2.477 s; this happened 55 times in the first seconds of a day. A
+// server stops a call at its deadline, so whatever it has produced arrives shortly after that.
+func TestAResponseThatIsReadyAtTheDeadlineIsDelivered(t *testing.T) {
 	tests := []struct {
 		name   string
 		after  time.Duration
@@ -38,13 +38,13 @@
 				time.Sleep(test.after)
 				_, _ = w.Write([]byte("answer"))
 			}))
-			c := promptCatalogFor(g, routeTimeout)
-			gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+			c := promptCatalogWithTimeout(g, routeTimeout)
+			gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 			answer := httptest.NewRecorder()
 			began := time.Now()
 			gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
 			g.Expect(answer.Code).To(Equal(test.status))
-			g.Expect(time.Since(began)).To(BeNumerically("<", routeTimeout+400*time.Millisecond), "no call is held for long")
+			g.Expect(time.Since(began)).To(BeNumerically("<", routeTimeout+400*time.Millisecond), "no call waits much longer")
 		})
 	}
 }
--- a/internal/gateway/outdated.go
+++ b/internal/gateway/outdated.go
@@ -1,6 +1,6 @@
-// What answers by older weights cost, and until when they may be given. The cost
-// rises with the time since newer weights were named, so that calls go to runners
-// that have them while there are some, and to others rather than nowhere.
+// The cost of responding with outdated weights, and until when that is allowed. The cost rises with
+// the time since newer weights were announced, so that calls go to runners that hold these if there
+// are any, and to other runners rather than to none.
 
 package gateway
 
@@ -11,53 +11,53 @@
 )
 
 const (
-	// outdatedPart is the part of a route's objective that a call waits longer for
-	// the newest weights, at the end of the time in which older ones may answer, and
-	// in proportion before. More would make calls late, which costs them more.
-	outdatedPart = 0.3
-	// outdatedMargin is kept from the end of the time in which older weights may
-	// answer: a call may wait at its runner. outdatedEnd before that end the runner
-	// gives it up.
-	outdatedMargin = 2 * time.Second
-	outdatedEnd    = 300 * time.Millisecond
-	// outdatedAtStart is how long a box that found the version when it started lets
-	// older weights answer: it cannot know when the version was named.
-	outdatedAtStart = 2500 * time.Millisecond
+	// outdatedCostFactor is the part of a route's objective that a call waits longer to get the
+	// newest weights, at the end of the time in which older ones may serve, and in proportion
+	// before that. A higher factor would make calls late, which costs callers more.
+	outdatedCostFactor = 0.3
+	// outdatedMargin is how long before the time limit of outdated weights the last call is placed
+	// at them, since a call may wait at its runner. The runner gives the call up
+	// outdatedRunnerMargin before that limit.
+	outdatedMargin       = 2 * time.Second
+	outdatedRunnerMargin = 300 * time.Millisecond
+	// outdatedAfterStartup is how long a box that found a newer version at its start still allows
+	// older weights: it cannot know when the version was announced.
+	outdatedAfterStartup = 2500 * time.Millisecond
 )
 
-// newest gives the version of a model's weights that should answer.
-func (g *Gateway) newest(model string) int {
+// newestVersion returns the version of a model's weights that should serve calls.
+func (g *Gateway) newestVersion(model string) int {
 	if named := g.cfg.Weights.Weights(model); named.Version > 0 {
 		return named.Version
 	}
 	return g.cfg.Fleet.NewestHeld(model)
 }
 
-// outdated gives what answering by a version costs now, in milliseconds of waiting,
-// and whether it may answer at all.
-func (g *Gateway) outdated(model string, version int, objective time.Duration) (cost float64, may bool) {
+// outdatedCost returns the current cost of responding with a version, in milliseconds of waiting,
+// and whether that is allowed at all.
+func (g *Gateway) outdatedCost(model string, version int, objective time.Duration) (cost float64, allowed bool) {
 	newer, outdated := g.cfg.Weights.OutdatedSince(model, version)
 	if !outdated {
 		return 0, true
 	}
-	cost = outdatedPart * float64(objective) / float64(time.Millisecond)
+	cost = outdatedCostFactor * float64(objective) / float64(time.Millisecond)
 	if newer.Found() {
-		return cost, boottime.Since(newer.LearntAt) <= outdatedAtStart
+		return cost, boottime.Since(newer.LearntAt) <= outdatedAfterStartup
 	}
 	age := boottime.Since(newer.NamedAfter)
 	return cost * min(1, float64(age)/float64(g.cfg.OutdatedAfter)), age <= g.cfg.OutdatedAfter-outdatedMargin
 }
 
-// remaining gives the time that a call has at its server. Older weights must not
-// begin to answer after their time, however long the call waits for them.
-func (g *Gateway) remaining(x *exchange, chosen choice) time.Duration {
-	remaining := boottime.Until(x.deadline)
+// serverTimeout returns the time that the server has for a call. Outdated weights must not start a
+// response after their time limit, however long the call waits at the runner.
+func (g *Gateway) serverTimeout(x *exchange, chosen placement) time.Duration {
+	timeout := boottime.Until(x.deadline)
 	if chosen.namespace == "" {
-		return remaining
+		return timeout
 	}
 	newer, outdated := g.cfg.Weights.OutdatedSince(x.facts.Prompt.Model, chosen.hold.Weights())
 	if !outdated || newer.Found() {
-		return remaining
+		return timeout
 	}
-	return min(remaining, g.cfg.OutdatedAfter-outdatedEnd-boottime.Since(newer.NamedAfter))
+	return min(timeout, g.cfg.OutdatedAfter-outdatedRunnerMargin-boottime.Since(newer.NamedAfter))
 }
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/outdated_test.go
@@ -14,7 +14,7 @@
 	"github.com/cometlock/cometlock/internal/registry"
 )
 
-// versions are versions of one model's weights, oldest first.
+// versions are the versions of one model's weights, oldest first.
 type versions []registry.NamedWeights
 
 func (v versions) Weights(string) registry.NamedWeights { return v[len(v)-1] }
@@ -36,7 +36,7 @@
 	return New(Config{Fleet: f, Logger: zerolog.Nop(), Scope: tally.NoopScope, Weights: v, OutdatedAfter: weightsLimit})
 }
 
-func TestWeightsMayAnswerUntilTheirTimeIsOver(t *testing.T) {
+func TestOutdatedWeightsMayServeUntilTheirTimeLimit(t *testing.T) {
 	tests := []struct {
 		name string
 		v    func(now time.Time) versions
@@ -48,13 +48,13 @@
 		{"just outdated", func(now time.Time) versions {
 			return versions{{Version: 2, LearntAt: now, NamedAfter: now.Add(-9 * time.Second)}}
 		}, true},
-		{"nearly at the end of their time", func(now time.Time) versions {
+		{"close to their time limit", func(now time.Time) versions {
 			return versions{{Version: 2, LearntAt: now, NamedAfter: now.Add(-11 * time.Second)}}
 		}, false},
 		{"outdated twice, the second time just now", func(now time.Time) versions {
 			return versions{{Version: 2, LearntAt: now, NamedAfter: now.Add(-11 * time.Second)}, {Version: 3, LearntAt: now, NamedAfter: now}}
 		}, false},
-		{"found outdated at the start", func(now time.Time) versions {
+		{"found outdated at startup", func(now time.Time) versions {
 			return versions{{Version: 2, LearntAt: now.Add(-time.Second)}}
 		}, true},
 		{"found outdated a while ago", func(now time.Time) versions {
@@ -65,16 +65,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				_, may := newTestGateway(test.v(time.Now())).outdated("m", 1, time.Second)
+				_, may := newTestGateway(test.v(time.Now())).outdatedCost("m", 1, time.Second)
 				g.Expect(may).To(Equal(test.may))
 			})
 		})
 	}
 }
 
-// A call that waits at a runner must not begin on older weights after their time: the
-// runner gets no more time than that.
-func TestACallAtOlderWeightsHasNoTimeBeyondTheirs(t *testing.T) {
+// A call that waits at a runner must not start on outdated weights after their time limit, so the
+// runner gets a timeout that ends with it.
+func TestTheTimeoutAtOutdatedWeightsEndsWithTheirTimeLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gateway := newTestGateway(versions{{Version: 2, LearntAt: time.Now(), NamedAfter: time.Now().Add(-9 * time.Second)}})
@@ -82,11 +82,11 @@
 		hold := gateway.cfg.Fleet.Choose(fleet.Query{
 			Service: "s", Model: "m", Work: func(int) int { return 0 }, Outdated: func(int) (float64, bool) { return 0, true },
 		})
-		g.Expect(gateway.remaining(x, choice{hold: hold, namespace: "m/1"})).To(BeNumerically("<", 3*time.Second))
+		g.Expect(gateway.serverTimeout(x, placement{hold: hold, namespace: "m/1"})).To(BeNumerically("<", 3*time.Second))
 		gateway.cfg.Fleet.NoteWeights("s", "m", 2)
 		hold = gateway.cfg.Fleet.Choose(fleet.Query{
 			Service: "s", Model: "m", Work: func(int) int { return 0 }, Outdated: func(int) (float64, bool) { return 0, true },
 		})
-		g.Expect(gateway.remaining(x, choice{hold: hold, namespace: "m/2"})).To(Equal(10 * time.Second))
+		g.Expect(gateway.serverTimeout(x, placement{hold: hold, namespace: "m/2"})).To(Equal(10 * time.Second))
 	})
 }
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -1,6 +1,6 @@
-// Places by owners: the box that owns a zone's runners says where a long prompt goes, and a short
-// one when runners are busy (package places). The zone is the one that this box would choose by itself, and where
-// there is no room, its own, at whose owner the call then waits for its turn.
+// Placement by owners: one box owns the runners of a zone and places long prompts there, and short
+// ones while runners are busy (package places). This box asks the owner of the zone that it would
+// choose itself. Where there is no room, it asks the owner of its own zone, which queues the call.
 
 package gateway
 
@@ -15,79 +15,79 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// errNotTaken says that this box knows of its own that the server which an owner gave may not
-// take the call.
-var errNotTaken = merry.Sentinel("the server that the owner gave may not take the call")
+// errOwnerChoiceRejected is the error where this box has local information that the server chosen
+// by an owner must not get the call.
+var errOwnerChoiceRejected = merry.Sentinel("the call must not be sent to the server that the owner chose")
 
-// errOtherRegion says that the call may not run in this box's region.
+// errOtherRegion is the error where the call must not run in this box's region.
 var errOtherRegion = merry.Sentinel("the call may not run in the region of this box")
 
-// Who placed a call, in the log.
+// Values of placed_by in the log.
 const (
-	placedHere    = "this_box"
-	placedByOwner = "owner"
+	placedByThisBox = "this_box"
+	placedByOwner   = "owner"
 )
 
-// mostZones bounds the zones whose owners are asked before the call waits at its own: each costs
-// some milliseconds.
-const mostZones = 3
+// maxOwnersAsked bounds the zones whose owners are asked before the call waits at the owner of its
+// own zone: each request takes some milliseconds.
+const maxOwnersAsked = 3
 
-// placeByOwner asks owners for a place. Without an answer of any, or for a call that needs none,
-// this box is to choose by itself.
-func (g *Gateway) placeByOwner(x *exchange) (chosen choice, ok, answered bool) {
-	x.placedBy, x.unplaced = placedHere, ""
+// placeByOwner asks owners for a place. It returns decided=false if this box must place the call
+// itself: no owner responded, or the call needs none.
+func (g *Gateway) placeByOwner(x *exchange) (chosen placement, ok, decided bool) {
+	x.placedBy, x.ownerError = placedByThisBox, ""
 	if g.cfg.Places == nil || !g.cfg.Places.Active() {
-		return choice{}, false, false
+		return placement{}, false, false
 	}
-	query, plans := g.ask(x)
+	query, plans := g.fleetQuery(x)
 	if plans == nil {
-		return choice{}, false, false
+		return placement{}, false, false
 	}
 	here, zone := g.cfg.Fleet.ChooseUnless(query, func(best *placing.Candidate, unseen float64) bool {
 		return placing.AsksOwner(x.facts.Prompt.Tokens, best, unseen)
 	})
 	if here != nil {
-		return g.placed(x, here, plans), true, true
+		return g.recordPlacement(x, here, plans), true, true
 	}
-	asked := places.Ask(query, g.cfg.BoxName, g.cfg.Fleet.Versions(query.Service, query.Model))
-	asked.Urgency = x.urgency
-	hold, err := g.askZones(x, zone, query, asked)
+	ownerQuery := places.Ask(query, g.cfg.BoxName, g.cfg.Fleet.Versions(query.Service, query.Model))
+	ownerQuery.Urgency = x.priority
+	hold, err := g.askOwners(x, zone, query, ownerQuery)
 	if err != nil {
-		return choice{}, false, false
+		return placement{}, false, false
 	}
 	x.placedBy = placedByOwner
 	if hold == nil {
-		return choice{}, false, true
+		return placement{}, false, true
 	}
-	return g.placed(x, hold, plans), true, true
+	return g.recordPlacement(x, hold, plans), true, true
 }
 
-// askZones asks the owners of the zones that look best to this box, beginning with one, empty
-// for none, and then that of its own zone, where the call waits. Without a hold there was no
-// room.
-func (g *Gateway) askZones(x *exchange, zone string, query fleet.Query, asked places.Question) (*fleet.Hold, error) {
-	var before []string
-	rest := query
-	rest.In = func(zone string) bool { return !slices.Contains(before, zone) && g.mayRunIn(x, zone) }
-	for len(before) < mostZones && zone != "" {
-		if hold, err := g.askZone(x, zone, query, asked); hold != nil && err == nil {
+// askOwners asks the owners of the zones that this box ranks best, starting with the given one if
+// it is not empty, and then the owner of its own zone, where the call waits. A nil hold means that
+// there was no room.
+func (g *Gateway) askOwners(x *exchange, zone string, query fleet.Query, ownerQuery places.Question) (*fleet.Hold, error) {
+	var askedZones []string
+	otherZones := query
+	otherZones.In = func(zone string) bool { return !slices.Contains(askedZones, zone) && g.mayRunIn(x, zone) }
+	for len(askedZones) < maxOwnersAsked && zone != "" {
+		if hold, err := g.askOwner(x, zone, query, ownerQuery); hold != nil && err == nil {
 			return hold, nil
 		}
-		before = append(before, zone)
-		_, zone, _ = g.cfg.Fleet.Best(rest)
+		askedZones = append(askedZones, zone)
+		_, zone, _ = g.cfg.Fleet.Best(otherZones)
 	}
 	if !g.mayRunIn(x, g.cfg.Zone) {
-		return nil, errOtherRegion // it waits at this box
+		return nil, errOtherRegion // the call waits at this box
 	}
-	asked.Wait = max(boottime.Until(x.limits().Deadline), 0)
-	return g.askZone(x, g.cfg.Zone, query, asked)
+	ownerQuery.Wait = max(boottime.Until(x.waitParams().Deadline), 0)
+	return g.askOwner(x, g.cfg.Zone, query, ownerQuery)
 }
 
-// askZone asks the owner of a zone's servers, and counts the call where that one says.
-func (g *Gateway) askZone(x *exchange, zone string, query fleet.Query, asked places.Question) (*fleet.Hold, error) {
-	server, err := g.cfg.Places.Ask(x.ctx, zone, asked)
+// askOwner asks the owner of a zone for a place and reserves the server that it returns.
+func (g *Gateway) askOwner(x *exchange, zone string, query fleet.Query, ownerQuery places.Question) (*fleet.Hold, error) {
+	server, err := g.cfg.Places.Ask(x.ctx, zone, ownerQuery)
 	if err != nil {
-		x.unplaced = err.Error()
+		x.ownerError = err.Error()
 		return nil, err
 	}
 	if server == "" {
@@ -95,8 +95,8 @@
 	}
 	hold := g.cfg.Fleet.Take(query, server)
 	if hold == nil {
-		x.unplaced = errNotTaken.Error()
-		return nil, errNotTaken
+		x.ownerError = errOwnerChoiceRejected.Error()
+		return nil, errOwnerChoiceRejected
 	}
 	return hold, nil
 }
--- a/internal/gateway/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -19,8 +19,8 @@
 	"github.com/cometlock/cometlock/internal/places"
 )
 
-// answering is a runner that answers at once, and counts.
-func answering(count *atomic.Int64) http.Handler {
+// countingRunner is a runner that responds at once and counts its calls.
+func countingRunner(count *atomic.Int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		count.Add(1)
 		_, _ = w.Write([]byte("answer"))
@@ -28,12 +28,12 @@
 }
 
 // Long prompts are placed by the owner of the runners, and by the box itself where no owner
-// answers: a box that dies or is cut off must cost no call.
+// responds: a box that crashes or is partitioned must not fail any call.
 func TestLongPromptsArePlacedByTheOwner(t *testing.T) {
 	tests := []struct {
 		name   string
 		active bool
-		// ownCores is the processor of this box; the other one's is 1.
+		// ownCores is the number of CPU cores of this box; the other one has 1.
 		ownCores float64
 		logged   string
 	}{
@@ -46,9 +46,9 @@
 			g := NewWithT(t)
 			var count atomic.Int64
 			f := fleet.New(fleet.Config{})
-			startRunner(t, f, "r", answering(&count))
+			startRunner(t, f, "r", countingRunner(&count))
 			c := promptCatalog(g)
-			gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+			gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 			var logged bytes.Buffer
 			gateway.cfg.Logger = zerolog.New(&logged)
 			gateway.cfg.Places = places.New(places.Config{
@@ -64,17 +64,17 @@
 	}
 }
 
-// A short prompt asks the owner only when the runners are busy: on a calm day that would be a
-// question a call for nothing.
+// A short prompt asks the owner only while the runners are busy: with idle runners that would be a
+// needless request for each call.
 func TestShortPromptsAskTheOwnerOfBusyRunners(t *testing.T) {
 	g := NewWithT(t)
 	var count atomic.Int64
 	f := fleet.New(fleet.Config{})
-	startRunner(t, f, "r", answering(&count)) // of 4 slots
+	startRunner(t, f, "r", countingRunner(&count)) // with 4 slots
 	c := promptCatalog(g)
 	protocol := newPlanProtocol()
 	protocol.facts.Prompt.Tokens, protocol.facts.Prompt.Parts = 100, protocol.facts.Prompt.Parts[1:]
-	gateway := promptGateway(protocol, f, emptyStore(c), c)
+	gateway := promptGateway(protocol, f, emptyIndex(c), c)
 	var asked atomic.Int64
 	gateway.cfg.Places = places.New(places.Config{
 		Fleet: f, Logger: zerolog.Nop(), Active: func() bool { return true }, Said: func(string) time.Time { return time.Time{} },
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -1,6 +1,6 @@
-// Where a call goes, and which parts of its prompt are fetched and saved there. The
-// plan depends on the version of weights that answers, so it is made for each version
-// that a candidate holds.
+// Placement of calls, and the plan for fetching and saving the parts of a prompt. The plan depends
+// on the version of weights that serves the call, so there is one for each version that a candidate
+// server holds.
 
 package gateway
 
@@ -18,42 +18,43 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// choice is where a call goes, and with what plan for its prompt.
-type choice struct {
+// placement is the server chosen for a call and the plan for its prompt.
+type placement struct {
 	hold *fleet.Hold
 	plan partindex.Plan
 	// namespace is that of the plan; empty without a prompt.
 	namespace string
-	// serversAge is how old the knowledge of the servers was.
-	serversAge time.Duration
+	// serverListAge is the age of the server list at placement.
+	serverListAge time.Duration
 }
 
-// leastConnections is how many connections a box may have to a server, however many boxes
-// share those that it takes.
-const leastConnections = 4
+// minConnections is the least number of connections that a box may have to a server, however many
+// boxes share the server's limit.
+const minConnections = 4
 
-// homeSeed makes homes of parts; it is the same in all boxes.
-const homeSeed = 0x9e3779b97f4a7c15
+// spreadMultiplier turns consecutive call numbers into well spread hashes (Fibonacci hashing); it
+// is the same in all boxes.
+const spreadMultiplier = 0x9e3779b97f4a7c15
 
-// place chooses a server for a call, and counts it there.
-func (g *Gateway) place(x *exchange) (choice, bool) {
-	query, plans := g.ask(x)
+// place chooses a server for a call and reserves a place there.
+func (g *Gateway) place(x *exchange) (placement, bool) {
+	query, plans := g.fleetQuery(x)
 	hold := g.cfg.Fleet.Choose(query)
 	if hold == nil {
-		return choice{}, false
+		return placement{}, false
 	}
-	return g.placed(x, hold, plans), true
+	return g.recordPlacement(x, hold, plans), true
 }
 
-// placed notes where a call goes, and with what plan.
-func (g *Gateway) placed(x *exchange, hold *fleet.Hold, plans *plans) choice {
-	chosen := choice{}
+// recordPlacement records the placement of a call and the plan for its prompt.
+func (g *Gateway) recordPlacement(x *exchange, hold *fleet.Hold, plans *promptPlans) placement {
+	chosen := placement{}
 	if plans != nil {
-		chosen = plans.at(hold.Weights())
+		chosen = plans.forVersion(hold.Weights())
 	}
 	chosen.hold = hold
 	if g.cfg.ServerListAge != nil {
-		chosen.serversAge = g.cfg.ServerListAge()
+		chosen.serverListAge = g.cfg.ServerListAge()
 	}
 	if plans == nil {
 		return chosen
@@ -62,45 +63,45 @@
 	return chosen
 }
 
-// shortage says why a call found no server.
+// shortage returns why no server could take a call.
 func (g *Gateway) shortage(x *exchange) fleet.Shortage {
-	query, _ := g.ask(x)
+	query, _ := g.fleetQuery(x)
 	return g.cfg.Fleet.Shortage(query)
 }
 
-// ask describes a call to the fleet. The plans are those of its prompt; nil when it has
-// none, or goes to a service that reads none.
-func (g *Gateway) ask(x *exchange) (fleet.Query, *plans) {
+// fleetQuery describes a call to the fleet. The plans are those of its prompt; nil when it has
+// none, or when its service does not process prompts.
+func (g *Gateway) fleetQuery(x *exchange) (fleet.Query, *promptPlans) {
 	query := fleet.Query{
-		Service: x.service.Name, Zone: g.cfg.Zone, Exclude: x.tried, In: g.allowedZones(x),
-		Load: placing.Query{Spread: x.number * homeSeed},
-		// Shared with one box more than is known, which may have just started.
-		ConnectionLimit: max(x.service.ConnectionLimit/(g.cfg.BoxCount()+1), leastConnections),
+		Service: x.service.Name, Zone: g.cfg.Zone, Exclude: x.attempted, In: g.allowedZones(x),
+		Load: placing.Query{Spread: x.number * spreadMultiplier},
+		// Divided among one box more than are known, since one may have just started.
+		ConnectionLimit: max(x.service.ConnectionLimit/(g.cfg.BoxCount()+1), minConnections),
 	}
 	if x.facts.Prompt == nil || x.service.Engine == nil {
 		return query, nil
 	}
-	plans := g.askForPrompt(x, &query)
+	plans := g.addPromptQuery(x, &query)
 	return query, plans
 }
 
-// askForPrompt adds to a question what the call's prompt asks of a runner, and gives the
-// plans that its answers come from.
-func (g *Gateway) askForPrompt(x *exchange, query *fleet.Query) *plans {
+// addPromptQuery adds the requirements of the call's prompt to a query, and returns the plans that
+// the query's functions use.
+func (g *Gateway) addPromptQuery(x *exchange, query *fleet.Query) *promptPlans {
 	model := x.facts.Prompt.Model
-	plans := &plans{gateway: g, x: x, newest: g.newest(model), made: map[int]choice{}}
+	plans := &promptPlans{gateway: g, x: x, newestVersion: g.newestVersion(model), byVersion: map[int]placement{}}
 	query.Model = model
-	query.Outdated = func(weights int) (float64, bool) { return g.outdated(model, weights, x.route.Objective) }
-	query.Work = func(weights int) int { return plans.at(weights).plan.Missing }
+	query.Outdated = func(weights int) (float64, bool) { return g.outdatedCost(model, weights, x.route.Objective) }
+	query.Work = func(weights int) int { return plans.forVersion(weights).plan.Missing }
 	query.Fetch = func(weights int) (string, time.Duration) {
-		plan := plans.at(weights).plan
+		plan := plans.forVersion(weights).plan
 		return plan.FetchZone, plan.FetchTime
 	}
 	if g.cfg.LoadReportAge != nil {
 		query.Lag, query.LagElsewhere, query.Boxes = g.cfg.LoadReportAge(true), g.cfg.LoadReportAge(false), g.cfg.BoxCount()
 	}
 	load := &query.Load
-	load.ReadLimit = readLimit(x)
+	load.ReadLimit = maxReadDelay(x)
 	load.Tokens = x.facts.Prompt.Tokens + x.facts.Prompt.AnswerTokens
 	if load.Tokens >= placing.HomePart {
 		load.Memory = x.service.Engine.CapacityTokens
@@ -109,14 +110,14 @@
 		}
 	}
 	if g.cfg.Off.On(mechanism.Homes) {
-		load.Home = plans.home()
+		load.Home = plans.homeHash()
 	}
 	return plans
 }
 
-// readLimit bounds the milliseconds for which prompts wait to be read where a call is
-// placed: a call that can still be in time does not go where it would be late.
-func readLimit(x *exchange) float64 {
+// maxReadDelay bounds the queueing delay for prefill, in milliseconds, at a server where the call
+// is placed: a call that can still meet its objective must not go where it would miss it.
+func maxReadDelay(x *exchange) float64 {
 	limit := time.Duration(placing.ReadPart * float64(x.route.Objective))
 	if left := boottime.Until(x.arrived.Add(x.route.Objective)); left > 0 {
 		limit = min(limit, left)
@@ -124,66 +125,68 @@
 	return float64(limit) / float64(time.Millisecond)
 }
 
-// plans holds the plans of one prompt for each weight version asked for.
-type plans struct {
+// promptPlans holds the plans of one prompt, by version of weights.
+type promptPlans struct {
 	gateway *Gateway
 	x       *exchange
-	// newest is the version that should answer; what it makes is worth saving.
-	newest int
-	made   map[int]choice
+	// newestVersion is the version that should serve calls; only cache entries computed by it, or
+	// by a later one, are worth saving.
+	newestVersion int
+	byVersion     map[int]placement
 }
 
-// at gives the plan under a version, which is made when it is first asked for.
-func (p *plans) at(weights int) choice {
-	if made, ok := p.made[weights]; ok {
-		return made
+// forVersion returns the plan for a version and caches it.
+func (p *promptPlans) forVersion(weights int) placement {
+	if planned, ok := p.byVersion[weights]; ok {
+		return planned
 	}
 	prompt := p.x.facts.Prompt
-	name := namespace.Name{Model: prompt.Model, Weights: weights, Isolated: p.x.isolatedName()}.String()
-	made := choice{namespace: name}
-	made.plan = p.gateway.cfg.Parts.Plan(partindex.Query{
+	name := namespace.Name{Model: prompt.Model, Weights: weights, Isolated: p.x.isolationName()}.String()
+	planned := placement{namespace: name}
+	planned.plan = p.gateway.cfg.Parts.Plan(partindex.Query{
 		Namespace: name, Parts: prompt.Parts, PromptTokens: prompt.Tokens, BytesPerToken: p.x.service.Engine.BytesPerToken,
-		Save:     weights >= p.newest,
+		Save:     weights >= p.newestVersion,
 		SaveIn:   p.gateway.allowedZones(p.x),
 		MayFetch: func(id string) bool { return p.gateway.cfg.Retire.MayFetch(prompt.Model, weights, id) },
 	})
-	p.made[weights] = made
-	return made
+	p.byVersion[weights] = planned
+	return planned
 }
 
-// home gives the number by which calls that share an unknown part meet, or zero.
-func (p *plans) home() uint64 {
+// homeHash returns a hash of the first large prompt part that cannot be fetched, so that calls
+// which share the part go to the same runner. It returns 0 if there is none.
+func (p *promptPlans) homeHash() uint64 {
 	if p.x.facts.Prompt == nil {
 		return 0
 	}
 	for i, part := range p.x.facts.Prompt.Parts[:max(len(p.x.facts.Prompt.Parts)-1, 0)] {
-		if part.Tokens >= placing.HomePart && p.at(p.newest).plan.Fetch[i] == "" {
+		if part.Tokens >= placing.HomePart && p.forVersion(p.newestVersion).plan.Fetch[i] == "" {
 			return xxhash.Sum64String(part.ID) | 1
 		}
 	}
 	return 0
 }
 
-func (x *exchange) isolatedName() string {
+func (x *exchange) isolationName() string {
 	if x.organisation != nil && x.organisation.Isolated {
 		return x.organisation.Name
 	}
 	return ""
 }
 
-// handover writes down what the chosen server is told.
-func (x *exchange) handover(chosen choice, remaining time.Duration) call.Handover {
+// handoverData returns the data that the chosen server gets with the call.
+func (x *exchange) handoverData(chosen placement, timeout time.Duration) call.Handover {
 	server := chosen.hold.Server()
-	out := call.Handover{Server: server.CalledBy(), Remaining: remaining, ResumeAfter: x.resumeAfter}
+	data := call.Handover{Server: server.CalledBy(), Remaining: timeout, ResumeAfter: x.resumeAfter}
 	if x.organisation != nil {
-		out.Organisation = x.organisation.Name
+		data.Organisation = x.organisation.Name
 	}
 	if chosen.namespace == "" {
-		return out
+		return data
 	}
-	out.Model = &call.ModelHandover{
-		Weights: chosen.hold.Weights(), Namespace: chosen.namespace, Urgency: x.urgency,
+	data.Model = &call.ModelHandover{
+		Weights: chosen.hold.Weights(), Namespace: chosen.namespace, Urgency: x.priority,
 		Fetch: chosen.plan.Fetch, Save: chosen.plan.Save, FetchUntil: chosen.plan.Until,
 	}
-	return out
+	return data
 }
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -22,8 +22,8 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// planProtocol is a protocol that notes what servers are told to save and to fetch.
-// Answers with status 503 did not run.
+// planProtocol is a protocol that records which parts servers are asked to save and to fetch. A
+// response with status 503 means that the call did not run.
 type planProtocol struct {
 	facts call.Facts
 
@@ -47,7 +47,7 @@
 
 func (p *planProtocol) WriteVerdict(http.Header, call.Verdict) {}
 
-// newPlanProtocol makes one whose calls all have a prompt with one shared part.
+// newPlanProtocol makes a protocol whose calls all have a prompt with one shared part.
 func newPlanProtocol() *planProtocol {
 	return &planProtocol{facts: call.Facts{
 		RequestID: "q", Prompt: &call.Prompt{Model: "m", Tokens: 5100, Parts: []call.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 100}}},
@@ -56,12 +56,12 @@
 
 const storeAddress = "10.0.0.1:1"
 
-// report is a store box's word that these parts have come since its last one.
+// report is a store box's report that these parts were added since the last report.
 func report(changes ...partindex.Change) partindex.Report {
 	return partindex.Report{AsOf: time.Now(), Life: 1, ClockMillis: 1, Changes: changes}
 }
 
-// startRunner runs a handler as a runner that the fleet knows.
+// startRunner serves a handler as a runner and adds it to the fleet.
 func startRunner(t *testing.T, f *fleet.Fleet, name string, handler http.Handler) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -71,21 +71,21 @@
 	}}})
 }
 
-// serveOne makes one call and expects that it is served.
+// serveOne makes one call and expects it to succeed.
 func serveOne(g *WithT, gateway *Gateway) {
 	answer := httptest.NewRecorder()
 	gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
 	g.Expect(answer.Code).To(Equal(http.StatusOK))
 }
 
-// promptTimeout is the time of the route of promptCatalog.
+// promptTimeout is the timeout of the route of promptCatalog.
 const promptTimeout = 5 * time.Second
 
 // promptCatalog has one route to the service of runners "r", and one store box.
-func promptCatalog(g *WithT) *catalog.Catalog { return promptCatalogFor(g, promptTimeout) }
+func promptCatalog(g *WithT) *catalog.Catalog { return promptCatalogWithTimeout(g, promptTimeout) }
 
-// promptCatalogFor is promptCatalog with a route of another time.
-func promptCatalogFor(g *WithT, timeout time.Duration) *catalog.Catalog {
+// promptCatalogWithTimeout is promptCatalog with another timeout for the route.
+func promptCatalogWithTimeout(g *WithT, timeout time.Duration) *catalog.Catalog {
 	made, err := catalog.New(catalog.Config{
 		Version: 1, Limits: catalog.Limits{HeaderBytes: 1 << 16, BodyBytes: 1 << 16},
 		Services: []catalog.Service{
@@ -101,8 +101,8 @@
 	return made
 }
 
-// emptyStore is an index of one store box that has long been known and keeps nothing.
-func emptyStore(c *catalog.Catalog) *partindex.Index {
+// emptyIndex is an index of one store box that has been known for long and holds no parts.
+func emptyIndex(c *catalog.Catalog) *partindex.Index {
 	index := partindex.New(partindex.Config{})
 	index.Configure(c.Services())
 	index.Replace(storeAddress, report())
--- /dev/null
+++ b/internal/gateway/quarantine.go
@@ -0,0 +1,112 @@
+// Requests that crash the servers which run them (package quarantine). Such a request is refused
+// before placement, and as soon as it is quarantined, its calls in flight are cancelled: those at a
+// server, those in a queue and those that would be retried.
+
+package gateway
+
+import (
+	"context"
+	"errors"
+	"sync"
+
+	"github.com/ansel1/merry/v2"
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/cometlock/cometlock/internal/boottime"
+	"github.com/cometlock/cometlock/internal/crash"
+	"github.com/cometlock/cometlock/internal/fingerprint"
+	"github.com/cometlock/cometlock/internal/fleet"
+)
+
+// reasonCrashesServers is the reason for ending a call whose request is quarantined.
+const reasonCrashesServers = "ends_servers"
+
+// errCrashesServers cancels calls in flight.
+var errCrashesServers = merry.Sentinel("the request crashes the servers that run it")
+
+// activeCalls holds the calls in flight, by request.
+type activeCalls struct {
+	mu        sync.Mutex
+	byRequest map[fingerprint.Fingerprint]map[*exchange]bool
+}
+
+func newActiveCalls() activeCalls {
+	return activeCalls{byRequest: map[fingerprint.Fingerprint]map[*exchange]bool{}}
+}
+
+// add registers a call in flight until remove is called.
+func (c *activeCalls) add(x *exchange) (remove func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byRequest[x.fingerprint] == nil {
+		c.byRequest[x.fingerprint] = map[*exchange]bool{}
+	}
+	c.byRequest[x.fingerprint][x] = true
+	return func() { c.remove(x) }
+}
+
+func (c *activeCalls) remove(x *exchange) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.byRequest[x.fingerprint], x)
+	if len(c.byRequest[x.fingerprint]) == 0 {
+		delete(c.byRequest, x.fingerprint)
+	}
+}
+
+// CancelRequest cancels all calls in flight of a request that crashes servers. A call that a server
+// has begun to run may thus be cancelled before the server crashes.
+func (g *Gateway) CancelRequest(request fingerprint.Fingerprint) {
+	g.active.mu.Lock()
+	defer g.active.mu.Unlock()
+	for x := range g.active.byRequest[request] {
+		x.cancel(errCrashesServers)
+	}
+}
+
+// errExpired cancels a call whose deadline passed while the machine was suspended, since timers do
+// not count that time.
+var errExpired = merry.Sentinel("the call's deadline passed while the machine was suspended")
+
+// CancelExpired cancels all calls in flight whose deadline passed more than lateResponseLimit ago.
+func (g *Gateway) CancelExpired() {
+	g.active.mu.Lock()
+	defer g.active.mu.Unlock()
+	for _, calls := range g.active.byRequest {
+		for x := range calls {
+			if boottime.Until(x.deadline.Add(lateResponseLimit)) <= 0 {
+				x.cancel(errExpired)
+			}
+		}
+	}
+}
+
+// isQuarantined reports whether the call was cancelled because its request is quarantined.
+func (x *exchange) isQuarantined() bool { return errors.Is(context.Cause(x.ctx), errCrashesServers) }
+
+// endQuarantined ends a call whose request must not be sent to any server.
+func (g *Gateway) endQuarantined(x *exchange) {
+	heldFor, _ := g.cfg.Quarantine.HeldFor(x.fingerprint)
+	g.endCall(x, reasonCrashesServers, max(heldFor, retryAfterBusy))
+}
+
+// endQuarantinedUnsent ends a call that was cancelled before it was sent to its server.
+func (g *Gateway) endQuarantinedUnsent(x *exchange, chosen placement) {
+	if chosen.hold != nil {
+		a := &attempt{gateway: g, x: x, chosen: chosen}
+		a.release(fleet.EndAbandoned)
+	}
+	g.endQuarantined(x)
+}
+
+// isRepeatedCrash checks whether the server of a lost call has crashed, and reports whether it
+// was not the first server to crash under this request; the call is then not retried. After a first
+// crash, the other calls that were lost with the server are best retried at once.
+func (a *attempt) isRepeatedCrash(end fleet.End) (repeated bool) {
+	if end != fleet.EndUnreachable || a.closedBy() == sideBox || a.gateway.cfg.ConfirmCrash == nil {
+		return false
+	}
+	x := a.x
+	loss := crash.Loss{Server: a.chosen.hold.Server(), Request: x.fingerprint, Caller: xxhash.Sum64String(x.callerName())}
+	return a.gateway.cfg.ConfirmCrash(x.ctx, loss) && a.gateway.cfg.Quarantine.Ends(x.fingerprint) > 1
+}
--- /dev/null
+++ b/internal/gateway/quarantine_test.go
@@ -0,0 +1,184 @@
+package gateway
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	. "github.com/onsi/gomega"
+
+	"github.com/cometlock/cometlock/internal/crash"
+	"github.com/cometlock/cometlock/internal/fingerprint"
+	"github.com/cometlock/cometlock/internal/fleet"
+	"github.com/cometlock/cometlock/internal/placing"
+	"github.com/cometlock/cometlock/internal/quarantine"
+)
+
+// crashGateway is a gateway in front of test runners, with its set of quarantined requests.
+type crashGateway struct {
+	*Gateway
+	fleet       *fleet.Fleet
+	quarantined *quarantine.Set
+}
+
+// newCrashGateway makes a gateway. If crashes is set, each server that breaks off a call counts as
+// crashed.
+func newCrashGateway(g *WithT, crashes bool) *crashGateway {
+	f := fleet.New(fleet.Config{})
+	c := promptCatalog(g)
+	e := &crashGateway{Gateway: promptGateway(newPlanProtocol(), f, emptyIndex(c), c), fleet: f}
+	e.quarantined = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
+		if change.Held {
+			e.CancelRequest(change.Request)
+		}
+	}})
+	e.cfg.Quarantine = e.quarantined
+	e.cfg.ConfirmCrash = func(_ context.Context, loss crash.Loss) bool {
+		if crashes {
+			e.recordCrashes(loss.Server.Incarnation)
+		}
+		return crashes
+	}
+	return e
+}
+
+// testRequest is the request of all calls in these tests.
+func testRequest() fingerprint.Fingerprint {
+	return fingerprint.Of(fingerprint.Request{Method: http.MethodPost, Host: "example.com", Target: "/"})
+}
+
+// recordCrashes records that servers crashed while they ran the request.
+func (c *crashGateway) recordCrashes(servers ...string) {
+	for _, server := range servers {
+		incarnation := uint64(0)
+		for _, letter := range server {
+			incarnation = 256*incarnation + uint64(letter)
+		}
+		c.quarantined.NoteEnd(quarantine.Ended{Request: testRequest(), Life: incarnation})
+	}
+}
+
+// call makes a call and returns its response.
+func (c *crashGateway) call() *httptest.ResponseRecorder {
+	response := httptest.NewRecorder()
+	c.ServeHTTP(response, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+	return response
+}
+
+func TestTestCallsHaveTheFingerprintOfTheTestRequest(t *testing.T) {
+	g := NewWithT(t)
+	e := newCrashGateway(g, false)
+	e.recordCrashes("x", "y")
+	startRunner(t, e.fleet, "r", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("answer")) }))
+	g.Expect(e.call().Code).To(Equal(http.StatusOK))
+	g.Expect(e.quarantined.Ends(testRequest())).To(BeZero(), "it was served")
+}
+
+// A request that crashed three servers is refused at once, as not run, whichever box observed the
+// crashes.
+func TestAQuarantinedRequestReachesNoServer(t *testing.T) {
+	g := NewWithT(t)
+	e := newCrashGateway(g, false)
+	var runs atomic.Int64
+	startRunner(t, e.fleet, "r", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
+	e.recordCrashes("x", "y", "z")
+	answer := e.call()
+	g.Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(answer.Body.String()).To(ContainSubstring(reasonCrashesServers))
+	g.Expect(runs.Load()).To(BeZero())
+}
+
+// A call that a server is running when its request is quarantined is cancelled, since the server
+// may not have crashed yet.
+func TestCallsInFlightAreCancelledWhenTheirRequestIsQuarantined(t *testing.T) {
+	g := NewWithT(t)
+	e := newCrashGateway(g, false)
+	begun, cancelled := make(chan struct{}, 1), make(chan struct{})
+	startRunner(t, e.fleet, "r", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		begun <- struct{}{}
+		<-r.Context().Done()
+		close(cancelled)
+	}))
+	answers := make(chan *httptest.ResponseRecorder, 1)
+	go func() { answers <- e.call() }()
+	<-begun
+	e.recordCrashes("x", "y", "z")
+	g.Eventually(cancelled).Should(BeClosed())
+	answer := <-answers
+	g.Expect(answer.Code).To(Equal(http.StatusBadGateway), "it may have run")
+	g.Expect(answer.Body.String()).To(ContainSubstring(reasonCrashesServers))
+	g.Eventually(e.InFlight).Should(BeZero())
+}
+
+func TestAQueuedCallIsRefusedWhenItsRequestIsQuarantined(t *testing.T) {
+	g := NewWithT(t)
+	e := newCrashGateway(g, false)
+	protocol := newPlanProtocol()
+	protocol.facts.Prompt = largeMemoryPrompt()
+	e.cfg.Protocol = protocol
+	release := make(chan struct{})
+	defer close(release)
+	startRunner(t, e.fleet, "r", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
+	for range 2 { // as many as fit into its memory
+		hold := e.fleet.Choose(fleet.Query{Service: "r", Model: "m", Work: func(int) int { return 0 }, Outdated: func(int) (float64, bool) { return 0, true }, Load: memoryQuery(40_000)})
+		g.Expect(hold).NotTo(BeNil())
+		defer hold.Done(fleet.EndAbandoned)
+	}
+	answers := make(chan *httptest.ResponseRecorder, 1)
+	began := time.Now()
+	go func() { answers <- e.call() }()
+	g.Eventually(e.Waiting).Should(BeEquivalentTo(1))
+	e.recordCrashes("x", "y", "z")
+	answer := <-answers
+	g.Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(answer.Body.String()).To(ContainSubstring(reasonCrashesServers))
+	g.Expect(time.Since(began)).To(BeNumerically("<", 150*time.Millisecond), "before its wait deadline")
+}
+
+// When a server crashes, most of the calls lost with it are not the cause, and are retried at
+// another server. A call whose request has now crashed a second server is not.
+func TestThereIsNoRetryAfterTheSecondCrash(t *testing.T) {
+	tests := []struct {
+		name    string
+		crashes bool
+		before  []string
+		runs    int64
+	}{
+		{"the first server that crashed", true, nil, 2},
+		{"the second server that crashed", true, []string{"x"}, 1},
+		{"a server that did not crash", false, []string{"x"}, 2},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			g := NewWithT(t)
+			e := newCrashGateway(g, test.crashes)
+			e.recordCrashes(test.before...)
+			var runs atomic.Int64
+			for _, name := range []string{"r1", "r2", "r3"} {
+				startRunner(t, e.fleet, name, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+					runs.Add(1)
+					panic(http.ErrAbortHandler)
+				}))
+			}
+			g.Expect(e.call().Code).To(Equal(http.StatusBadGateway))
+			g.Expect(runs.Load()).To(Equal(test.runs))
+		})
+	}
+}
+
+// A server that responds with an error may not have run the request at all, so the recorded crashes
+// remain.
+func TestAnErrorResponseDoesNotClearARequest(t *testing.T) {
+	g := NewWithT(t)
+	e := newCrashGateway(g, false)
+	startRunner(t, e.fleet, "r", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }))
+	e.recordCrashes("x", "y")
+	g.Expect(e.call().Code).To(Equal(http.StatusInternalServerError))
+	g.Expect(e.quarantined.Ends(testRequest())).To(Equal(2))
+}
+
+// memoryQuery returns the load of a call that takes this many tokens of a runner's memory.
+func memoryQuery(tokens int) placing.Query { return placing.Query{Tokens: tokens} }
--- a/internal/gateway/settle.go
+++ b/internal/gateway/record.go
@@ -1,4 +1,4 @@
-// The end of a call: its metrics, and the one log line that tells what became of it.
+// Recording finished calls: metrics, and one log line for each call.
 
 package gateway
 
@@ -21,51 +21,52 @@
 
 func newMetrics(scope tally.Scope) metrics { return metrics{scope} }
 
-func (m metrics) tryFailed(reason string) {
+func (m metrics) attemptFailed(reason string) {
 	m.scope.Tagged(map[string]string{"reason": reason}).Counter("tries_failed").Inc(1)
 }
 
-func (m metrics) settled(route string, x *exchange, took time.Duration) {
+func (m metrics) callEnded(route string, x *exchange, took time.Duration) {
 	scope := m.scope.Tagged(map[string]string{"route": route, "outcome": string(x.outcome)})
 	scope.Counter("calls").Inc(1)
 	scope.Histogram("call_seconds", telemetry.LatencyBuckets()).RecordDuration(took)
-	if !x.firstEvent.IsZero() {
-		scope.Histogram("first_event_seconds", telemetry.LatencyBuckets()).RecordDuration(x.firstEvent.Sub(x.arrived))
+	if !x.firstEventAt.IsZero() {
+		scope.Histogram("first_event_seconds", telemetry.LatencyBuckets()).RecordDuration(x.firstEventAt.Sub(x.arrived))
 	}
 	perRoute := m.scope.Tagged(map[string]string{"route": route})
-	measureStages(perRoute, x)
-	countTokens(perRoute, x)
+	recordStages(perRoute, x)
+	recordTokens(perRoute, x)
 }
 
-// measureStages measures the time that a call spent before it was handed over.
-func measureStages(scope tally.Scope, x *exchange) {
-	if x.readAt.IsZero() {
+// recordStages records how long a call took before it was sent to a server.
+func recordStages(scope tally.Scope, x *exchange) {
+	if x.bodyReadAt.IsZero() {
 		return
 	}
 	measure := func(stage string, took time.Duration) {
 		scope.Tagged(map[string]string{"stage": stage}).Histogram("stage_seconds", telemetry.LatencyBuckets()).RecordDuration(took)
 	}
-	measure("receive", x.readAt.Sub(x.arrived))
+	measure("receive", x.bodyReadAt.Sub(x.arrived))
 	measure("place", x.placeTime)
 }
 
-// countTokens counts the prompt tokens of a call that was served by where they came
-// from, and measures how soon its answer began where some were fetched.
-func countTokens(scope tally.Scope, x *exchange) {
-	prompt, plan := x.facts.Prompt, x.choice.plan
-	if prompt == nil || x.choice.namespace == "" || x.outcome != outcomeServed {
+// recordTokens counts the prompt tokens of a served call by their source, and records the time to
+// the first event of calls with fetched tokens.
+func recordTokens(scope tally.Scope, x *exchange) {
+	prompt, plan := x.facts.Prompt, x.placement.plan
+	if prompt == nil || x.placement.namespace == "" || x.outcome != outcomeServed {
 		return
 	}
 	scope.Tagged(map[string]string{"from": "store_box"}).Counter("prompt_tokens").Inc(int64(prompt.Tokens - plan.Missing))
 	scope.Tagged(map[string]string{"from": "runner"}).Counter("prompt_tokens").Inc(int64(plan.Missing))
-	if plan.Source != "" && !x.firstEvent.IsZero() {
+	if plan.Source != "" && !x.firstEventAt.IsZero() {
 		fetched := scope.Tagged(map[string]string{"store_box": plan.Source})
-		fetched.Histogram("fetched_first_event_seconds", telemetry.LatencyBuckets()).RecordDuration(x.firstEvent.Sub(x.arrived))
+		fetched.Histogram("fetched_first_event_seconds", telemetry.LatencyBuckets()).RecordDuration(x.firstEventAt.Sub(x.arrived))
 	}
 }
 
-// largestShared names the largest part that a prompt shares with others; empty without one.
-func largestShared(prompt *call.Prompt) (id string) {
+// largestSharedPart returns the id of the largest part that a prompt shares with others; empty if
+// it shares none.
+func largestSharedPart(prompt *call.Prompt) (id string) {
 	largest := 0
 	for _, part := range prompt.Parts[:max(len(prompt.Parts)-1, 0)] {
 		if part.Tokens > largest {
@@ -75,8 +76,8 @@
 	return id
 }
 
-// saves counts the parts that a plan has saved.
-func saves(plan partindex.Plan) int {
+// countSaves returns the number of parts that a plan saves.
+func countSaves(plan partindex.Plan) int {
 	count := 0
 	for _, address := range plan.Save {
 		if address != "" {
@@ -86,20 +87,20 @@
 	return count
 }
 
-// settle writes the one line that tells a call's story.
-func (g *Gateway) settle(x *exchange) {
+// recordCall records the metrics of a call and writes its log line.
+func (g *Gateway) recordCall(x *exchange) {
 	took := boottime.Since(x.arrived)
 	route := ""
 	if x.route != nil {
 		route = x.service.Name
 	}
-	g.metrics.settled(route, x, took)
+	g.metrics.callEnded(route, x, took)
 	event := g.cfg.Logger.Info()
 	if x.outcome != outcomeServed && x.outcome != outcomeGone {
 		event = g.cfg.Logger.Warn()
 	}
 	event.Str("request", x.facts.RequestID).Str("outcome", string(x.outcome)).Int("status", x.status).
-		Dur("took", took).Int("tries", len(x.tried)).Int("events", x.events).Int64("bytes", x.bytesOut)
+		Dur("took", took).Int("tries", len(x.attempted)).Int("events", x.eventsSent).Int64("bytes", x.bytesSent)
 	if x.reason != "" {
 		event.Str("reason", x.reason)
 	}
@@ -109,31 +110,32 @@
 	if x.organisation != nil {
 		event.Str("organisation", x.organisation.Name)
 	}
-	if !x.firstEvent.IsZero() {
-		event.Dur("first_event", x.firstEvent.Sub(x.arrived))
+	if !x.firstEventAt.IsZero() {
+		event.Dur("first_event", x.firstEventAt.Sub(x.arrived))
 	}
-	tellPlacement(event, x)
-	g.tellLoss(event, x)
+	addPlacementFields(event, x)
+	g.addLossFields(event, x)
 	event.Msg("call")
 }
 
-// tellLoss adds, for a call whose answer was lost, who ended it and what was left then.
-func (g *Gateway) tellLoss(event *zerolog.Event, x *exchange) {
+// addLossFields adds, for a call whose response was lost, which side closed the connection and what
+// was left of time and retries.
+func (g *Gateway) addLossFields(event *zerolog.Event, x *exchange) {
 	if x.outcome != outcomeBroken && x.outcome != outcomeUnknown {
 		return
 	}
-	event.Str("ended_by", string(x.lostBy)).Dur("left", boottime.Until(x.deadline)).Int("servers_seen", x.handed).
+	event.Str("ended_by", string(x.lossClosedBy)).Dur("left", boottime.Until(x.deadline)).Int("servers_seen", x.serversReached).
 		Float64("retries_saved", g.cfg.Budget.State().Saved)
 	if now := g.cfg.Catalog(); now != nil {
 		event.Int64("configuration_at_end", now.Version())
 	}
 }
 
-// tellPlacement adds where a call went, or what the servers lacked that it was not placed
-// at, and what of its prompt was fetched.
-func tellPlacement(event *zerolog.Event, x *exchange) {
-	if hold := x.choice.hold; hold != nil {
-		event.Str("server", hold.Server().Incarnation).Int("weights", hold.Weights()).Dur("servers_age", x.choice.serversAge)
+// addPlacementFields adds the server of a call, or why none could take it, and what was fetched of
+// its prompt.
+func addPlacementFields(event *zerolog.Event, x *exchange) {
+	if hold := x.placement.hold; hold != nil {
+		event.Str("server", hold.Server().Incarnation).Int("weights", hold.Weights()).Dur("servers_age", x.placement.serverListAge)
 		if gone := hold.GoneFor(); gone > 0 {
 			event.Dur("gone_for", gone)
 		}
@@ -145,27 +147,27 @@
 		}
 	}
 	if x.reason == reasonNoServer || x.reason == reasonEvacuated || x.reason == reasonNoRegion || x.reason == reasonLimited {
-		short := x.shortage
-		event.Int("servers", short.Listed).Int("sound", short.Sound).Int("without_time", short.WithoutTime).Int("without_memory", short.WithoutMemory).
-			Int("in_flight", short.InFlight).Int("held_tokens", short.HeldTokens).Int("evacuated", short.Evacuated).Int("cold_spared", short.Spared).
-			Int("rate_limited", short.Limited).Int("paused", short.Paused)
+		counts := x.shortage
+		event.Int("servers", counts.Listed).Int("sound", counts.Sound).Int("without_time", counts.WithoutTime).Int("without_memory", counts.WithoutMemory).
+			Int("in_flight", counts.InFlight).Int("held_tokens", counts.HeldTokens).Int("evacuated", counts.Evacuated).Int("cold_spared", counts.Spared).
+			Int("rate_limited", counts.Limited).Int("paused", counts.Paused)
 	}
 	if prompt := x.facts.Prompt; prompt != nil && x.route != nil {
-		event.Int("prompt_tokens", prompt.Tokens).Int("unfetched_tokens", x.choice.plan.Missing).
-			Dur("objective", x.route.Objective).Dur("waited", x.placeTime).Str("shared", largestShared(prompt)).Int("saves", saves(x.choice.plan))
+		event.Int("prompt_tokens", prompt.Tokens).Int("unfetched_tokens", x.placement.plan.Missing).
+			Dur("objective", x.route.Objective).Dur("waited", x.placeTime).Str("shared", largestSharedPart(prompt)).Int("saves", countSaves(x.placement.plan))
 		if x.placedBy != "" {
 			event.Str("placed_by", x.placedBy)
 		}
-		if x.unplaced != "" {
-			event.Str("owner_error", x.unplaced)
+		if x.ownerError != "" {
+			event.Str("owner_error", x.ownerError)
 		}
-		if hold := x.choice.hold; hold != nil {
+		if hold := x.placement.hold; hold != nil {
 			event.Dur("expected", hold.Expected())
 		}
-		if miss := x.choice.plan.Miss; miss != "" {
+		if miss := x.placement.plan.Miss; miss != "" {
 			event.Str("miss", string(miss))
 		}
-		if source := x.choice.plan.Source; source != "" {
+		if source := x.placement.plan.Source; source != "" {
 			event.Str("fetched_from", source)
 		}
 	}
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -1,5 +1,5 @@
-// Answers of the box's own. Each says whether the call may have run: only one that
-// certainly did not is refused with an invitation to come back.
+// Error responses of the box itself. Each states whether the call may have run: only a call that
+// certainly did not run is refused with a time to retry after.
 
 package gateway
 
@@ -13,47 +13,47 @@
 	"github.com/cometlock/cometlock/internal/call"
 )
 
-// Pauses that callers are asked to make. A refusal is given at once; the pause
-// says when there may be room.
+// Times after which refused callers should retry. Refusals are sent at once; the time is an
+// estimate of when there may be room.
 const (
-	// startingPause is about what a box needs to read the configuration.
-	startingPause = 300 * time.Millisecond
-	// busyPause is how long a full or loading runner stays so at least.
-	busyPause = 80 * time.Millisecond
-	// serverlessPause is for services none of whose servers can be reached.
-	serverlessPause = 400 * time.Millisecond
+	// retryAfterStartup is about the time that a box needs to read the configuration.
+	retryAfterStartup = 300 * time.Millisecond
+	// retryAfterBusy is the least time for which a full or loading runner stays so.
+	retryAfterBusy = 80 * time.Millisecond
+	// retryAfterNoServers is for services none of whose servers can be reached.
+	retryAfterNoServers = 400 * time.Millisecond
 )
 
-// refusal is the body of an answer of the box's own.
-type refusal struct {
-	Error refusalError `json:"error"`
+// errorBody is the body of an error response of the box itself.
+type errorBody struct {
+	Error errorDetail `json:"error"`
 }
 
-type refusalError struct {
+type errorDetail struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// refuse ends a call that has not run and never will. It gives false, so that
-// stages can end with it.
-func (g *Gateway) refuse(x *exchange, reason string, pause time.Duration) bool {
+// refuse ends a call that has not run and will not run. It returns false, which stages return in
+// turn.
+func (g *Gateway) refuse(x *exchange, reason string, retryAfter time.Duration) bool {
 	x.outcome = outcomeRefused
-	g.cfg.Protocol.WriteVerdict(x.writer.Header(), call.Verdict{ComeBackAfter: pause})
-	return g.answer(x, http.StatusServiceUnavailable, reason, "the request was not run; it may be sent again")
+	g.cfg.Protocol.WriteVerdict(x.writer.Header(), call.Verdict{ComeBackAfter: retryAfter})
+	return g.writeError(x, http.StatusServiceUnavailable, reason, "the request was not run; it may be sent again")
 }
 
-// reject ends a call that is itself at fault.
+// reject ends a call that is itself invalid.
 func (g *Gateway) reject(x *exchange, status int, reason string) bool {
 	x.outcome = outcomeRejected
 	g.cfg.Protocol.WriteVerdict(x.writer.Header(), call.Verdict{})
-	return g.answer(x, status, reason, "the request cannot be served as it is")
+	return g.writeError(x, status, reason, "the request cannot be served as it is")
 }
 
-// giveUp ends a call without an answer: as refused when it certainly did not run,
-// as unknown otherwise.
-func (g *Gateway) giveUp(x *exchange, reason string, pause time.Duration) {
+// endWithoutResponse ends a call that got no response: as refused when it certainly did not run, as
+// unknown otherwise.
+func (g *Gateway) endWithoutResponse(x *exchange, reason string, retryAfter time.Duration) {
 	if !x.mayHaveRun {
-		g.refuse(x, reason, pause)
+		g.refuse(x, reason, retryAfter)
 		return
 	}
 	x.outcome = outcomeUnknown
@@ -62,25 +62,25 @@
 	if !boottime.Now().Before(x.deadline) {
 		status = http.StatusGatewayTimeout
 	}
-	g.answer(x, status, reason, "the request may have run; no answer came back")
+	g.writeError(x, status, reason, "the request may have run; no answer came back")
 }
 
-// breakOff ends an answer of which a part has reached the caller: the connection
-// is cut, so that the part cannot be taken for the whole.
-func (g *Gateway) breakOff(x *exchange, reason string) {
+// abortResponse ends a response of which the caller has a part: it closes the connection, so that
+// the part cannot be taken for a complete response.
+func (g *Gateway) abortResponse(x *exchange, reason string) {
 	x.outcome, x.reason = outcomeBroken, reason
 	panic(http.ErrAbortHandler)
 }
 
-func (g *Gateway) answer(x *exchange, status int, reason, message string) bool {
+func (g *Gateway) writeError(x *exchange, status int, reason, message string) bool {
 	x.status, x.reason = status, reason
-	body, err := json.Marshal(refusal{refusalError{reason, message}})
+	body, err := json.Marshal(errorBody{errorDetail{reason, message}})
 	if err != nil {
 		g.cfg.Logger.Error().Str("error", err.Error()).Msg("refusal_not_encoded")
 	}
 	x.writer.Header().Set("Content-Type", "application/json")
 	x.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.writer.WriteHeader(status)
-	_, _ = x.writer.Write(body) // a caller that left needs no answer
+	_, _ = x.writer.Write(body) // a caller that disconnected needs no response
 	return false
 }
--- a/internal/gateway/refuse_test.go
+++ b/internal/gateway/refuse_test.go
@@ -9,10 +9,10 @@
 	"github.com/cometlock/cometlock/internal/catalog"
 )
 
-// A route need not name an objective; a refusal must still say when to come back.
-func TestARefusalWithoutAnObjectiveSaysWhenToComeBack(t *testing.T) {
+// A route need not have an objective; a refusal must still include a time to retry after.
+func TestARefusalWithoutAnObjectiveHasARetryDelay(t *testing.T) {
 	g := NewWithT(t)
 	gateway := newTestGateway(versions{{Version: 1}})
 	x := &exchange{route: &catalog.Route{}, facts: call.Facts{Prompt: &call.Prompt{Model: "m"}}}
-	g.Expect(gateway.comeBack(x)).To(BeNumerically(">", 0))
+	g.Expect(gateway.busyBackoff(x)).To(BeNumerically(">", 0))
 }
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -1,5 +1,6 @@
-// Regions: a route or an organisation may name the regions that its calls may run in, and where it
-// does, nothing of them goes anywhere else. Where both name some, a region must be among both.
+// Region restrictions: a route or an organisation may list the regions that its calls may run in,
+// and then none of their data goes to any other region. Where both have a list, a region must be in
+// both.
 
 package gateway
 
@@ -9,17 +10,18 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// Reasons of refusals for what no server may take.
+// Reasons for refusing a call that no server may take.
 const (
-	// reasonNoRegion: servers are there, but in no region that the call may run in.
+	// reasonNoRegion: there are servers, but none in a region that the call may run in.
 	reasonNoRegion = "no_server_in_allowed_regions"
 	// reasonEvacuated: all servers are in evacuated zones.
 	reasonEvacuated = "zones_evacuated"
-	// reasonLimited: all servers want a pause from this box, or name rate limits that leave it no room.
+	// reasonLimited: all servers have asked this box to pause, or have announced rate limits that
+	// it has used up.
 	reasonLimited = "servers_rate_limited"
 )
 
-// allowedZones gives which zones a call may run in; nil where all are allowed.
+// allowedZones returns a predicate for the zones that a call may run in; nil where all are allowed.
 func (g *Gateway) allowedZones(x *exchange) func(zone string) bool {
 	var named [][]string
 	if len(x.route.Regions) > 0 {
@@ -43,14 +45,14 @@
 	return allowed == nil || allowed(zone)
 }
 
-// unplacedReason says why a call was placed nowhere.
-func (g *Gateway) unplacedReason(x *exchange, short fleet.Shortage) string {
+// unplacedReason returns the reason why no server took a call.
+func (g *Gateway) unplacedReason(x *exchange, shortage fleet.Shortage) string {
 	switch {
-	case short.Listed > 0 && short.Limited+short.Paused == short.Listed:
+	case shortage.Listed > 0 && shortage.Limited+shortage.Paused == shortage.Listed:
 		return reasonLimited
-	case short.Listed == 0 || g.cfg.Fleet.Availability(x.service.Name, g.allowedZones(x)).Servers:
+	case shortage.Listed == 0 || g.cfg.Fleet.Availability(x.service.Name, g.allowedZones(x)).Servers:
 		return reasonNoServer
-	case short.Evacuated == short.Listed:
+	case shortage.Evacuated == shortage.Listed:
 		return reasonEvacuated
 	case g.allowedZones(x) != nil:
 		return reasonNoRegion
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -1,6 +1,6 @@
-// The way of an answer back to the caller: whole answers are taken in before a byte
-// is passed on, streams go event by event, so that another server can take over at
-// the end of what the caller has.
+// Relaying responses to the caller. Ordinary responses are buffered completely before any of them
+// is sent on. Streams are relayed event by event, so that another server can continue after the
+// last event that the caller has.
 
 package gateway
 
@@ -16,124 +16,124 @@
 	"github.com/cometlock/cometlock/internal/handover"
 )
 
-// relayWhole takes in an answer whole and passes it on, so that one that breaks off
-// never looks whole, and another server can be tried instead.
-func (t *try) relayWhole(answer *handover.Response) next {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
-	if err != nil || len(body) > maxAnswerBytes {
-		return t.lost("answer_broke_off", fleet.EndUnreachable)
+// relayBuffered reads the whole response before it sends any of it on, so that a response that
+// breaks off never looks complete and another server can be tried instead.
+func (a *attempt) relayBuffered(response *handover.Response) nextStep {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes+1))
+	if err != nil || len(body) > maxBufferedBytes {
+		return a.handleLost("answer_broke_off", fleet.EndUnreachable)
 	}
-	t.watch.hearAll()
-	x := t.x
-	whole := &wholeAnswer{status: answer.Status, header: forwardable(answer.Header), body: body}
-	if answer.Status < http.StatusInternalServerError {
-		t.finish(fleet.EndServed)
-		if answer.Status/100 == 2 {
-			t.gateway.cfg.Quarantine.NoteServed(x.fingerprint)
+	a.watch.responseReceived()
+	x := a.x
+	buffered := &bufferedResponse{status: response.Status, header: endToEndHeaders(response.Header), body: body}
+	if response.Status < http.StatusInternalServerError {
+		a.release(fleet.EndServed)
+		if response.Status/100 == 2 {
+			a.gateway.cfg.Quarantine.NoteServed(x.fingerprint)
 		}
 		x.outcome = outcomeServed
-		x.passOn(whole)
-		return nextEnd
+		x.writeResponse(buffered)
+		return stepDone
 	}
-	t.finish(fleet.EndFailed)
-	t.log("server_failed", strconv.Itoa(answer.Status))
-	x.failure = whole
-	if x.mayRepeat() {
-		return nextServer
+	a.release(fleet.EndFailed)
+	a.log("server_failed", strconv.Itoa(response.Status))
+	x.serverFailure = buffered
+	if x.mayRetry() {
+		return stepNextServer
 	}
-	t.gateway.end(x, "server_failed", 0)
-	return nextEnd
+	a.gateway.endCall(x, "server_failed", 0)
+	return stepDone
 }
 
-// wholeAnswer is an answer that was taken in whole.
-type wholeAnswer struct {
+// bufferedResponse is a response that was read completely.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// passOn gives the caller a backend server's answer as it is.
-func (x *exchange) passOn(whole *wholeAnswer) {
-	x.status, x.bytesOut = whole.status, int64(len(whole.body))
-	for name, values := range whole.header {
+// writeResponse sends a backend server's response to the caller unchanged.
+func (x *exchange) writeResponse(response *bufferedResponse) {
+	x.status, x.bytesSent = response.status, int64(len(response.body))
+	for name, values := range response.header {
 		x.writer.Header()[name] = values
 	}
-	x.writer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
-	x.writer.WriteHeader(whole.status)
-	_, _ = x.writer.Write(whole.body) // a caller that left needs no answer
+	x.writer.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
+	x.writer.WriteHeader(response.status)
+	_, _ = x.writer.Write(response.body) // a caller that disconnected needs no response
 }
 
-// relayStream passes a stream on, event by event.
-func (t *try) relayStream(answer *handover.Response) next {
-	reader := eventstream.NewReader(answer.Body)
+// relayStream relays a stream to the caller, event by event.
+func (a *attempt) relayStream(response *handover.Response) nextStep {
+	reader := eventstream.NewReader(response.Body)
 	for {
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			t.watch.hearAll()
-			return t.streamEnded(answer)
+			a.watch.responseReceived()
+			return a.finishStream(response)
 		}
 		if err != nil {
-			return t.lost("stream_broke_off", fleet.EndUnreachable)
+			return a.handleLost("stream_broke_off", fleet.EndUnreachable)
 		}
-		fresh, ours := t.watch.hearEvent(event.ID)
-		if !ours {
-			return t.lost("stream_too_late", fleet.EndUnreachable)
+		fresh, accepted := a.watch.eventReceived(event.ID)
+		if !accepted {
+			return a.handleLost("stream_too_late", fleet.EndUnreachable)
 		}
 		if fresh {
-			t.pass(answer, event)
+			a.relayEvent(response, event)
 		}
-		t.watch.passed()
+		a.watch.eventRelayed()
 	}
 }
 
-// pass sends an event on that the caller has not had.
-func (t *try) pass(answer *handover.Response, event eventstream.Event) {
-	x := t.x
-	if x.events == 0 {
-		x.firstEvent = boottime.Now()
-		t.noteFetch()
+// relayEvent sends an event to the caller that it does not have yet.
+func (a *attempt) relayEvent(response *handover.Response, event eventstream.Event) {
+	x := a.x
+	if x.eventsSent == 0 {
+		x.firstEventAt = boottime.Now()
+		a.recordFetchDelay()
 	}
-	t.chosen.hold.Heard()
-	t.beginStream(answer)
-	x.events++
-	x.bytesOut += int64(len(event.Raw))
+	a.chosen.hold.Heard()
+	a.writeStreamHeader(response)
+	x.eventsSent++
+	x.bytesSent += int64(len(event.Raw))
 	if _, err := x.writer.Write(event.Raw); err != nil {
-		return // the caller left; its context ends the try
+		return // the caller disconnected, which cancels the attempt's context
 	}
-	_ = http.NewResponseController(x.writer).Flush() // as above
+	_ = http.NewResponseController(x.writer).Flush() // likewise
 }
 
-// noteFetch notes how late the first event comes, or that it has not come for so long, if
-// it has to wait for a fetch.
-func (t *try) noteFetch() {
-	source := t.chosen.plan.Source
+// recordFetchDelay records how late the first event is, or that it has been overdue for so long, if
+// it has to wait for a fetch from a store box.
+func (a *attempt) recordFetchDelay() {
+	source := a.chosen.plan.Source
 	if source == "" {
 		return
 	}
-	late := t.chosen.hold.Overdue()
-	slow, changed := t.gateway.cfg.Parts.NoteFetch(source, late)
+	late := a.chosen.hold.Overdue()
+	slow, changed := a.gateway.cfg.Parts.NoteFetch(source, late)
 	if !changed {
 		return
 	}
-	t.gateway.cfg.Logger.Info().Str("request", t.x.facts.RequestID).Str("store_box", source).Bool("slow", slow).Dur("late", late).Msg("store_box_pace")
+	a.gateway.cfg.Logger.Info().Str("request", a.x.facts.RequestID).Str("store_box", source).Bool("slow", slow).Dur("late", late).Msg("store_box_speed_changed")
 }
 
-// beginStream sends the head of the first server's answer.
-func (t *try) beginStream(answer *handover.Response) {
-	x := t.x
-	if x.answering {
+// writeStreamHeader sends the headers of the first server that streams an event.
+func (a *attempt) writeStreamHeader(response *handover.Response) {
+	x := a.x
+	if x.responseStarted {
 		return
 	}
-	x.answering, x.status = true, answer.Status
-	for name, values := range forwardable(answer.Header) {
+	x.responseStarted, x.status = true, response.Status
+	for name, values := range endToEndHeaders(response.Header) {
 		x.writer.Header()[name] = values
 	}
-	x.writer.WriteHeader(answer.Status)
+	x.writer.WriteHeader(response.Status)
 }
 
-// rises reports whether an event's id comes after the last one passed on. Ids that
-// are no numbers are believed.
-func rises(last, id string) bool {
+// isNewer reports whether an event's id follows the last one that was relayed. Ids that are not
+// numbers count as newer.
+func isNewer(last, id string) bool {
 	before, err := strconv.ParseInt(last, 10, 64)
 	if err != nil {
 		return true
@@ -142,14 +142,14 @@
 	return err != nil || now > before
 }
 
-// streamEnded ends a stream whose server ended it properly.
-func (t *try) streamEnded(answer *handover.Response) next {
-	if t.x.events == 0 && !answer.Framed() {
-		return t.lost("stream_empty", fleet.EndFailed)
+// finishStream completes a stream that its server ended properly.
+func (a *attempt) finishStream(response *handover.Response) nextStep {
+	if a.x.eventsSent == 0 && !response.Framed() {
+		return a.handleLost("stream_empty", fleet.EndFailed)
 	}
-	t.beginStream(answer)
-	t.finish(fleet.EndServed)
-	t.gateway.cfg.Quarantine.NoteServed(t.x.fingerprint)
-	t.x.outcome = outcomeServed
-	return nextEnd
+	a.writeStreamHeader(response)
+	a.release(fleet.EndServed)
+	a.gateway.cfg.Quarantine.NoteServed(a.x.fingerprint)
+	a.x.outcome = outcomeServed
+	return stepDone
 }
--- /dev/null
+++ b/internal/gateway/retry.go
@@ -0,0 +1,178 @@
+// Deciding how a call continues after an attempt without a response. A call that was not sent, or
+// did not run, may go to another server. A call that may have run may do so only if its route
+// allows it to run twice. A call whose caller has disconnected or whose deadline has passed is
+// never retried.
+
+package gateway
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/cometlock/cometlock/internal/boottime"
+	"github.com/cometlock/cometlock/internal/call"
+	"github.com/cometlock/cometlock/internal/fleet"
+	"github.com/cometlock/cometlock/internal/handover"
+)
+
+// handleNoResponse handles an attempt that got no response headers.
+func (a *attempt) handleNoResponse(err error) nextStep {
+	x := a.x
+	if errors.Is(err, errPlacementExpired) {
+		return a.handleExpiredPlacement()
+	}
+	if errors.Is(err, handover.ErrNotSent) {
+		if a.callerLeft() {
+			return a.endCallerLeft()
+		}
+		if x.isQuarantined() {
+			return a.handleQuarantined()
+		}
+		a.x.serversReached-- // the server has not received the call, so another one may be tried
+		a.gateway.returnRetry(x)
+		a.recordUnreachable(err)
+		return stepNextServer
+	}
+	x.mayHaveRun = true
+	return a.handleLost("no_answer", fleet.EndUnreachable)
+}
+
+// handleExpiredPlacement handles an attempt whose placement has expired.
+func (a *attempt) handleExpiredPlacement() nextStep {
+	if a.callerLeft() {
+		return a.endCallerLeft()
+	}
+	a.x.serversReached--
+	a.gateway.returnRetry(a.x)
+	a.release(fleet.EndAbandoned)
+	a.log("not_handed_over", errPlacementExpired.Error())
+	return stepNextServer
+}
+
+// recordUnreachable records that the server could not be reached.
+func (a *attempt) recordUnreachable(err error) {
+	a.release(fleet.EndUnreachable)
+	a.gateway.cfg.Pool.CloseIdle(a.chosen.hold.Server().Address)
+	a.log("not_handed_over", err.Error())
+}
+
+// reasonOutOfTime is the logged reason of a call whose deadline passed before its response was
+// complete.
+const reasonOutOfTime = "out_of_time"
+
+// handleLost handles an attempt that was lost after the call may have run.
+func (a *attempt) handleLost(reason string, end fleet.End) nextStep {
+	if a.callerLeft() {
+		return a.endCallerLeft()
+	}
+	if a.x.isQuarantined() {
+		return a.handleQuarantined()
+	}
+	outOfTime := !boottime.Now().Before(a.x.deadline)
+	if outOfTime {
+		end = fleet.EndFailed // the response is late, which may be due to load
+		reason = reasonOutOfTime
+	}
+	a.release(end)
+	a.x.lossClosedBy = a.closedBy()
+	a.log("try_lost", reason)
+	if !outOfTime && a.watch.switchToHedge() {
+		return stepSwitched
+	}
+	repeatedCrash := a.isRepeatedCrash(end)
+	if a.x.route.MayRepeat() && !outOfTime && !repeatedCrash {
+		return stepNextServer
+	}
+	a.gateway.endCall(a.x, reason, 0)
+	return stepDone
+}
+
+// handleRefusal handles a response which says that the server did not run the call.
+func (a *attempt) handleRefusal(response *handover.Response, marks call.Marks) nextStep {
+	a.recordRefusal(response, marks)
+	if a.watch.switchToHedge() {
+		return stepSwitched
+	}
+	if response.Status == http.StatusBadRequest && !a.x.responseStarted {
+		a.gateway.reject(a.x, http.StatusBadRequest, "server_rejected")
+		return stepDone
+	}
+	return stepNextServer
+}
+
+// recordRefusal records that the server did not run the call, and what the refusal shows about the
+// server.
+func (a *attempt) recordRefusal(response *handover.Response, marks call.Marks) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBytes)) // so that the connection can be reused
+	server := a.chosen.hold.Server()
+	replaced := marks.Server != "" && marks.Server != server.CalledBy()
+	switch {
+	case response.Status == http.StatusMisdirectedRequest && replaced:
+		a.release(fleet.EndReplaced)
+	case response.Status == http.StatusMisdirectedRequest:
+		a.release(fleet.EndMoved)
+	default:
+		a.release(fleet.EndBusy)
+	}
+	a.log("server_refused", strconv.Itoa(response.Status))
+	if replaced {
+		a.gateway.cfg.Logger.Info().Str("server", server.Incarnation).Str("address", server.Address).Str("found", marks.Server).Msg("address_reused")
+	}
+}
+
+// release frees the call's place at its server. Unless the server served the call, it will hardly
+// have saved the parts that it was asked to, so another server may be asked.
+func (a *attempt) release(end fleet.End) {
+	a.chosen.hold.Done(end)
+	if end != fleet.EndServed && a.chosen.namespace != "" {
+		a.gateway.cfg.Parts.ForgetSaves(a.chosen.namespace, a.x.facts.Prompt.Parts, a.chosen.plan)
+	}
+}
+
+// callerLeft reports whether the caller has disconnected.
+func (a *attempt) callerLeft() bool { return a.x.request.Context().Err() != nil }
+
+// handleQuarantined ends a call whose request was quarantined while the call was in flight.
+func (a *attempt) handleQuarantined() nextStep {
+	a.release(fleet.EndAbandoned)
+	a.log("try_stopped", reasonCrashesServers)
+	a.gateway.endQuarantined(a.x)
+	return stepDone
+}
+
+// endCallerLeft ends a call whose caller has disconnected.
+func (a *attempt) endCallerLeft() nextStep {
+	a.release(fleet.EndAbandoned)
+	a.x.outcome, a.x.reason = outcomeGone, "caller_left"
+	return stepDone
+}
+
+func (a *attempt) log(event, reason string) {
+	server := a.chosen.hold.Server()
+	a.gateway.metrics.attemptFailed(event)
+	a.gateway.cfg.Logger.Info().Str("request", a.x.facts.RequestID).Str("server", server.Incarnation).Str("service", server.Service).
+		Int("try", a.number).Str("reason", reason).Bool("silent", a.watch.hasSwitched()).Stringer("fingerprint", a.x.fingerprint).
+		Str("ended_by", string(a.closedBy())).Dur("left", boottime.Until(a.x.deadline)).Int("servers_seen", a.serversReached).
+		Float64("retries_saved", a.gateway.cfg.Budget.State().Saved).Msg(event)
+}
+
+// side is an end of a connection to a server.
+type side string
+
+// Sides of a connection.
+const (
+	sideBox    side = "box"
+	sideServer side = "server"
+)
+
+// closedBy returns the side that ended the attempt. The box closes a connection only by cancelling
+// the attempt's context: for an unresponsive server, at the deadline, or because the caller has
+// disconnected.
+func (a *attempt) closedBy() side {
+	if a.ctx.Err() != nil {
+		return sideBox
+	}
+	return sideServer
+}
--- a/internal/gateway/saves_test.go
+++ b/internal/gateway/saves_test.go
@@ -12,8 +12,8 @@
 	"github.com/cometlock/cometlock/internal/partindex"
 )
 
-// A runner that refuses a call saves nothing, so the next one must be told to.
-func TestAfterARefusalTheNextRunnerIsToldToSave(t *testing.T) {
+// A runner that refuses a call saves nothing, so the next runner must be asked to save the parts.
+func TestAfterARefusalTheNextRunnerSavesTheParts(t *testing.T) {
 	g := NewWithT(t)
 	var refused sync.Once
 	runner := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -28,11 +28,11 @@
 		startRunner(t, f, name, runner)
 	}
 	configuration := promptCatalog(g)
-	index := emptyStore(configuration)
+	index := emptyIndex(configuration)
 	protocol := newPlanProtocol()
 	gateway := promptGateway(protocol, f, index, configuration)
-	// A store box that was first seen may have restarted just now, so nothing is saved
-	// there for a while.
+	// A store box that was first seen now may have just restarted, so for a while no plan saves
+	// parts there.
 	g.Eventually(func() [][]string {
 		index.Apply(storeAddress, report())
 		return [][]string{index.Plan(partindex.Query{
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -1,5 +1,6 @@
-// A call is handed to one server after another until it has its end. Each is a try (try.go);
-// whether there may be another after one that brought no answer is judged in verdict.go.
+// The retry loop: a call is sent to one server after another until it has a final result. Each
+// server gets one attempt (attempt.go); retry.go decides whether another one may follow an attempt
+// that brought no response.
 
 package gateway
 
@@ -10,140 +11,142 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// next says how a call goes on after a try.
-type next uint8
+// nextStep is how a call continues after an attempt.
+type nextStep uint8
 
 const (
-	// nextEnd: the call has its end.
-	nextEnd next = iota + 1
-	// nextServer: another server may be tried.
-	nextServer
-	// nextTaken: the call goes on at a server that was asked while the last one was silent.
-	nextTaken
+	// stepDone: the call has its final result.
+	stepDone nextStep = iota + 1
+	// stepNextServer: another server may be tried.
+	stepNextServer
+	// stepSwitched: the call continues at the server of a hedge, sent while the last server was
+	// unresponsive.
+	stepSwitched
 )
 
 const (
-	// freshRest is the longest rest of a connection that may carry a call which
-	// cannot be repeated: a server that closes it at that moment leaves its
-	// outcome unknown.
-	freshRest = 5 * time.Second
-	// repeatableRest is the same for calls that can.
-	repeatableRest = 20 * time.Second
-	// lateAnswer is how long after the deadline an answer is still taken in. A server stops at
-	// the time that it was given, but what it made may lie unread at a box that lacks the
-	// processor, and its caller would get a 504 though the call has run well. It is well below the half second by which a call must have ended after its route's time.
-	lateAnswer = 150 * time.Millisecond
-	// maxAnswerBytes bounds an answer that is taken in whole.
-	maxAnswerBytes = 16 << 20
+	// maxIdleOnce is the longest idle time of a connection that may carry a call which cannot be
+	// repeated: if the server closes the connection just then, the outcome of the call is unknown.
+	maxIdleOnce = 5 * time.Second
+	// maxIdleRepeatable is the same for calls that can be repeated.
+	maxIdleRepeatable = 20 * time.Second
+	// lateResponseLimit is how long after the deadline a response is still accepted. A server stops
+	// at the deadline that it got, but what it has produced may be unread at a box that lacks CPU,
+	// and the caller would get a 504 although the call has run well. The limit is well below half a
+	// second, within which a call must have ended after its route's timeout.
+	lateResponseLimit = 150 * time.Millisecond
+	// maxBufferedBytes bounds a response that is buffered.
+	maxBufferedBytes = 16 << 20
 )
 
-// reasonNoServer is why a call ends that no server may take; the log then tells of the
-// servers.
+// reasonNoServer is the reason for ending a call that no server can take; the log line then
+// describes the state of the servers.
 const reasonNoServer = "no_server"
 
-// serve tries servers until the call has its end.
+// serve tries servers until the call has a final result.
 func (g *Gateway) serve(x *exchange) {
 	g.cfg.Budget.Earn()
-	defer g.running.add(x)()
+	defer g.active.add(x)()
 	for {
 		if _, admitted := g.cfg.Quarantine.Admit(x.fingerprint); !admitted {
 			g.returnRetry(x)
-			g.endHeld(x)
+			g.endQuarantined(x)
 			return
 		}
-		chosen, ok := g.placeSoon(x)
-		if x.isStopped() {
+		chosen, ok := g.placeOrWait(x)
+		if x.isQuarantined() {
 			g.returnRetry(x)
-			g.endUnplaced(x, chosen)
+			g.endQuarantinedUnsent(x, chosen)
 			return
 		}
 		if !ok {
 			g.returnRetry(x)
 			x.shortage = g.shortage(x)
-			g.end(x, g.unplacedReason(x, x.shortage), g.retryAfter(x))
+			g.endCall(x, g.unplacedReason(x, x.shortage), g.retryAfter(x))
 			return
 		}
-		x.handTo(chosen)
-		if g.newTry(x, chosen).runAll() == nextEnd {
+		x.recordForward(chosen)
+		if g.newAttempt(x, chosen).runAll() == stepDone {
 			return
 		}
-		if !g.mayTryAnother(x) {
-			g.end(x, "no_server_answered", busyPause)
+		if !g.takeRetry(x) {
+			g.endCall(x, "no_server_answered", retryAfterBusy)
 			return
 		}
 	}
 }
 
-// handTo notes that the call is handed to a server.
-func (x *exchange) handTo(chosen choice) {
-	x.choice = chosen
-	x.tried = append(x.tried, chosen.hold.Server().Incarnation)
-	x.handed++
+// recordForward records that the call is sent to a server.
+func (x *exchange) recordForward(chosen placement) {
+	x.placement = chosen
+	x.attempted = append(x.attempted, chosen.hold.Server().Incarnation)
+	x.serversReached++
 }
 
-// retryAfter says when a call that found no server should come back: when the servers take calls again,
-// where they say so themselves, spread over as long again.
+// retryAfter returns when a call that found no server should be sent again. If the servers have
+// announced when they take calls again, it is that time plus a random delay of up to the same
+// length, or up to retryAfterNoServers if that is longer.
 func (g *Gateway) retryAfter(x *exchange) time.Duration {
 	if wait := g.cfg.Fleet.Availability(x.service.Name, g.allowedZones(x)).Wait; wait > 0 {
-		return wait + rand.N(max(wait, serverlessPause))
+		return wait + rand.N(max(wait, retryAfterNoServers))
 	}
-	return g.comeBack(x)
+	return g.busyBackoff(x)
 }
 
-// comeBack says when a call that found no room should come back: soon when none of
-// its servers can be reached, and after some prompts have been read when they are
-// busy. Calls that come back at different moments do not meet again.
-func (g *Gateway) comeBack(x *exchange) time.Duration {
+// busyBackoff returns when a call that found no room should be sent again: soon when none of its
+// servers can be reached, and after some prompts have been processed when they are busy. For
+// prompts it is random, so that calls refused together do not come back together.
+func (g *Gateway) busyBackoff(x *exchange) time.Duration {
 	if x.facts.Prompt == nil {
-		return serverlessPause
+		return retryAfterNoServers
 	}
 	objective := x.route.Objective
 	if objective <= 0 {
-		objective = serverlessPause // a route need not name one
+		objective = retryAfterNoServers // a route need not have one
 	}
 	return objective + rand.N(2*objective)
 }
 
-// end ends a call for which no further server is tried.
-func (g *Gateway) end(x *exchange, reason string, pause time.Duration) {
-	if x.answering {
-		g.breakOff(x, reason)
+// endCall ends a call for which no other server is tried.
+func (g *Gateway) endCall(x *exchange, reason string, retryAfter time.Duration) {
+	if x.responseStarted {
+		g.abortResponse(x, reason)
 	}
-	if x.failure != nil {
+	if x.serverFailure != nil {
 		x.outcome, x.reason = outcomeFailed, "server_failed"
-		x.passOn(x.failure)
+		x.writeResponse(x.serverFailure)
 		return
 	}
-	g.giveUp(x, reason, pause)
+	g.endWithoutResponse(x, reason, retryAfter)
 }
 
-// mayTryAnother reports whether the route, the time left and the retry budget allow
-// another server, and takes from the budget. The next server that a call is handed to is
-// no retry as long as none has seen it.
-func (g *Gateway) mayTryAnother(x *exchange) bool {
+// takeRetry reports whether the route, the time left and the retry budget allow another server, and
+// takes a retry from the budget. Until a server has received the call, the next one does not count
+// as a retry.
+func (g *Gateway) takeRetry(x *exchange) bool {
 	if !boottime.Now().Before(x.deadline) || x.request.Context().Err() != nil {
 		return false
 	}
-	if x.handed == 0 {
+	if x.serversReached == 0 {
 		return true
 	}
-	x.paid = x.handed < x.maxServers() && g.cfg.Budget.Take()
-	return x.paid
+	x.tookRetry = x.serversReached < x.maxServers() && g.cfg.Budget.Take()
+	return x.tookRetry
 }
 
-// returnRetry gives the retry back that was taken for a try which no server sees. When servers
-// fail together, calls would else spend the budget on tries that are never made, and those that
-// could be served elsewhere a moment later would find none.
+// returnRetry returns the retry that was taken for an attempt that reaches no server. When servers
+// fail together, calls would otherwise spend the budget on attempts that are never made, and calls
+// that could be served elsewhere a moment later would find it empty.
 func (g *Gateway) returnRetry(x *exchange) {
-	if x.paid {
-		x.paid = false
+	if x.tookRetry {
+		x.tookRetry = false
 		g.cfg.Budget.Return()
 	}
 }
 
 func (x *exchange) maxServers() int { return max(x.route.MaxServers, 1) }
 
-// mayRepeat reports whether the call may run once more after it may have run.
-func (x *exchange) mayRepeat() bool {
-	return x.route.MayRepeat() && x.handed < x.maxServers()
+// mayRetry reports whether the call may run once more after it may have run.
+func (x *exchange) mayRetry() bool {
+	return x.route.MayRepeat() && x.serversReached < x.maxServers()
 }
--- a/internal/gateway/silent_servers_test.go
+++ b/internal/gateway/stalledservers_test.go
@@ -1,4 +1,4 @@
-// Servers that fall silent, and what callers of them get, for tests of package gateway.
+// Test helpers: servers that stall, and the responses that their callers get.
 
 package gateway
 
@@ -19,18 +19,20 @@
 )
 
 const (
-	// silentLength is well above the time after which calls of these tests look for another server.
-	silentLength = 2 * time.Second
-	silentEvents = 4
+	// stallDuration is well above the time after which calls of these tests look for another
+	// server.
+	stallDuration = 2 * time.Second
+	streamEvents  = 4
 )
 
-// silentCatalog is promptCatalog with a small objective and some number of servers a call.
-func silentCatalog(g *WithT, most int) *catalog.Catalog {
+// resumableCatalog is promptCatalog with a short objective and a given number of servers for a
+// call.
+func resumableCatalog(g *WithT, maxServers int) *catalog.Catalog {
 	made, err := catalog.New(catalog.Config{
 		Version: 1, Limits: catalog.Limits{HeaderBytes: 1 << 16, BodyBytes: 1 << 16},
 		Services: []catalog.Service{{Name: "r", Engine: &catalog.Engine{CapacityTokens: 100_000, BytesPerToken: 1000}}},
 		Routes: []catalog.Route{{
-			Name: "prompts", Host: "example.com", PathPrefix: "/", Kind: catalog.Stream, Resumable: true, MaxServers: most,
+			Name: "prompts", Host: "example.com", PathPrefix: "/", Kind: catalog.Stream, Resumable: true, MaxServers: maxServers,
 			Objective: 300 * time.Millisecond, Timeout: 10 * time.Second, Splits: []catalog.Split{{Service: "r", Weight: 1}}, Public: true,
 		}},
 	})
@@ -38,14 +40,14 @@
 	return made
 }
 
-// startSecond enters another server into the fleet; nil is one that cannot be reached.
+// startSecond adds another server to the fleet; with a nil handler it is unreachable.
 func startSecond(t *testing.T, f *fleet.Fleet, handler http.HandlerFunc) {
 	if handler != nil {
 		startRunner(t, f, "second", handler)
 		return
 	}
 	f.Apply([]fleet.Update{{Key: "second", Offset: 1, Server: &fleet.Server{
-		Incarnation: "second", Service: "r", Address: unreachable, Slots: 4, Weights: map[string]int{"m": 1},
+		Incarnation: "second", Service: "r", Address: unreachableAddress, Slots: 4, Weights: map[string]int{"m": 1},
 	}}})
 }
 
@@ -55,49 +57,50 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// silentFor serves a stream, but is silent for a while before it or after its first event. It
-// tells when it was left meanwhile.
-func silentFor(length time.Duration, begun bool, left chan<- struct{}) http.HandlerFunc {
+// stallingStream serves a stream that stalls before its first event, or after it if started is set.
+// It sends to cancelled if the call is cancelled meanwhile.
+func stallingStream(length time.Duration, started bool, cancelled chan<- struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		number := 1
-		if begun {
+		if started {
 			sendEvent(w, "first", number)
 			number++
 		}
 		select {
 		case <-time.After(length):
 		case <-r.Context().Done():
-			if left != nil {
-				left <- struct{}{}
+			if cancelled != nil {
+				cancelled <- struct{}{}
 			}
 			return
 		}
-		for ; number <= silentEvents; number++ {
+		for ; number <= streamEvents; number++ {
 			sendEvent(w, "first", number)
 		}
 	}
 }
 
-// serveRest serves all events, of which the caller is to get those that it lacks.
-func serveRest(by string, after time.Duration) http.HandlerFunc {
+// serveEvents serves all events; the caller gets those that it does not have yet.
+func serveEvents(by string, after time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(after)
-		for number := 1; number <= silentEvents; number++ {
+		for number := 1; number <= streamEvents; number++ {
 			sendEvent(w, by, number)
 		}
 	}
 }
 
-func refuse(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-func fail(w http.ResponseWriter, _ *http.Request)   { w.WriteHeader(http.StatusInternalServerError) }
-func breakOff(http.ResponseWriter, *http.Request)   { panic(http.ErrAbortHandler) }
+func refuse(w http.ResponseWriter, _ *http.Request)      { w.WriteHeader(http.StatusServiceUnavailable) }
+func fail(w http.ResponseWriter, _ *http.Request)        { w.WriteHeader(http.StatusInternalServerError) }
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// wholeFrom is the whole stream, the first event of it by the first server if that had begun.
-func wholeFrom(by string, begun bool) string {
+// fullStream is the complete stream, with the first event from the first server if that one had
+// started.
+func fullStream(by string, started bool) string {
 	body := ""
-	for number := 1; number <= silentEvents; number++ {
+	for number := 1; number <= streamEvents; number++ {
 		from := by
-		if begun && number == 1 {
+		if started && number == 1 {
 			from = "first"
 		}
 		body += fmt.Sprintf("id: %d\ndata: %s\n\n", number, from)
@@ -105,7 +108,8 @@
 	return body
 }
 
-// serveStream makes a call, and gives what its caller got; an answer that is cut says so.
+// serveStream makes a call and returns the body that its caller got, with "cut" appended if the
+// response was aborted.
 func serveStream(gateway *Gateway) (body string) {
 	answer := httptest.NewRecorder()
 	defer func() {
@@ -125,19 +129,19 @@
 	return total
 }
 
-// lockedBuffer takes the lines of several goroutines.
-type lockedBuffer struct {
+// syncBuffer is a log buffer for concurrent use.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(line []byte) (int, error) {
+func (b *syncBuffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(line)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -13,17 +13,17 @@
 	"github.com/cometlock/cometlock/internal/suspendtest"
 )
 
-// A call whose caller's patience ended while the machine was suspended is handed to no server,
-// and none is given more time than is left.
-func TestACallsTimeGoesOnInASuspension(t *testing.T) {
+// A call whose deadline passed while the machine was suspended is not sent to another server, and
+// no server gets a longer timeout than the time left.
+func TestDeadlinesCountTimeInSuspension(t *testing.T) {
 	tests := []struct {
 		name      string
 		suspended time.Duration
 		status    int
 		runs      int
 	}{
-		{"it is over", promptTimeout + time.Second, http.StatusServiceUnavailable, 1},
-		{"some is left", promptTimeout - time.Second, http.StatusOK, 2},
+		{"the deadline has passed", promptTimeout + time.Second, http.StatusServiceUnavailable, 1},
+		{"time is left", promptTimeout - time.Second, http.StatusOK, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -34,7 +34,7 @@
 			for _, name := range []string{"r1", "r2"} {
 				startRunner(t, f, name, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					runs++
-					if runs == 1 { // the machine sleeps while the first one refuses the call
+					if runs == 1 { // the machine is suspended while the first server refuses the call
 						machine.Suspend(test.suspended)
 						w.WriteHeader(http.StatusServiceUnavailable)
 						return
@@ -43,7 +43,7 @@
 				}))
 			}
 			c := promptCatalog(g)
-			gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+			gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 			answer := httptest.NewRecorder()
 			gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
 			g.Expect(answer.Code).To(Equal(test.status))
@@ -52,32 +52,32 @@
 	}
 }
 
-// What a try may last is what is left of the call's time, by the clock that the runtime's
-// timers know.
-func TestATryEndsWithTheCallsTimeAfterASuspension(t *testing.T) {
+// The timeout of an attempt is the time left for the call, on the clock that the runtime's timers
+// use.
+func TestAnAttemptEndsWithTheCallsDeadlineAfterASuspension(t *testing.T) {
 	g := NewWithT(t)
 	machine := suspendtest.New(t)
 	machine.Suspend(time.Hour)
 	c := promptCatalog(g)
-	gateway := promptGateway(newPlanProtocol(), fleet.New(fleet.Config{}), emptyStore(c), c)
+	gateway := promptGateway(newPlanProtocol(), fleet.New(fleet.Config{}), emptyIndex(c), c)
 	x := gateway.newExchange(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "http://example.com/", nil).WithContext(context.Background()))
 	g.Expect(gateway.accept(x)).To(BeTrue())
-	tried := gateway.newTry(x, choice{})
-	defer tried.cancel()
-	ends, _ := tried.ctx.Deadline()
-	g.Expect(time.Until(ends)).To(BeNumerically("~", promptTimeout+lateAnswer, 500*time.Millisecond))
+	a := gateway.newAttempt(x, placement{})
+	defer a.cancel()
+	ends, _ := a.ctx.Deadline()
+	g.Expect(time.Until(ends)).To(BeNumerically("~", promptTimeout+lateResponseLimit, 500*time.Millisecond))
 }
 
-// Timers stand still in a suspension, so a call that waits at a server would be held for as long
-// again. On waking the box ends those whose time is over, and no others.
-func TestCallsWhoseTimePassedInASuspensionEndOnWaking(t *testing.T) {
+// Timers do not count time in suspension, so a call that waits at a server would wait that much
+// longer. On resume the box cancels the calls whose deadline has passed, and no others.
+func TestCallsThatExpireDuringASuspensionAreCancelledOnResume(t *testing.T) {
 	tests := []struct {
 		name      string
 		suspended time.Duration
 		status    int
 	}{
-		{"its time is over", promptTimeout + time.Second, http.StatusGatewayTimeout},
-		{"some is left", promptTimeout / 2, http.StatusOK},
+		{"the deadline has passed", promptTimeout + time.Second, http.StatusGatewayTimeout},
+		{"time is left", promptTimeout / 2, http.StatusOK},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 				_, _ = w.Write([]byte("answer"))
 			}))
 			c := promptCatalog(g)
-			gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+			gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 			answers := make(chan *httptest.ResponseRecorder, 1)
 			go func() {
 				answer := httptest.NewRecorder()
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -1,5 +1,5 @@
-// Waiting for room. Calls with prompts that find no runner with the time and the memory
-// for them wait in the queue of their service (package admission).
+// Waiting for room. Calls with prompts that find no runner with enough time and memory wait in the
+// queue of their service (package admission).
 
 package gateway
 
@@ -14,56 +14,56 @@
 )
 
 // queue holds the calls to a service that wait for room.
-type queue = admission.Queue[*exchange, choice]
+type queue = admission.Queue[*exchange, placement]
 
-// queue gives the queue of a service.
+// queue returns the queue of a service.
 func (g *Gateway) queue(service string) *queue {
 	if found, ok := g.queues.Load(service); ok {
 		return found.(*queue)
 	}
-	found, _ := g.queues.LoadOrStore(service, admission.New(admission.Config[*exchange, choice]{TryPlace: g.place, Freed: g.cfg.Fleet.Freed}))
+	found, _ := g.queues.LoadOrStore(service, admission.New(admission.Config[*exchange, placement]{TryPlace: g.place, Freed: g.cfg.Fleet.Freed}))
 	return found.(*queue)
 }
 
-// continueWait is how long a stream that broke off waits for room elsewhere. Callers leave a stream
-// that pauses for two seconds, and its next server has to read the prompt first.
-const continueWait = time.Second
+// resumeWait is how long a broken stream waits for room at another server. Callers cancel a stream
+// that pauses for two seconds, and the next server has to process the prompt first.
+const resumeWait = time.Second
 
-// limits says how urgent a call is and until when it may wait for room. A stream of which the
-// caller has a part is not refused and sent again, but cut; so it waits also when the time in which
-// a new call may wait is long over.
-func (x *exchange) limits() waitqueue.Params {
-	if x.answering {
-		return waitqueue.Params{Priority: x.urgency, Deadline: boottime.Now().Add(continueWait)}
+// waitParams returns the priority of a call and the deadline of its wait for room. A stream that
+// the caller has a part of cannot be refused and sent again; it would be cut. So it also waits when
+// the time in which a new call may wait is long over.
+func (x *exchange) waitParams() waitqueue.Params {
+	if x.responseStarted {
+		return waitqueue.Params{Priority: x.priority, Deadline: boottime.Now().Add(resumeWait)}
 	}
-	return waitqueue.Params{Priority: x.urgency, Deadline: x.arrived.Add(time.Duration(placing.WaitPart * float64(x.route.Objective)))}
+	return waitqueue.Params{Priority: x.priority, Deadline: x.arrived.Add(time.Duration(placing.WaitPart * float64(x.route.Objective)))}
 }
 
-// canStartInTime reports whether a server may take the call before its wait for room is over. A stream
-// of which the caller has a part is not refused and sent again, but cut, so it waits also for servers
-// that may come back; not for those that say themselves that they take nothing until later.
+// canStartInTime reports whether a server may take the call before its wait for room ends. A stream
+// that the caller has a part of would be cut rather than refused, so it also waits for servers that
+// may come back, but not for servers that have announced that they take no calls until later.
 func (g *Gateway) canStartInTime(x *exchange) bool {
 	available := g.cfg.Fleet.Availability(x.service.Name, g.allowedZones(x))
 	if !available.Servers {
-		return x.answering
+		return x.responseStarted
 	}
-	return available.Here && (available.Wait == 0 || !boottime.Now().Add(available.Wait).After(x.limits().Deadline))
+	return available.Here && (available.Wait == 0 || !boottime.Now().Add(available.Wait).After(x.waitParams().Deadline))
 }
 
-// placeSoon places a call, and lets one with a prompt wait for its turn.
-func (g *Gateway) placeSoon(x *exchange) (choice, bool) {
+// placeOrWait places a call; one with a prompt waits in the queue if there is no room.
+func (g *Gateway) placeOrWait(x *exchange) (placement, bool) {
 	g.waiting.Add(1)
 	defer g.waiting.Add(-1)
 	began := boottime.Now()
 	defer func() { x.placeTime += boottime.Since(began) }()
 	if !g.canStartInTime(x) {
-		return choice{}, false
+		return placement{}, false
 	}
 	if x.facts.Prompt == nil || x.service.Engine == nil || !g.cfg.Off.On(mechanism.WaitingLine) {
 		return g.place(x)
 	}
-	if chosen, ok, answered := g.placeByOwner(x); answered {
+	if chosen, ok, decided := g.placeByOwner(x); decided {
 		return chosen, ok
 	}
-	return g.queue(x.service.Name).Acquire(x.ctx, x.limits(), x)
+	return g.queue(x.service.Name).Acquire(x.ctx, x.waitParams(), x)
 }
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -14,24 +14,24 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// A burst of prompts of which a runner's memory takes two at a time: those that do not fit
-// wait for the answers before them, and all are served; none of them drives another out.
+// A runner's memory takes two prompts of a burst at a time. The others wait for the responses
+// before them, and all are served; none displaces another.
 func TestABurstWaitsForMemory(t *testing.T) {
 	g := NewWithT(t)
 	const (
-		calls  = 6
-		fit    = 2
-		answer = 30 * time.Millisecond
+		calls      = 6
+		concurrent = 2
+		duration   = 30 * time.Millisecond
 	)
 	var counts sync.Mutex
-	running, most := 0, 0
+	running, maxRunning := 0, 0
 	f := fleet.New(fleet.Config{})
 	startRunner(t, f, "r", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		counts.Lock()
 		running++
-		most = max(most, running)
+		maxRunning = max(maxRunning, running)
 		counts.Unlock()
-		time.Sleep(answer)
+		time.Sleep(duration)
 		counts.Lock()
 		running--
 		counts.Unlock()
@@ -39,8 +39,8 @@
 	}))
 	c := promptCatalog(g)
 	protocol := newPlanProtocol()
-	protocol.facts.Prompt = longAnswers() // of 100,000
-	gateway := promptGateway(protocol, f, emptyStore(c), c)
+	protocol.facts.Prompt = largeMemoryPrompt() // of a capacity of 100,000 tokens
+	gateway := promptGateway(protocol, f, emptyIndex(c), c)
 	var burst sync.WaitGroup
 	var served atomic.Int64
 	for range calls {
@@ -54,11 +54,11 @@
 	}
 	burst.Wait()
 	g.Expect(served.Load()).To(BeEquivalentTo(calls))
-	g.Expect(most).To(Equal(fit))
+	g.Expect(maxRunning).To(Equal(concurrent))
 }
 
-// Where answers take longer than calls may wait, those that find no room are refused after
-// a fifth of the objective, not run.
+// If responses take longer than calls may wait, calls that find no room are refused after a fifth
+// of the objective, without having run.
 func TestACallWaitsForAFifthOfItsObjective(t *testing.T) {
 	g := NewWithT(t)
 	release := make(chan struct{})
@@ -69,8 +69,8 @@
 	}))
 	c := promptCatalog(g)
 	protocol := newPlanProtocol()
-	protocol.facts.Prompt = longAnswers()
-	gateway := promptGateway(protocol, f, emptyStore(c), c)
+	protocol.facts.Prompt = largeMemoryPrompt()
+	gateway := promptGateway(protocol, f, emptyIndex(c), c)
 	var first sync.WaitGroup
 	for range 2 {
 		first.Go(func() { serveOne(g, gateway) })
@@ -86,7 +86,7 @@
 	first.Wait()
 }
 
-// longAnswers is a prompt that is read soon, and takes 40,000 tokens of memory.
-func longAnswers() *call.Prompt {
+// largeMemoryPrompt is a prompt that is processed quickly, but takes 40,000 tokens of memory.
+func largeMemoryPrompt() *call.Prompt {
 	return &call.Prompt{Model: "m", Tokens: 4000, AnswerTokens: 36_000, Parts: []call.Part{{ID: "own", Tokens: 4000}}}
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -1,5 +1,5 @@
-// Watching the server of a call. A call that may run again and whose server is unresponsive asks another
-// one (ask.go); the state here says which of the two has the call.
+// Watching the server of a call. If the server is unresponsive, a call that may run again is hedged
+// to another one (switchover.go); the state here decides which of the two has the call.
 
 package gateway
 
@@ -11,79 +11,82 @@
 	"github.com/cometlock/cometlock/internal/silence"
 )
 
-// watchState says what a watch does.
+// watchState is the state of a watch.
 type watchState uint8
 
 const (
-	// watching: the server may speak, or be silent.
+	// watching: waiting for the server.
 	watching watchState = iota
-	// asking: another server is being asked.
-	asking
-	// taken: the call goes on at the server that was asked.
-	taken
-	// closed: the try is over.
+	// hedging: another server is being tried.
+	hedging
+	// switched: the call continues at the hedge's server.
+	switched
+	// closed: the attempt is over.
 	closed
 )
 
-// watch watches the server of one try. The goroutine of the call reports what is received; the timer
+// watch watches the server of one attempt. The call's goroutine reports what is received; the timer
 // looks for another server.
 type watch struct {
-	t *try
+	current *attempt
 
 	mu    sync.Mutex
 	state watchState
 	timer *time.Timer
-	// due is when the timer should fire.
-	due time.Time
-	// heardAt is when the server was last heard, or the try began; begun says that a part of the
-	// answer has come.
-	heardAt time.Time
-	begun   bool
-	// passing says that an event is being passed on, so that nothing is read from the server.
-	passing bool
-	// next is the try that is asked, or that has taken the call; before are those asked earlier
-	// in vain.
-	next   *try
-	before []*try
-	// probe has the system probe the connection; nil before there is one, and once it does.
-	probe func() error
-	// loggedReason is the last reason to stay that was logged.
+	// checkDue is when the timer should fire.
+	checkDue time.Time
+	// lastReceivedAt is when something was last received from the server, or when the attempt
+	// began. started is set once a part of the response has been received.
+	lastReceivedAt time.Time
+	started        bool
+	// relayingEvent is set while an event is sent to the caller and so nothing is read from the
+	// server.
+	relayingEvent bool
+	// hedge is the attempt that is being tried, or that the call has switched to; pastHedges are
+	// the failed and cancelled ones.
+	hedge      *attempt
+	pastHedges []*attempt
+	// enableKeepAlive turns on TCP keep-alive for the connection; nil before there is a connection,
+	// and once it has been called.
+	enableKeepAlive func() error
+	// loggedReason is the last reason for staying that was logged.
 	loggedReason stayReason
 }
 
-func newWatch(t *try) *watch { return &watch{t: t} }
+func newWatch(current *attempt) *watch { return &watch{current: current} }
 
-// begin starts the watch, if the call may run again.
-func (w *watch) begin() {
+// start starts the watch, if the call may run again.
+func (w *watch) start() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.heardAt = boottime.Now()
-	if w.t.x.route.MayRepeat() {
-		w.scheduleCheck(w.observe(w.heardAt).IdleLimit())
+	w.lastReceivedAt = boottime.Now()
+	if w.current.x.route.MayRepeat() {
+		w.scheduleCheck(w.observe(w.lastReceivedAt).IdleLimit())
 	}
 }
 
-// connected notes what has the system probe the try's connection.
-func (w *watch) connected(probe func() error) {
+// onConnect stores the function that turns on keep-alive for the attempt's connection.
+func (w *watch) onConnect(enableKeepAlive func() error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.probe = probe
+	w.enableKeepAlive = enableKeepAlive
 }
 
-// probeOnce has the connection of a silent server probed. The caller holds mu.
-func (w *watch) probeOnce() {
-	if w.probe == nil {
+// enableKeepAliveOnce turns on keep-alive for the connection to an unresponsive server. The caller
+// holds mu.
+func (w *watch) enableKeepAliveOnce() {
+	if w.enableKeepAlive == nil {
 		return
 	}
-	if err := w.probe(); err != nil {
-		w.t.gateway.cfg.Logger.Debug().Str("error", err.Error()).Msg("connection_not_probed") // it has just ended
+	if err := w.enableKeepAlive(); err != nil {
+		w.current.gateway.cfg.Logger.Debug().Str("error", err.Error()).Msg("connection_not_probed") // the connection has just been closed
 	}
-	w.probe = nil
+	w.enableKeepAlive = nil
 }
 
-// scheduleCheck has the watch check its server after a while. The caller holds mu.
+// scheduleCheck sets the timer for the next check. The caller holds mu.
 func (w *watch) scheduleCheck(after time.Duration) {
-	w.due = boottime.Now().Add(after)
+	w.checkDue = boottime.Now().Add(after)
 	if w.timer == nil {
 		w.timer = time.AfterFunc(after, w.check)
 		return
@@ -94,99 +97,101 @@
 // observe describes the call and its server to package silence. The caller holds mu.
 func (w *watch) observe(now time.Time) silence.Observation {
 	return silence.Observation{
-		Objective: w.t.x.route.Objective, Started: w.begun, HasPrompt: w.t.chosen.namespace != "",
-		Idle: now.Sub(w.heardAt), Delay: now.Sub(w.due), Responsive: w.t.chosen.hold != nil && w.t.chosen.hold.Speaks(),
+		Objective: w.current.x.route.Objective, Started: w.started, HasPrompt: w.current.chosen.namespace != "",
+		Idle: now.Sub(w.lastReceivedAt), Delay: now.Sub(w.checkDue), Responsive: w.current.chosen.hold != nil && w.current.chosen.hold.Speaks(),
 	}
 }
 
-// hearAll notes that the whole answer has come, which is delivered also if the call has just gone
-// on elsewhere.
-func (w *watch) hearAll() {
+// responseReceived cancels the hedge once the response is complete. The response is delivered even
+// if the call has just switched to the hedge.
+func (w *watch) responseReceived() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.next != nil {
-		w.withdraw()
+	if w.hedge != nil {
+		w.cancelHedge()
 	}
 }
 
-// hearEvent notes an event of a stream, which makes another server needless, and its id as the last
-// one that the caller has. Fresh says that the caller has not had it. It is not ours when the call
-// goes on elsewhere already, so that it comes too late. After it passed is called.
-func (w *watch) hearEvent(id string) (fresh, ours bool) {
+// eventReceived records an event of a stream, which makes a hedge needless, and its id as the last
+// one that the caller has. It returns fresh if the caller does not have the event yet, and
+// accepted=false if the call has already switched to another server, so that the event is too late.
+// Call eventRelayed afterwards.
+func (w *watch) eventReceived(id string) (fresh, accepted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.state == taken {
+	if w.state == switched {
 		return false, false
 	}
-	if w.state == asking {
-		w.withdraw()
+	if w.state == hedging {
+		w.cancelHedge()
 	}
-	w.begun, w.passing = true, true
+	w.started, w.relayingEvent = true, true
 	if id == "" {
 		return true, true
 	}
-	if !rises(w.t.x.resumeAfter, id) {
+	if !isNewer(w.current.x.resumeAfter, id) {
 		return false, true
 	}
-	w.t.x.resumeAfter = id
+	w.current.x.resumeAfter = id
 	return true, true
 }
 
-// passed notes that the caller has the event, and the server is read again. While a slow caller
-// holds the box up, what its server says lies unread, and that is no silence.
-func (w *watch) passed() {
+// eventRelayed records that the caller has the event and the server is read again. Data from the
+// server stays unread while the box waits for a slow caller, which must not count as idle time of
+// the server.
+func (w *watch) eventRelayed() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.heardAt, w.passing = boottime.Now(), false
+	w.lastReceivedAt, w.relayingEvent = boottime.Now(), false
 }
 
-// withdraw takes the call back from the server that is asked. The caller holds mu.
-func (w *watch) withdraw() {
-	w.next.offer.leave()
-	w.before = append(w.before, w.next)
-	w.next, w.state = nil, watching
+// cancelHedge cancels the call at the hedge's server. The caller holds mu.
+func (w *watch) cancelHedge() {
+	w.hedge.asyncSend.cancelSend()
+	w.pastHedges = append(w.pastHedges, w.hedge)
+	w.hedge, w.state = nil, watching
 }
 
-// takeOver reports whether the call goes on at a server that was asked, now that the one that was
-// silent has ended the try.
-func (w *watch) takeOver() bool {
+// switchToHedge is called after the first attempt has failed. It reports whether the call continues
+// at the server of a hedge, and sends the call there if that has not been done yet.
+func (w *watch) switchToHedge() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.state == asking {
-		w.state = taken
-		w.next.offer.begin()
+	if w.state == hedging {
+		w.state = switched
+		w.hedge.asyncSend.start()
 	}
-	return w.state == taken
+	return w.state == switched
 }
 
-// isTaken reports whether the call goes on elsewhere.
-func (w *watch) isTaken() bool {
+// hasSwitched reports whether the call continues at another server.
+func (w *watch) hasSwitched() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.state == taken
+	return w.state == switched
 }
 
-// close ends the watch with its try, and tells the call of the servers that were asked. Where the
-// call goes on at one, it gives that try; otherwise a server that is being asked is left.
-func (w *watch) close(goesOn bool) *try {
+// close ends the watch with its attempt, and records the failed and cancelled hedges on the call.
+// If the call switches to a hedge, close returns that one; otherwise it cancels any hedge.
+func (w *watch) close(switching bool) *attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	next := w.next
-	if next != nil && !goesOn {
-		w.withdraw()
-		next = nil
+	successor := w.hedge
+	if successor != nil && !switching {
+		w.cancelHedge()
+		successor = nil
 	}
 	w.state = closed
-	for _, other := range w.before {
-		other.offer.settle()
+	for _, past := range w.pastHedges {
+		past.asyncSend.recordOnCall()
 	}
-	if next != nil {
-		w.t.x.handTo(next.chosen)
-		w.t.x.paid = true
-		w.t.x.placedBy, w.t.x.unplaced = placedHere, ""
+	if successor != nil {
+		w.current.x.recordForward(successor.chosen)
+		w.current.x.tookRetry = true
+		w.current.x.placedBy, w.current.x.ownerError = placedByThisBox, ""
 	}
-	return next
+	return successor
 }
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -20,85 +20,88 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// Streams were cut and calls ended as 502 though their servers, silent for some seconds, would
-// have served them: a timer closed the connection of a silent server first, and whether another
-// one was allowed, a retry saved and a place to be had was asked after that. All 49 lost calls of
-// a run had "ended_by":"box" with 8 s or more "left"; 30 were in the last try that their route
-// allowed, 19 had "retries_saved" below 1.
+// Streams were cut and calls failed with 502 although their servers, unresponsive for some seconds,
+// would have served them: a timer first closed the connection to the unresponsive server, and only
+// then did the box check whether the route allowed another server, a retry was left in the budget
+// and a server had room. All 49 lost calls of a run had "ended_by":"box" with 8 s or more "left";
+// for 30 it was the last attempt that their route allowed, and 19 had "retries_saved" below 1.
 //
-// Here the first of a call's servers falls silent, before its answer or amid it, and speaks again
-// after a while. What may become of the second is tried in turn; the answer is whole each time.
-func TestACallLeavesASilentServerOnlyForOneThatTookIt(t *testing.T) {
+// Here the first server of a call stalls, before its response or after the first event, and later
+// continues. The table lists what may happen at the second server; the response must be complete
+// each time.
+func TestACallLeavesAnUnresponsiveServerOnlyForOneThatAcceptedIt(t *testing.T) {
 	tests := []struct {
 		name   string
 		second http.HandlerFunc
-		// budget is how many retries are saved; most how many servers the route allows.
-		budget float64
-		most   int
-		// servedBy is who ends the answer.
+		// budget is the number of retries in the budget; maxServers is the number of servers that
+		// the route allows.
+		budget     float64
+		maxServers int
+		// servedBy is the server that completes the response.
 		servedBy string
 		logged   string
 		saved    float64
 	}{
-		{"it serves", serveRest("second", 0), 5, 2, "second", `"silent":true`, 4},
-		{"it is slow to begin", serveRest("second", 300*time.Millisecond), 5, 2, "second", `"silent":true`, 4},
+		{"it serves", serveEvents("second", 0), 5, 2, "second", `"silent":true`, 4},
+		{"it starts slowly", serveEvents("second", 300*time.Millisecond), 5, 2, "second", `"silent":true`, 4},
 		{"it is full", refuse, 5, 2, "first", `"server_refused"`, 4},
 		{"it fails", fail, 5, 2, "first", `"no_answer_to_go_on_with"`, 4},
-		{"it breaks off", breakOff, 5, 2, "first", `"no_answer"`, 4},
-		{"it cannot be reached", nil, 5, 2, "first", `"not_handed_over"`, 5},
-		{"no retry is saved", serveRest("second", 0), 0.5, 2, "first", string(stayNoRetrySaved), 0.5},
-		{"the route allows one server", serveRest("second", 0), 5, 1, "first", string(stayRouteLimit), 5},
+		{"it breaks off", abortConnection, 5, 2, "first", `"no_answer"`, 4},
+		{"it is unreachable", nil, 5, 2, "first", `"not_handed_over"`, 5},
+		{"the retry budget is empty", serveEvents("second", 0), 0.5, 2, "first", string(stayNoRetrySaved), 0.5},
+		{"the route allows one server", serveEvents("second", 0), 5, 1, "first", string(stayRouteLimit), 5},
 	}
 	for _, test := range tests {
-		for _, begun := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, begun %t", test.name, begun), func(t *testing.T) {
+		for _, started := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, started %t", test.name, started), func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
 				f := fleet.New(fleet.Config{})
-				leftAt := make(chan struct{}, 1)
-				startRunner(t, f, "first", silentFor(silentLength, begun, leftAt))
-				c := silentCatalog(g, test.most)
-				gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+				firstCancelled := make(chan struct{}, 1)
+				startRunner(t, f, "first", stallingStream(stallDuration, started, firstCancelled))
+				c := resumableCatalog(g, test.maxServers)
+				gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 				gateway.cfg.Budget = retrybudget.New(retrybudget.Config{PerRequest: 1e-9, Burst: test.budget})
-				var logged lockedBuffer
+				var logged syncBuffer
 				gateway.cfg.Logger = zerolog.New(&logged)
 				answers := make(chan string, 1)
 				go func() { answers <- serveStream(gateway) }()
 				g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 				startSecond(t, f, test.second)
 
-				g.Expect(<-answers).To(Equal(wholeFrom(test.servedBy, begun)), logged.String)
+				g.Expect(<-answers).To(Equal(fullStream(test.servedBy, started)), logged.String)
 				g.Expect(logged.String()).To(ContainSubstring(test.logged))
 				g.Expect(gateway.cfg.Budget.State().Saved).To(BeNumerically("~", test.saved, 0.01))
 				if test.servedBy == "second" {
-					g.Eventually(leftAt).Should(Receive(), "nobody waits for the first one any more")
+					g.Eventually(firstCancelled).Should(Receive(), "the first attempt is cancelled")
 				} else {
-					g.Expect(leftAt).NotTo(Receive())
+					g.Expect(firstCancelled).NotTo(Receive())
 				}
 				g.Eventually(gateway.InFlight).Should(BeZero())
-				g.Eventually(func() int { return inFlight(f) }).Should(BeZero(), "all places are given back")
+				g.Eventually(func() int { return inFlight(f) }).Should(BeZero(), "all places are freed")
 			})
 		}
 	}
 }
 
-// Five streams were cut in a soak of real processes in which nothing failed. Their servers had
-// stood still, and so had the one that was asked, though nobody had noticed, since it had no calls:
-// it neither refused the call nor ran it. After 200 ms the call was taken to be there and the first
-// server was left; 3 s later the second refused it, as it had been given other weights meanwhile:
+// Five streams were cut in a soak test of real processes in which nothing failed. Their servers had
+// stalled, and so had the server that was tried instead, which went unnoticed since it had no calls:
+// it neither refused the call nor ran it. After 200 ms the call counted as running there and
+// the first attempt was cancelled; 3 s later the second server refused the call, as its weights had
+// been replaced meanwhile:
 //
 //	try_lost try=1 reason=stream_broke_off silent=true ended_by=box server=engines-2
 //	server_refused try=2 reason=421 server=engines-4
 //	call outcome=broken tries=2 events=15 left=9293 reason=no_server_answered
-func TestACallIsNotHandedToAServerThatIsSilentToo(t *testing.T) {
-	for _, begun := range []bool{false, true} {
-		t.Run(fmt.Sprintf("begun %t", begun), func(t *testing.T) {
+func TestACallIsNotSentToAnotherUnresponsiveServer(t *testing.T) {
+	for _, started := range []bool{false, true} {
+		t.Run(fmt.Sprintf("started %t", started), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			f := fleet.New(fleet.Config{})
-			startRunner(t, f, "first", silentFor(silentLength, begun, nil))
-			c := silentCatalog(g, 2)
-			gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+			startRunner(t, f, "first", stallingStream(stallDuration, started, nil))
+			c := resumableCatalog(g, 2)
+			gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 			gateway.cfg.IsResponsive = func(ctx context.Context, server fleet.Server) bool {
 				if server.Incarnation != "second" {
 					return true
@@ -110,81 +113,82 @@
 			go func() { answers <- serveStream(gateway) }()
 			g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 			startSecond(t, f, func(w http.ResponseWriter, r *http.Request) {
-				time.Sleep(silentLength)
+				time.Sleep(stallDuration)
 				refuse(w, r)
 			})
-			g.Expect(<-answers).To(Equal(wholeFrom("first", begun)))
+			g.Expect(<-answers).To(Equal(fullStream("first", started)))
 			g.Eventually(func() int { return inFlight(f) }).Should(BeZero())
 		})
 	}
 }
 
-// The first server speaks while the second is asked: it is the one that goes on, and the second
-// is told at once that nobody waits for it.
-func TestAServerThatSpeaksAgainKeepsItsCall(t *testing.T) {
+// The first server sends an event while the hedge is in progress: the call stays there, and the
+// hedge is cancelled at once.
+func TestAServerThatRespondsAgainKeepsItsCall(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet.New(fleet.Config{})
-	asked, left := make(chan struct{}), make(chan struct{})
+	hedged, cancelled := make(chan struct{}), make(chan struct{})
 	startRunner(t, f, "first", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		sendEvent(w, "first", 1)
-		<-asked
+		<-hedged
 		sendEvent(w, "first", 2)
-		time.Sleep(2 * askLimit) // longer than the second would need to take the call
+		time.Sleep(2 * refusalTimeout) // longer than the second would need to accept the call
 		sendEvent(w, "first", 3)
 		sendEvent(w, "first", 4)
 	}))
-	c := silentCatalog(g, 2)
-	gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+	c := resumableCatalog(g, 2)
+	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 	answers := make(chan string, 1)
 	go func() { answers <- serveStream(gateway) }()
 	g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 	startSecond(t, f, func(_ http.ResponseWriter, r *http.Request) {
-		close(asked)
+		close(hedged)
 		<-r.Context().Done()
-		close(left)
+		close(cancelled)
 	})
-	g.Expect(<-answers).To(Equal(wholeFrom("first", true)))
-	g.Eventually(left).Should(BeClosed())
+	g.Expect(<-answers).To(Equal(fullStream("first", true)))
+	g.Eventually(cancelled).Should(BeClosed())
 	g.Eventually(func() int { return inFlight(f) }).Should(BeZero())
 }
 
-// The first server ends while the second is asked. The call goes on there, and not at a third.
-func TestACallWhoseSilentServerEndsGoesOnWhereItWasOffered(t *testing.T) {
+// The first server crashes while the hedge is in progress. The call continues at the hedge's server
+// and not at a third one.
+func TestACallWhoseServerCrashesContinuesAtItsHedge(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet.New(fleet.Config{})
-	asked := make(chan struct{})
+	hedged := make(chan struct{})
 	startRunner(t, f, "first", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		sendEvent(w, "first", 1)
-		<-asked
+		<-hedged
 		panic(http.ErrAbortHandler)
 	}))
-	c := silentCatalog(g, 2)
-	gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+	c := resumableCatalog(g, 2)
+	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 	answers := make(chan string, 1)
 	go func() { answers <- serveStream(gateway) }()
 	g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 	var runs atomic.Int64
 	startSecond(t, f, func(w http.ResponseWriter, r *http.Request) {
 		if runs.Add(1) == 1 {
-			close(asked)
+			close(hedged)
 		}
-		serveRest("second", askLimit)(w, r)
+		serveEvents("second", refusalTimeout)(w, r)
 	})
-	g.Expect(<-answers).To(Equal(wholeFrom("second", true)))
+	g.Expect(<-answers).To(Equal(fullStream("second", true)))
 	g.Expect(runs.Load()).To(BeEquivalentTo(1))
 }
 
-// The second server broke off and may have run the call; then the first says that it has not run
-// it. What is said of the call must hold for both.
+// The second server broke off and may have run the call; then the first one responds that it has
+// not run it. The outcome must be right for both.
 func TestACallThatAnotherServerMayHaveRunIsNotRefused(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet.New(fleet.Config{})
 	startRunner(t, f, "first", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(silentLength)
+		time.Sleep(stallDuration)
 		refuse(w, r)
 	}))
-	c := silentCatalog(g, 2)
-	gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+	c := resumableCatalog(g, 2)
+	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 	answers := make(chan int, 1)
 	go func() {
 		answer := httptest.NewRecorder()
@@ -192,40 +196,40 @@
 		answers <- answer.Code
 	}()
 	g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
-	startSecond(t, f, breakOff)
+	startSecond(t, f, abortConnection)
 	g.Expect(<-answers).To(Equal(http.StatusBadGateway), "unknown, and not 'not run'")
 }
 
-// The caller leaves while a second server is asked: neither goes on.
-func TestNoServerIsAskedForACallerWhoLeft(t *testing.T) {
+// The caller disconnects while a hedge is in progress: both attempts are cancelled.
+func TestTheHedgeIsCancelledWhenTheCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet.New(fleet.Config{})
-	startRunner(t, f, "first", silentFor(silentLength, true, nil))
-	c := silentCatalog(g, 2)
-	gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
-	ctx, leave := context.WithCancel(t.Context())
+	startRunner(t, f, "first", stallingStream(stallDuration, true, nil))
+	c := resumableCatalog(g, 2)
+	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
+	ctx, disconnect := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		gateway.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "http://example.com/", nil).WithContext(ctx))
 		close(ended)
 	}()
 	g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
-	begun, left := make(chan struct{}), make(chan struct{})
+	begun, cancelled := make(chan struct{}), make(chan struct{})
 	startSecond(t, f, func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-r.Context().Done()
-		close(left)
+		close(cancelled)
 	})
 	g.Eventually(begun, "5s").Should(BeClosed())
-	leave()
-	g.Eventually(left).Should(BeClosed())
+	disconnect()
+	g.Eventually(cancelled).Should(BeClosed())
 	g.Eventually(ended).Should(BeClosed())
 	g.Eventually(func() int { return inFlight(f) }).Should(BeZero())
 }
 
-// A plain service that neither refuses a call nor answers it soon shows nothing, so the call stays
-// where it is; one that answers takes it.
-func TestAPlainCallStaysUnlessAnotherServerAnswers(t *testing.T) {
+// A plain service that neither refuses a call nor responds soon may be unresponsive too, so the
+// call stays at its server. It switches to a server that responds.
+func TestAPlainServiceCallSwitchesOnlyToAServerThatResponds(t *testing.T) {
 	answer := func(text string, after time.Duration) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			select {
@@ -240,17 +244,17 @@
 		second time.Duration
 		want   string
 	}{
-		{"it answers", 0, "second"},
-		{"it is silent too", time.Hour, "first"},
+		{"it responds", 0, "second"},
+		{"it is unresponsive too", time.Hour, "first"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			f := fleet.New(fleet.Config{})
-			startRunner(t, f, "first", answer("first", silentLength))
+			startRunner(t, f, "first", answer("first", stallDuration))
 			c := plainCatalog(g)
-			gateway := promptGateway(plainProtocol{&planProtocol{facts: call.Facts{RequestID: "q"}}}, f, emptyStore(c), c)
+			gateway := promptGateway(plainProtocol{&planProtocol{facts: call.Facts{RequestID: "q"}}}, f, emptyIndex(c), c)
 			answers := make(chan string, 1)
 			go func() { answers <- serveStream(gateway) }()
 			g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
@@ -274,7 +278,7 @@
 	return made
 }
 
-// slowCaller takes a while for one piece of its answer.
+// slowCaller is slow to receive one part of its response.
 type slowCaller struct {
 	*httptest.ResponseRecorder
 	pause time.Duration
@@ -288,15 +292,15 @@
 	return c.ResponseRecorder.Write(piece)
 }
 
-// A box that waits for a slow caller does not read its server meanwhile, which was taken for the
-// server's silence: another server was asked, and ran the call for nothing.
-func TestASlowCallerDoesNotMakeAServerSilent(t *testing.T) {
+// While a box waits for a slow caller it does not read from the server. That counted as idle time
+// of the server: the call was hedged, and another server ran it for nothing.
+func TestASlowCallerDoesNotMakeItsServerLookUnresponsive(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet.New(fleet.Config{})
-	startRunner(t, f, "first", serveRest("first", 0))
-	c := silentCatalog(g, 2)
-	gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
-	caller := &slowCaller{httptest.NewRecorder(), silentLength}
+	startRunner(t, f, "first", serveEvents("first", 0))
+	c := resumableCatalog(g, 2)
+	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
+	caller := &slowCaller{httptest.NewRecorder(), stallDuration}
 	ended := make(chan struct{})
 	go func() {
 		gateway.ServeHTTP(caller, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
@@ -306,38 +310,38 @@
 	var runs atomic.Int64
 	startSecond(t, f, func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
-		serveRest("second", 0)(w, r)
+		serveEvents("second", 0)(w, r)
 	})
 	g.Eventually(ended, "5s").Should(BeClosed())
-	g.Expect(caller.Body.String()).To(Equal(wholeFrom("first", true)))
+	g.Expect(caller.Body.String()).To(Equal(fullStream("first", true)))
 	g.Expect(runs.Load()).To(BeZero())
 }
 
-// The whole answer has come just as the call was taken over elsewhere. It is delivered.
-func TestAnAnswerThatIsThereIsDelivered(t *testing.T) {
+// The complete response arrives just as the call switches to a hedge. It is delivered.
+func TestACompleteResponseIsDeliveredAfterASwitch(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet.New(fleet.Config{})
-	startRunner(t, f, "first", serveRest("first", 0))
-	startRunner(t, f, "second", serveRest("second", 0))
-	c := silentCatalog(g, 2)
-	gateway := promptGateway(newPlanProtocol(), f, emptyStore(c), c)
+	startRunner(t, f, "first", serveEvents("first", 0))
+	startRunner(t, f, "second", serveEvents("second", 0))
+	c := resumableCatalog(g, 2)
+	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 	caller := httptest.NewRecorder()
 	x := gateway.newExchange(caller, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
 	g.Expect(gateway.accept(x)).To(BeTrue())
 	chosen, ok := gateway.place(x)
 	g.Expect(ok).To(BeTrue())
-	x.handTo(chosen)
-	tried := gateway.newTry(x, chosen)
-	tried.watch.due = time.Now()
-	tried.watch.heardAt = tried.watch.due.Add(-time.Hour)
-	next, _ := tried.watch.startAsking()
-	g.Expect(next).NotTo(BeNil())
-	g.Expect(tried.watch.takeOver()).To(BeTrue())
+	x.recordForward(chosen)
+	first := gateway.newAttempt(x, chosen)
+	first.watch.checkDue = time.Now()
+	first.watch.lastReceivedAt = first.watch.checkDue.Add(-time.Hour)
+	hedge, _ := first.watch.prepareHedge()
+	g.Expect(hedge).NotTo(BeNil())
+	g.Expect(first.watch.switchToHedge()).To(BeTrue())
 
-	then := tried.relayWhole(&handover.Response{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader("answer")})
-	g.Expect(then).To(Equal(nextEnd))
-	g.Expect(tried.watch.close(false)).To(BeNil(), "nobody goes on with it")
+	step := first.relayBuffered(&handover.Response{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader("answer")})
+	g.Expect(step).To(Equal(stepDone))
+	g.Expect(first.watch.close(false)).To(BeNil(), "the call has ended")
 	g.Expect(caller.Body.String()).To(Equal("answer"))
-	g.Expect(x.handed).To(Equal(2), "the second has seen it")
+	g.Expect(x.serversReached).To(Equal(2), "the second server has received it")
 	g.Eventually(func() int { return inFlight(f) }).Should(BeZero())
 }
