--- a/internal/handover/export_test.go
+++ b/internal/handover/export_test.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// KeepAlive gives the system's setting of an answer's connection: whether it is probed.
-func KeepAlive(answer *Response) int {
-	raw, err := answer.connection.Conn.(*net.TCPConn).SyscallConn()
+// KeepAlive returns the socket's SO_KEEPALIVE option.
+func KeepAlive(response *Response) int {
+	raw, err := response.conn.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		panic(err)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,10 +1,9 @@
-// Package handover gives a call to a backend server over a kept connection, once,
-// and says exactly what became of it.
+// Package handover sends a call to a backend server over a pooled connection, exactly once, and
+// reports precisely whether the call was sent.
 //
-// Go's HTTP client is not used for this: it may send a call a second time on its
-// own, and it does not tell whether a byte of the call has left. Here a call is
-// written once, answers are parsed by net/http, and each answer is checked to be
-// the one that belongs to the call before anything of it is used.
+// Go's HTTP client is not used for this: it may send a request a second time by itself, and it does
+// not report whether any byte was sent. Here a call is written once, responses are parsed by
+// net/http, and each response is checked to belong to the call before any of it is used.
 package handover
 
 import (
@@ -18,16 +17,15 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Errors of a call.
+// Errors of Send.
 var (
-	// ErrNotSent says that no byte of the call left this process.
+	// ErrNotSent is returned if no byte of the call was sent.
 	ErrNotSent = merry.Sentinel("the backend server could not be reached")
-	// ErrNoResponse says that the call was handed over, at least in part, and
-	// nothing is known of what became of it.
-	ErrNoResponse = merry.Sentinel("the backend server gave no answer")
+	// ErrNoResponse is returned if the call was sent, at least in part, and its outcome is unknown.
+	ErrNoResponse = merry.Sentinel("the backend server sent no response")
 )
 
-// Request is one call as it goes to a backend server.
+// Request is one call as it is sent to a backend server.
 type Request struct {
 	Address string
 	Method  string
@@ -36,148 +34,148 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle is the longest rest of a kept connection that may carry the call.
-	// A server may close a resting connection just as the call is written.
+	// MaxIdle is the longest idle time of a pooled connection that may carry the call. A server may
+	// close an idle connection just as the call is written.
 	MaxIdle time.Duration
-	// Matches reports whether an answer is the one to this call. A server may
-	// put an answer to an earlier call in its place; such an answer is dropped.
+	// Matches reports whether a response belongs to this call. A server may send a response to an
+	// earlier call instead; such a response is dropped.
 	Matches func(response *http.Response) bool
-	// OnConnect is told of the connection before the call is written, by what has the system
-	// probe it (see probe); it may be nil.
-	OnConnect func(probe func() error)
+	// OnConnect is called before the call is written, with a function that turns on keep-alive for
+	// the connection (see enableKeepAlive); it may be nil.
+	OnConnect func(enableKeepAlive func() error)
 }
 
-// maxForeignAnswers bounds the answers that are dropped while the call's own is
-// looked for; servers send at most one extra answer.
-const maxForeignAnswers = 2
+// maxForeignResponses bounds the responses to other calls that are dropped while waiting for the
+// right one; servers send one extra response at most.
+const maxForeignResponses = 2
 
-// smallMessage is the length in bytes up to which a call fits into a socket's
-// buffer, so that writing it does not wait for the server to read.
-const smallMessage = 2 << 10
+// maxInlineWrite is the size in bytes up to which a call fits into a socket's send buffer, so that
+// writing it does not wait for the server to read.
+const maxInlineWrite = 2 << 10
 
-// maxForeignBytes bounds the body of an answer that is dropped.
+// maxForeignBytes bounds the body of a response that is dropped.
 const maxForeignBytes = 1 << 20
 
-// Response is a backend server's answer. Close must be called once.
+// Response is a backend server's response. Close must be called once.
 type Response struct {
 	Status int
 	Header http.Header
-	// Body gives the whole body, or an error where the server broke off.
+	// Body returns the whole body, or an error if the server broke off.
 	Body io.Reader
 
 	pool       *Pool
-	connection *connection
-	response   *http.Response
+	conn       *connection
+	parsed     *http.Response
 	written    chan error
-	unwatch    func() bool
-	whole      bool
+	stopCancel func() bool
+	complete   bool
 }
 
-// Send hands a call over. When ctx ends, the connection is closed, which tells the
-// server to stop. The error is ErrNotSent or ErrNoResponse.
-func (p *Pool) Send(ctx context.Context, call Request) (*Response, error) {
-	c, err := p.connect(ctx, call)
+// Send sends a call. When ctx ends, the connection is closed, so that the server stops. The error
+// is ErrNotSent or ErrNoResponse.
+func (p *Pool) Send(ctx context.Context, request Request) (*Response, error) {
+	c, err := p.connect(ctx, request)
 	if err != nil {
 		return nil, merry.Wrap(ErrNotSent, merry.AppendMessage(err.Error()))
 	}
-	if call.OnConnect != nil {
-		call.OnConnect(c.probe)
+	if request.OnConnect != nil {
+		request.OnConnect(c.enableKeepAlive)
 	}
-	unwatch := context.AfterFunc(ctx, c.close) // makes reads and writes under way fail
+	stopCancel := context.AfterFunc(ctx, c.close) // makes reads and writes in progress fail
 	written := make(chan error, 1)
-	if message := append(head(call), call.Body...); len(message) <= smallMessage {
+	if message := append(encodeHead(request), request.Body...); len(message) <= maxInlineWrite {
 		c.runWrite(message, written)
 	} else {
 		go c.runWrite(message, written)
 	}
-	response, err := c.readOwn(call)
+	parsed, err := c.readMatching(request)
 	if err != nil {
-		unwatch()
+		stopCancel()
 		c.close()
 		return nil, merry.Wrap(ErrNoResponse, merry.AppendMessage(err.Error()))
 	}
-	answer := &Response{
-		Status: response.StatusCode, Header: response.Header,
-		pool: p, connection: c, response: response, written: written, unwatch: unwatch,
+	response := &Response{
+		Status: parsed.StatusCode, Header: parsed.Header,
+		pool: p, conn: c, parsed: parsed, written: written, stopCancel: stopCancel,
 	}
-	answer.Body = wholeReader{answer}
-	return answer, nil
+	response.Body = completeReader{response}
+	return response, nil
 }
 
-// head writes the request line and the headers.
-func head(call Request) []byte {
+// encodeHead encodes the request line and the headers.
+func encodeHead(request Request) []byte {
 	var buffer bytes.Buffer
-	buffer.WriteString(call.Method + " " + call.Target + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
-	_ = call.Header.Write(&buffer) // a bytes.Buffer takes everything
-	if len(call.Body) > 0 || call.Method == http.MethodPost || call.Method == http.MethodPut {
-		buffer.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
+	buffer.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
+	_ = request.Header.Write(&buffer) // writes to a bytes.Buffer do not fail
+	if len(request.Body) > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut {
+		buffer.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
 	buffer.WriteString("\r\n")
 	return buffer.Bytes()
 }
 
-// runWrite writes a call. A long one is written by a goroutine of its own, because
-// a server may answer before it has read the whole body.
+// runWrite writes a call. A long one is written in a separate goroutine, because a server may
+// respond before it has read the whole body.
 func (c *connection) runWrite(message []byte, written chan<- error) {
 	_, err := c.Write(message)
 	written <- err
 }
 
-// readOwn reads answers until the one that belongs to the call.
-func (c *connection) readOwn(call Request) (*http.Response, error) {
-	request := &http.Request{Method: call.Method}
-	for range maxForeignAnswers + 1 {
-		response, err := http.ReadResponse(c.reader, request)
+// readMatching reads responses until one belongs to the call.
+func (c *connection) readMatching(request Request) (*http.Response, error) {
+	httpRequest := &http.Request{Method: request.Method}
+	for range maxForeignResponses + 1 {
+		response, err := http.ReadResponse(c.reader, httpRequest)
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode/100 == 1 {
 			continue
 		}
-		if call.Matches == nil || call.Matches(response) {
+		if request.Matches == nil || request.Matches(response) {
 			return response, nil
 		}
 		c.tainted = true
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes)); err != nil || response.Close {
-			return nil, merry.New("the answer belongs to another call")
+			return nil, merry.New("the response belongs to another call")
 		}
 	}
-	return nil, merry.New("the answers belong to other calls")
+	return nil, merry.New("the responses belong to other calls")
 }
 
-// wholeReader notes when the body has been read to its proper end.
-type wholeReader struct{ answer *Response }
+// completeReader records when the body has been read to its proper end.
+type completeReader struct{ response *Response }
 
-func (r wholeReader) Read(p []byte) (int, error) {
-	n, err := r.answer.response.Body.Read(p)
+func (r completeReader) Read(p []byte) (int, error) {
+	n, err := r.response.parsed.Body.Read(p)
 	if err == io.EOF {
-		r.answer.whole = true
+		r.response.complete = true
 	}
 	return n, err
 }
 
-// Framed reports whether the answer says itself where it ends. The end of one
-// that does not is the end of its connection.
-func (a *Response) Framed() bool {
-	return a.response.ContentLength >= 0 || len(a.response.TransferEncoding) > 0
+// Framed reports whether the response states its length or is chunked. Any other response ends when
+// the connection is closed.
+func (r *Response) Framed() bool {
+	return r.parsed.ContentLength >= 0 || len(r.parsed.TransferEncoding) > 0
 }
 
-// Close ends the use of the answer. The connection is kept when both directions
-// are known to be at the end of this call and nothing more.
-func (a *Response) Close() {
-	watching := a.unwatch()
+// Close releases the response. The connection goes back to the pool if the call was written
+// and the response read completely, and nothing more was received.
+func (r *Response) Close() {
+	notCancelled := r.stopCancel()
 	select {
-	case err := <-a.written:
-		if err == nil && watching && a.keepable() {
-			a.pool.keep(a.connection, keepAlive(a.Header))
+	case err := <-r.written:
+		if err == nil && notCancelled && r.reusable() {
+			r.pool.putIdle(r.conn, announcedMaxIdle(r.Header))
 			return
 		}
 	default:
 	}
-	a.connection.close()
+	r.conn.close()
 }
 
-func (a *Response) keepable() bool {
-	c := a.connection
-	return a.whole && !a.response.Close && !c.tainted && c.reader.Buffered() == 0
+func (r *Response) reusable() bool {
+	c := r.conn
+	return r.complete && !r.parsed.Close && !c.tainted && c.reader.Buffered() == 0
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,15 +18,15 @@
 	"github.com/cometlock/cometlock/internal/handover"
 )
 
-// server answers each call on each connection by a script that a test gives.
+// server responds to each call on each connection with a script of the test.
 type server struct {
 	address     string
 	connections atomic.Int64
 	calls       atomic.Int64
 }
 
-// serve starts a server; handle gets each call and writes to the connection, and
-// says whether the connection goes on.
+// serve starts a server. handle gets each call, writes to the connection, and returns whether the
+// connection stays open.
 func serve(t *testing.T, handle func(call int, request *http.Request, connection net.Conn) bool) *server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,13 +42,13 @@
 				return
 			}
 			s.connections.Add(1)
-			go s.answer(connection, handle)
+			go s.serveConnection(connection, handle)
 		}
 	}()
 	return s
 }
 
-func (s *server) answer(connection net.Conn, handle func(int, *http.Request, net.Conn) bool) {
+func (s *server) serveConnection(connection net.Conn, handle func(int, *http.Request, net.Conn) bool) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-func call(s *server, id string) handover.Request {
+func request(s *server, id string) handover.Request {
 	return handover.Request{
 		Address: s.address, Method: http.MethodGet, Target: "/x", Host: "h.example",
 		Header: http.Header{"X-Id": {id}}, MaxIdle: time.Minute,
@@ -71,60 +71,60 @@
 	}
 }
 
-func answer(id, body string) string {
+func responseText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func get(pool *handover.Pool, c handover.Request) (string, error) {
-	sent, err := pool.Send(context.Background(), c)
+func get(pool *handover.Pool, request handover.Request) (string, error) {
+	response, err := pool.Send(context.Background(), request)
 	if err != nil {
 		return "", err
 	}
-	defer sent.Close()
-	body, err := io.ReadAll(sent.Body)
+	defer response.Close()
+	body, err := io.ReadAll(response.Body)
 	return string(body), err
 }
 
-func TestConnectionsAreKeptAfterWholeAnswers(t *testing.T) {
+func TestConnectionsAreReusedAfterCompleteResponses(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, r *http.Request, c net.Conn) bool {
-		_, _ = io.WriteString(c, answer(r.Header.Get("X-Id"), "hello"))
+		_, _ = io.WriteString(c, responseText(r.Header.Get("X-Id"), "hello"))
 		return true
 	})
 	pool := handover.NewPool(handover.PoolConfig{})
 	for i := range 5 {
-		body, err := get(pool, call(s, fmt.Sprint(i)))
+		body, err := get(pool, request(s, fmt.Sprint(i)))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(body).To(Equal("hello"))
 	}
 	g.Expect(s.connections.Load()).To(BeEquivalentTo(1))
 }
 
-func TestWhatBelongsToAnotherCallIsDropped(t *testing.T) {
+func TestResponsesToOtherCallsAreDropped(t *testing.T) {
 	tests := []struct {
 		name   string
 		script func(call int, id string) string
 		bodies []string
 	}{
 		{
-			"an extra answer in the place of the next", func(call int, id string) string {
+			"an extra response before the next one", func(call int, id string) string {
 				if call == 2 {
-					return answer("1", "late") + answer(id, "mine")
+					return responseText("1", "late") + responseText(id, "mine")
 				}
-				return answer(id, "mine")
+				return responseText(id, "mine")
 			}, []string{"mine", "mine", "mine"},
 		},
 		{
-			"an extra answer at once", func(call int, id string) string {
+			"an extra response at once", func(call int, id string) string {
 				if call == 1 {
-					return answer(id, "mine") + answer(id, "mine")
+					return responseText(id, "mine") + responseText(id, "mine")
 				}
-				return answer(id, fmt.Sprint("call ", call))
+				return responseText(id, fmt.Sprint("call ", call))
 			}, []string{"mine", "call 2", "call 3"},
 		},
 		{
-			"more bytes than the answer has", func(_ int, id string) string {
-				return answer(id, "mine") + "garbage"
+			"extra bytes after the response", func(_ int, id string) string {
+				return responseText(id, "mine") + "garbage"
 			}, []string{"mine", "mine", "mine"},
 		},
 	}
@@ -137,7 +137,7 @@
 			})
 			pool := handover.NewPool(handover.PoolConfig{})
 			for i, want := range test.bodies {
-				body, err := get(pool, call(s, fmt.Sprint(i+1)))
+				body, err := get(pool, request(s, fmt.Sprint(i+1)))
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(body).To(Equal(want))
 			}
@@ -145,13 +145,13 @@
 	}
 }
 
-func TestAnAnswerThatBreaksOffIsAnError(t *testing.T) {
+func TestATruncatedResponseIsAnError(t *testing.T) {
 	tests := []struct{ name, bytes string }{
 		{"short of its length", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 10\r\n\r\nfive5"},
 		{"without the last chunk", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"},
-		{"no answer in the protocol", "what is this\r\n\r\n"},
+		{"not an HTTP response", "what is this\r\n\r\n"},
 		{"nothing", ""},
-		{"only answers to others", answer("8", "x") + answer("9", "x") + answer("7", "x") + answer("6", "x")},
+		{"only responses to other calls", responseText("8", "x") + responseText("9", "x") + responseText("7", "x") + responseText("6", "x")},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -160,81 +160,81 @@
 				_, _ = io.WriteString(c, test.bytes)
 				return false
 			})
-			_, err := get(handover.NewPool(handover.PoolConfig{}), call(s, "1"))
+			_, err := get(handover.NewPool(handover.PoolConfig{}), request(s, "1"))
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(err).NotTo(MatchError(handover.ErrNotSent))
 		})
 	}
 }
 
-func TestAnAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
+func TestAResponseWithoutALengthEndsWithItsConnection(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, _ *http.Request, c net.Conn) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it")
 		return false
 	})
-	sent, err := handover.NewPool(handover.PoolConfig{}).Send(context.Background(), call(s, "1"))
+	response, err := handover.NewPool(handover.PoolConfig{}).Send(context.Background(), request(s, "1"))
 	g.Expect(err).NotTo(HaveOccurred())
-	defer sent.Close()
-	g.Expect(sent.Framed()).To(BeFalse())
-	g.Expect(io.ReadAll(sent.Body)).To(BeEquivalentTo("all of it"))
+	defer response.Close()
+	g.Expect(response.Framed()).To(BeFalse())
+	g.Expect(io.ReadAll(response.Body)).To(BeEquivalentTo("all of it"))
 }
 
-// closedAddress is where nothing listens: the port is not among those that the system
-// hands out, so no other process of a busy machine can be there by chance.
+// closedAddress is an address where nothing listens. The port is outside the ephemeral range, so no
+// other process gets it by chance.
 const closedAddress = "127.0.0.1:1"
 
-func TestOnlyACallThatNeverLeftIsNotHanded(t *testing.T) {
+func TestErrNotSentMeansThatNoByteWasSent(t *testing.T) {
 	g := NewWithT(t)
 	pool := handover.NewPool(handover.PoolConfig{})
-	c := call(&server{address: closedAddress}, "1")
+	c := request(&server{address: closedAddress}, "1")
 	_, err := pool.Send(context.Background(), c)
 	g.Expect(err).To(MatchError(handover.ErrNotSent))
 
 	hangsUp := serve(t, func(int, *http.Request, net.Conn) bool { return false })
-	_, err = pool.Send(context.Background(), call(hangsUp, "1"))
+	_, err = pool.Send(context.Background(), request(hangsUp, "1"))
 	g.Expect(err).To(MatchError(handover.ErrNoResponse))
 	g.Expect(hangsUp.calls.Load()).To(BeEquivalentTo(1), "a call is written once")
 }
 
-func TestAKeptConnectionThatTheServerClosedIsNotUsed(t *testing.T) {
+func TestAnIdleConnectionClosedByTheServerIsNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(call int, r *http.Request, c net.Conn) bool {
-		_, _ = io.WriteString(c, answer(r.Header.Get("X-Id"), "hello"))
+		_, _ = io.WriteString(c, responseText(r.Header.Get("X-Id"), "hello"))
 		return call != 1
 	})
 	pool := handover.NewPool(handover.PoolConfig{})
-	_, err := get(pool, call(s, "1"))
+	_, err := get(pool, request(s, "1"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(func() error {
-		_, err := get(pool, call(s, "2"))
+		_, err := get(pool, request(s, "2"))
 		return err
 	}).Should(Succeed())
 	g.Expect(s.connections.Load()).To(BeNumerically(">=", 2))
 }
 
-func TestAnEarlyAnswerEndsItsConnection(t *testing.T) {
+func TestAnEarlyResponseClosesItsConnection(t *testing.T) {
 	g := NewWithT(t)
-	taken := make(chan struct{}) // the rest of the body is read only once the answer was taken
+	received := make(chan struct{}) // the rest of the body is read only after the response was received
 	s := serve(t, func(_ int, r *http.Request, c net.Conn) bool {
-		_, _ = io.WriteString(c, answer(r.Header.Get("X-Id"), "too long"))
-		<-taken
+		_, _ = io.WriteString(c, responseText(r.Header.Get("X-Id"), "too long"))
+		<-received
 		return true
 	})
 	pool := handover.NewPool(handover.PoolConfig{})
-	long := call(s, "1")
+	long := request(s, "1")
 	long.Method, long.Body = http.MethodPost, []byte(strings.Repeat("x", 8<<20))
 	body, err := get(pool, long)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("too long"))
-	close(taken)
-	body, err = get(pool, call(s, "2"))
+	close(received)
+	body, err = get(pool, request(s, "2"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("too long"))
 	g.Expect(s.connections.Load()).To(BeEquivalentTo(2))
 }
 
-func TestTheEndOfTheContextEndsTheCall(t *testing.T) {
+func TestCancellingTheContextClosesTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	gone := make(chan struct{})
 	s := serve(t, func(_ int, _ *http.Request, c net.Conn) bool {
@@ -244,34 +244,34 @@
 		return false
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	sent, err := handover.NewPool(handover.PoolConfig{}).Send(ctx, call(s, "1"))
+	response, err := handover.NewPool(handover.PoolConfig{}).Send(ctx, request(s, "1"))
 	g.Expect(err).NotTo(HaveOccurred())
-	defer sent.Close()
+	defer response.Close()
 	cancel()
-	_, err = io.ReadAll(sent.Body)
+	_, err = io.ReadAll(response.Body)
 	g.Expect(err).To(HaveOccurred())
 	g.Eventually(gone).Should(BeClosed())
 }
 
-// A call that waits for a silent server has the system probe the connection: a process that
-// stands still keeps it, and one whose machine is gone loses it within seconds, where the call
-// would have waited for the whole of its time.
-func TestASilentConnectionIsProbedWhenAsked(t *testing.T) {
+// A call that waits for an unresponsive server turns on TCP keep-alive. A stopped process keeps its
+// connection. If the machine is gone, the connection breaks within seconds, where the call would
+// otherwise have waited until its deadline.
+func TestKeepAliveIsEnabledOnRequest(t *testing.T) {
 	g := NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("answer")) }))
 	defer server.Close()
 	pool := handover.NewPool(handover.PoolConfig{})
-	var probe func() error
-	call := handover.Request{
+	var enableKeepAlive func() error
+	request := handover.Request{
 		Address: server.Listener.Addr().String(), Method: http.MethodGet, Target: "/", Host: "h", MaxIdle: time.Second,
-		OnConnect: func(found func() error) { probe = found },
+		OnConnect: func(enable func() error) { enableKeepAlive = enable },
 	}
-	answer, err := pool.Send(t.Context(), call)
+	response, err := pool.Send(t.Context(), request)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(handover.KeepAlive(answer)).To(BeZero(), "not before it is asked for")
-	g.Expect(probe()).To(Succeed())
-	g.Expect(handover.KeepAlive(answer)).To(Equal(1))
-	_, err = io.ReadAll(answer.Body)
+	g.Expect(handover.KeepAlive(response)).To(BeZero(), "off by default")
+	g.Expect(enableKeepAlive()).To(Succeed())
+	g.Expect(handover.KeepAlive(response)).To(Equal(1))
+	_, err = io.ReadAll(response.Body)
 	g.Expect(err).NotTo(HaveOccurred())
-	answer.Close()
+	response.Close()
 }
--- a/internal/handover/pool.go
+++ b/internal/handover/pool.go
@@ -1,6 +1,5 @@
-// The connections to backend servers. One is kept only while nothing can be wrong
-// with it: a call that is written on a connection that its server is closing has an
-// unknown outcome.
+// The pool of connections to backend servers. A connection is reused only if it is in a known good
+// state: a call that is written while the server closes the connection has an unknown outcome.
 
 package handover
 
@@ -22,88 +21,88 @@
 	"github.com/cometlock/cometlock/internal/mechanism"
 )
 
-// PoolConfig sets up a Pool.
+// PoolConfig configures a Pool.
 type PoolConfig struct {
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds the time to connect.
 	DialTimeout time.Duration
-	// MaxIdlePerServer bounds the resting connections to one server.
+	// MaxIdlePerServer bounds the idle connections to one server.
 	MaxIdlePerServer int
-	// Off holds mechanisms that are switched off.
+	// Off holds the mechanisms that are switched off.
 	Off mechanism.Off
-	// OnDial is told of each new connection, for the metrics; it may be nil.
+	// OnDial is called for each new connection, for the metrics; it may be nil.
 	OnDial func()
 }
 
 // Defaults of PoolConfig.
 const (
-	// DefaultDialTimeout is many times the way to any zone of a region and back, and
-	// below the second after which the system sends a lost packet of a new connection
-	// again; longer waits are of no use to calls whose server is cut off.
+	// DefaultDialTimeout is many times the round trip to any zone of a region. It is below one
+	// second, after which the kernel retransmits a lost SYN; a longer wait does not help calls
+	// whose server is partitioned.
 	DefaultDialTimeout = 150 * time.Millisecond
-	// DefaultMaxIdlePerServer is what one box keeps of a server's connections; a
-	// server takes some 100 of all boxes together.
+	// DefaultMaxIdlePerServer is the number of idle connections that one box keeps to a server; a
+	// server takes some 100 from all boxes together.
 	DefaultMaxIdlePerServer = 10
 )
 
 const (
-	// unacknowledgedLimit ends a connection whose bytes nobody acknowledges: the
-	// server is gone or cut off. It is above the longest retransmission pause on
-	// a link that loses some packets.
-	unacknowledgedLimit = 2 * time.Second
-	// probeEvery is the time between two of the system's probes of a silent connection.
-	probeEvery = time.Second
-	// mostProbes is how many of them may stay unanswered where unacknowledgedLimit is not known.
-	mostProbes = 2
-	// longestRest is how long a connection is kept at most, and shortestRest how long
-	// whatever is learnt.
-	longestRest  = 20 * time.Second
-	shortestRest = 800 * time.Millisecond
-	// closedPart and reusedGrowth let a pool learn how long a server leaves connections
-	// open that says nothing of it: a kept one that is found closed shortens what others
-	// are kept for to this part of its rest, and one that is still open lengthens it.
-	closedPart   = 0.7
-	reusedGrowth = 1.05
-	// restMargin is kept from the rest that a server announces.
-	restMargin = time.Second
-	// readBuffer is the buffer of a connection, in bytes; answers are about 1 KB.
-	readBuffer = 4 << 10
+	// userTimeout is the TCP user timeout: a connection is closed when sent bytes stay
+	// unacknowledged for so long, because the server is gone or partitioned. It is above the
+	// longest retransmission delay on a link that loses some packets.
+	userTimeout = 2 * time.Second
+	// keepAliveInterval is the time between keep-alive probes on an idle connection.
+	keepAliveInterval = time.Second
+	// maxUnansweredProbes is how many probes may stay unanswered on systems without TCP_USER_TIMEOUT.
+	maxUnansweredProbes = 2
+	// maxIdleLimit is the longest idle time after which a connection is still reused, and minIdleLimit
+	// the shortest value that the learned limit can fall to.
+	maxIdleLimit = 20 * time.Second
+	minIdleLimit = 800 * time.Millisecond
+	// closedFactor and openFactor adapt the maximum idle time to servers that do not announce one.
+	// If an idle connection turns out closed, the limit becomes this part of its idle time; if it
+	// is still open, the limit grows by openFactor.
+	closedFactor = 0.7
+	openFactor   = 1.05
+	// announcedMargin is subtracted from the idle timeout that a server announces.
+	announcedMargin = time.Second
+	// readBufferSize is the size of a connection's read buffer, in bytes; responses are about 1 KB.
+	readBufferSize = 4 << 10
 )
 
-// Pool keeps connections to backend servers.
+// Pool pools connections to backend servers.
 type Pool struct {
 	cfg    PoolConfig
 	dialer net.Dialer
 
 	mu   sync.Mutex
 	idle map[string][]*connection
-	// rests is how long connections to a server are kept, as learnt, by its address.
-	rests map[string]time.Duration
+	// maxIdle is the learned maximum idle time of connections to a server, by address.
+	maxIdle map[string]time.Duration
 }
 
-// connection is one connection; one call at a time uses it.
+// connection is a pooled connection, used by one call at a time.
 type connection struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// restedAt is when the last call ended, restUntil when it is too old.
-	restedAt  time.Time
-	restUntil time.Time
-	// tainted connections carried an answer to another call.
+	// idleSince is when the last call ended, idleUntil when the connection is too old to be reused.
+	idleSince time.Time
+	idleUntil time.Time
+	// tainted is set once a response to another call was received.
 	tainted bool
 }
 
-// NewPool makes an empty pool.
+// NewPool creates an empty pool.
 func NewPool(cfg PoolConfig) *Pool {
 	cfg.DialTimeout = cmp.Or(cfg.DialTimeout, DefaultDialTimeout)
 	cfg.MaxIdlePerServer = cmp.Or(cfg.MaxIdlePerServer, DefaultMaxIdlePerServer)
-	return &Pool{cfg: cfg, idle: map[string][]*connection{}, rests: map[string]time.Duration{}, dialer: net.Dialer{Timeout: cfg.DialTimeout, KeepAlive: -1, Control: limitUnacknowledged}}
+	return &Pool{cfg: cfg, idle: map[string][]*connection{}, maxIdle: map[string]time.Duration{}, dialer: net.Dialer{Timeout: cfg.DialTimeout, KeepAlive: -1, Control: setUserTimeout}}
 }
 
-// limitUnacknowledged sets how long sent bytes may stay unacknowledged.
-func limitUnacknowledged(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, the time for which sent bytes may stay unacknowledged.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedLimit.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -111,39 +110,39 @@
 	return setErr
 }
 
-// connect gives a kept connection that is sound, or a new one.
-func (p *Pool) connect(ctx context.Context, call Request) (*connection, error) {
+// connect returns a usable idle connection, or a new one.
+func (p *Pool) connect(ctx context.Context, request Request) (*connection, error) {
 	for {
-		c := p.take(call.Address)
+		c := p.takeIdle(request.Address)
 		if c == nil {
 			break
 		}
 		now := boottime.Now()
-		if now.Before(c.restUntil) && now.Sub(c.restedAt) <= call.MaxIdle {
-			open := c.silent()
-			p.learnRest(call.Address, now.Sub(c.restedAt), open)
+		if now.Before(c.idleUntil) && now.Sub(c.idleSince) <= request.MaxIdle {
+			open := c.isIdle()
+			p.learnMaxIdle(request.Address, now.Sub(c.idleSince), open)
 			if open {
 				return c, nil
 			}
 		}
 		c.close()
 	}
-	return p.dial(ctx, call.Address)
+	return p.dial(ctx, request.Address)
 }
 
-// probeLimit bounds the wait for a connection that no call needs but that calls wait for.
-const probeLimit = 100 * time.Millisecond
+// probeTimeout bounds the time to connect in Probe, whose result calls wait for.
+const probeTimeout = 100 * time.Millisecond
 
-// Probe makes a connection to an address and keeps it for the next call there. The error is the
-// system's.
+// Probe opens a connection to an address and pools it for the next call there. The error is that of
+// the dial.
 func (p *Pool) Probe(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	p.keep(c, shortestRest)
+	p.putIdle(c, minIdleLimit)
 	return nil
 }
 
@@ -155,28 +154,29 @@
 	if p.cfg.OnDial != nil {
 		p.cfg.OnDial()
 	}
-	return &connection{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &connection{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// learnRest learns from a connection that was found open or closed after a rest. A server
-// may close its connections at any moment, so what is learnt from that is unlearnt.
-func (p *Pool) learnRest(address string, rest time.Duration, open bool) {
+// learnMaxIdle updates the maximum idle time from an idle connection that was found open or closed.
+// A server may close a connection at any moment for other reasons, so open ones raise the limit
+// again.
+func (p *Pool) learnMaxIdle(address string, idle time.Duration, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	limit := cmp.Or(p.rests[address], longestRest)
+	limit := cmp.Or(p.maxIdle[address], maxIdleLimit)
 	if !p.cfg.Off.On(mechanism.KeptConnections) {
-		limit, open = shortestRest, true
+		limit, open = minIdleLimit, true
 	}
 	if open {
-		limit = min(time.Duration(reusedGrowth*float64(limit)), longestRest)
+		limit = min(time.Duration(openFactor*float64(limit)), maxIdleLimit)
 	} else {
-		limit = max(time.Duration(closedPart*float64(min(rest, limit))), shortestRest)
+		limit = max(time.Duration(closedFactor*float64(min(idle, limit))), minIdleLimit)
 	}
-	p.rests[address] = limit
+	p.maxIdle[address] = limit
 }
 
-// take gives the connection that rested last.
-func (p *Pool) take(address string) *connection {
+// takeIdle returns the connection that was used last.
+func (p *Pool) takeIdle(address string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[address]
@@ -188,19 +188,19 @@
 	return c
 }
 
-// keep puts a connection to rest.
-func (p *Pool) keep(c *connection, rest time.Duration) {
+// putIdle puts a connection into the pool.
+func (p *Pool) putIdle(c *connection, limit time.Duration) {
 	now := boottime.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	rest = min(rest, cmp.Or(p.rests[c.address], longestRest))
-	c.restedAt, c.restUntil = now, now.Add(rest)
+	limit = min(limit, cmp.Or(p.maxIdle[c.address], maxIdleLimit))
+	c.idleSince, c.idleUntil = now, now.Add(limit)
 	kept := p.idle[c.address]
-	for len(kept) > 0 && now.After(kept[0].restUntil) {
+	for len(kept) > 0 && now.After(kept[0].idleUntil) {
 		kept[0].close()
 		kept = kept[1:]
 	}
-	if rest <= 0 || len(kept) >= p.cfg.MaxIdlePerServer {
+	if limit <= 0 || len(kept) >= p.cfg.MaxIdlePerServer {
 		c.close()
 	} else {
 		kept = append(kept, c)
@@ -208,7 +208,7 @@
 	p.idle[c.address] = kept
 }
 
-// CloseIdle closes the resting connections to a server.
+// CloseIdle closes the idle connections to a server.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,24 +216,24 @@
 		c.close()
 	}
 	delete(p.idle, address)
-	delete(p.rests, address) // another server may be there next
+	delete(p.maxIdle, address) // another server may be at the address next
 }
 
-// keepAlive gives how long a server lets a connection rest.
-func keepAlive(header http.Header) time.Duration {
-	rest := longestRest
+// announcedMaxIdle returns the idle time that a server allows in its Keep-Alive header.
+func announcedMaxIdle(header http.Header) time.Duration {
+	maxIdle := maxIdleLimit
 	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			rest = min(rest, time.Duration(seconds)*time.Second-restMargin)
+			maxIdle = min(maxIdle, time.Duration(seconds)*time.Second-announcedMargin)
 		}
 	}
-	return rest
+	return maxIdle
 }
 
-// silent reports whether a resting connection is open and nothing has come on it.
-// What comes while no call is under way belongs to no call.
-func (c *connection) silent() bool {
+// isIdle reports whether an idle connection is open and has no data to read. Data received between
+// calls belongs to no call.
+func (c *connection) isIdle() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
@@ -248,14 +248,14 @@
 	return err == nil && quiet
 }
 
-// probe has the system ask the other end from now on, while nothing comes, whether it is there.
-// Its system answers also for a process that stands still. For a machine that is gone or cut off
-// nobody does, and the connection ends after unacknowledgedLimit, so that a call need not be left
-// for its server's silence to be tried elsewhere.
-func (c *connection) probe() error {
-	return c.Conn.(*net.TCPConn).SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: mostProbes})
+// enableKeepAlive turns on TCP keep-alive probes. The server's kernel answers them even if the
+// process is stopped. If the machine is gone or partitioned, they stay unanswered and the
+// connection breaks after userTimeout. So the box detects a lost machine without giving up calls at
+// servers that only stall.
+func (c *connection) enableKeepAlive() error {
+	return c.Conn.(*net.TCPConn).SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: maxUnansweredProbes})
 }
 
 func (c *connection) close() {
-	_ = c.Conn.Close() // whether the server takes note changes nothing
+	_ = c.Conn.Close() // an error changes nothing for this side
 }
