--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -1,68 +1,68 @@
-// Package silence decides when a call whose server is unresponsive looks for another one. It is plain
-// arithmetic: observations are parameters, and it waits for nothing.
+// Package silence decides when a call whose server is unresponsive looks for another server. It is
+// pure: observations are parameters, and it reads no clock.
 //
-// The load that it answers: servers that stall for some seconds, one by one or all at once, while they
-// keep all that they run. A call that leaves its server soon is served sooner by another one, and a call
-// that leaves it in vain loses a response that would have come. So an unresponsive server is only a
-// reason to look for another one, never to leave this one: package gateway does that, once another
-// server has accepted the call.
+// The load that it answers: servers that stall for some seconds, one by one or all at once, and
+// then continue with all their calls. A call that leaves its server early is served sooner by
+// another one, but a call that leaves it without being accepted elsewhere loses a response that
+// would have come. So an unresponsive server is only a reason to look for another one. Package
+// gateway cancels the call at the first server once another one has accepted it.
 package silence
 
 import "time"
 
 const (
-	// patienceFactor times the objective is how long a call waits for the first sign of its server.
-	patienceFactor = 2
-	// shortestPatience bounds that from below: a server may be slow for a moment.
-	shortestPatience = 400 * time.Millisecond
+	// responseFactor times the objective is how long a call waits for the start of the response.
+	responseFactor = 2
+	// minResponseTimeout is the lower bound of that wait: a server may be slow for a moment.
+	minResponseTimeout = 400 * time.Millisecond
 	// busyRunnerFactor times the objective is how long a prompt waits at a runner that responds to
-	// other calls. Such a runner is busy, and reading the prompt elsewhere would add to the load; after
-	// that time it is the call that is lost.
+	// other calls. Such a runner is busy, and processing the prompt elsewhere would add to the
+	// load; after that time the call itself is taken to be lost.
 	busyRunnerFactor = 5
-	// streamGap is how long a stream may pause; servers send an event each few milliseconds, and
-	// callers cancel after two seconds.
-	streamGap = 1200 * time.Millisecond
-	// maxSchedulingDelay bounds how late a check may run. After a later one this box lacked the
-	// processor, and what servers have sent may lie unread in socket buffers; drainInterval is enough to
-	// read it.
-	maxSchedulingDelay = 100 * time.Millisecond
-	drainInterval      = 100 * time.Millisecond
+	// maxStreamGap is how long a stream may pause. Servers send an event every few milliseconds,
+	// and callers cancel after two seconds.
+	maxStreamGap = 1200 * time.Millisecond
+	// maxCheckDelay bounds how late a check may run. A check that runs later shows that this box
+	// lacked CPU, and data from servers may be unread in socket buffers; drainInterval is enough
+	// time to read it.
+	maxCheckDelay = 100 * time.Millisecond
+	drainInterval = 100 * time.Millisecond
 )
 
-// Observation is what is known of a call and its server at one check.
+// Observation is the state of a call and its server at one check.
 type Observation struct {
-	// Objective is that of the call's route; zero where it names none.
+	// Objective is that of the call's route; zero if the route has none.
 	Objective time.Duration
-	// Started says that a part of the response has come.
+	// Started is set if a part of the response has been received.
 	Started bool
-	// HasPrompt says that the server has a prompt to read before it responds.
+	// HasPrompt is set if the server has to process a prompt before it responds.
 	HasPrompt bool
-	// Idle is for how long nothing has come.
+	// Idle is the time since data was last received.
 	Idle time.Duration
 	// Delay is how much later than scheduled this check runs.
 	Delay time.Duration
-	// Responsive says that the server has responded to other calls lately.
+	// Responsive is set if the server has responded to other calls lately.
 	Responsive bool
 }
 
-// IdleLimit is the idle time after which a call looks for another server.
+// IdleLimit returns the idle time after which a call looks for another server.
 func (o Observation) IdleLimit() time.Duration {
 	if o.Started {
-		return streamGap
+		return maxStreamGap
 	}
-	return max(patienceFactor*o.Objective, shortestPatience)
+	return max(responseFactor*o.Objective, minResponseTimeout)
 }
 
-// RecheckInterval is the time between two checks while there is no other server.
-func (o Observation) RecheckInterval() time.Duration { return max(o.Objective/2, shortestPatience/2) }
+// RecheckInterval returns the time between two checks while there is no other server.
+func (o Observation) RecheckInterval() time.Duration { return max(o.Objective/2, minResponseTimeout/2) }
 
-// ShouldTryAnother reports whether the call is to look for another server now, and otherwise how long
-// until the next check.
+// ShouldTryAnother reports whether the call should look for another server now, and otherwise the
+// time until the next check.
 func (o Observation) ShouldTryAnother() (another bool, next time.Duration) {
 	switch limit := o.IdleLimit(); {
 	case o.Idle < limit:
 		return false, limit - o.Idle
-	case o.Delay > maxSchedulingDelay:
+	case o.Delay > maxCheckDelay:
 		return false, drainInterval
 	case !o.Started && o.HasPrompt && o.Responsive && o.Idle < busyRunnerFactor*o.Objective:
 		return false, o.RecheckInterval()
