--- a/internal/waitqueue/waitqueue.go
+++ b/internal/waitqueue/waitqueue.go
@@ -1,16 +1,15 @@
-// Package waitqueue decides the order in which calls that wait for room are placed, by priority and
-// deadline, and which of them cannot meet theirs. It is plain data and arithmetic: the time is a
-// parameter, and it starts and waits for nothing.
+// Package waitqueue orders calls that wait for room by priority and deadline, and predicts which of
+// them cannot meet their deadline. It is pure: the time is a parameter, and it starts no goroutine
+// and does not block.
 //
-// The load that it answers: prompts come in bursts, and each holds a part of a runner's
-// memory for a second or so. With half of the memory taken on average, bursts fill it for
-// some hundred milliseconds, again and again. A call that waits for that long still starts
-// in time; one that waits longer is late as often as not, and keeps the room from new
-// calls that would not be. So calls wait for a short time, and then come back.
+// The load that it answers: prompts come in bursts, and each takes a part of a runner's memory for
+// about a second. With half of the memory in use on average, bursts repeatedly fill it for some
+// hundred milliseconds. A call that waits for that long still starts in time. One that waits longer
+// is late about half the time, and keeps room from new calls that would be in time. So calls wait
+// for a short time, and are then refused and sent again.
 //
-// Where room comes too slowly for all that wait, the last of them are refused at once: a
-// call waits only if its turn should come in time at the rate at which calls were
-// admitted lately.
+// If room becomes free too slowly for all waiting calls, the last of them are refused at once: a
+// call waits only if its turn should come in time at the recent rate of admissions.
 package waitqueue
 
 import (
@@ -20,7 +19,7 @@
 	"time"
 )
 
-// Params are what the order goes by.
+// Params determine the position of a call in the queue.
 type Params struct {
 	// Priority is the call's rank; 0 goes first.
 	Priority int
@@ -29,20 +28,19 @@
 }
 
 const (
-	// rateWindow is the time over which the rate of calls that find room is observed:
-	// bursts last about as long.
+	// rateWindow is the time constant of the admission rate; bursts last about as long.
 	rateWindow = 2 * time.Second
-	// leastRate is the rate, in calls a second, that is assumed where less was observed: few
-	// calls that found room at a quiet box do not predict how soon those of a burst will.
-	leastRate = 50.0
+	// minRate is the lowest rate assumed, in calls a second: few admissions at a box with little
+	// load do not predict how soon the calls of a burst find room.
+	minRate = 50.0
 )
 
-// Queue holds the calls that wait, each with a value of its owner's.
+// Queue holds the waiting calls, each with a value of type T.
 type Queue[T any] struct {
 	entries []*Entry[T]
-	// admitted is the number of calls that were admitted lately, faded to fadedAt.
-	admitted float64
-	fadedAt  time.Time
+	// admitted is the exponentially decayed number of admissions, as of decayedAt.
+	admitted  float64
+	decayedAt time.Time
 }
 
 // Entry is a call in the queue.
@@ -51,17 +49,17 @@
 	Value T
 }
 
-// Len counts the calls that wait.
+// Len returns the number of waiting calls.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
-// Add puts a call into the queue.
+// Add adds a call to the queue.
 func (q *Queue[T]) Add(call Params, value T) *Entry[T] {
 	entry := &Entry[T]{call, value}
 	q.entries = append(q.entries, entry)
 	return entry
 }
 
-// Remove takes a call out of the queue. It reports false when it is out already.
+// Remove removes a call from the queue. It returns false if the call was not in the queue.
 func (q *Queue[T]) Remove(entry *Entry[T]) bool {
 	at := slices.Index(q.entries, entry)
 	if at >= 0 {
@@ -70,45 +68,45 @@
 	return at >= 0
 }
 
-// RecordAdmission notes that a call has found room, whether it waited or not.
+// RecordAdmission records that a call has found room, whether it had waited or not.
 func (q *Queue[T]) RecordAdmission(now time.Time) {
-	q.fade(now)
+	q.decay(now)
 	q.admitted++
 }
 
-func (q *Queue[T]) fade(now time.Time) {
-	if passed := now.Sub(q.fadedAt); passed > 0 {
-		q.admitted *= math.Exp(-passed.Seconds() / rateWindow.Seconds())
-		q.fadedAt = now
+func (q *Queue[T]) decay(now time.Time) {
+	if elapsed := now.Sub(q.decayedAt); elapsed > 0 {
+		q.admitted *= math.Exp(-elapsed.Seconds() / rateWindow.Seconds())
+		q.decayedAt = now
 	}
 }
 
-// order compares calls by who goes first.
-func (c Params) order(other Params) int {
-	return cmp.Or(cmp.Compare(c.Priority, other.Priority), c.Deadline.Compare(other.Deadline))
+// compare orders calls; the smaller one goes first.
+func (p Params) compare(other Params) int {
+	return cmp.Or(cmp.Compare(p.Priority, other.Priority), p.Deadline.Compare(other.Deadline))
 }
 
-// Sorted lists the calls that wait, the next one first.
+// Sorted returns the waiting calls, the next one first.
 func (q *Queue[T]) Sorted() []*Entry[T] {
-	slices.SortStableFunc(q.entries, func(a, b *Entry[T]) int { return a.order(b.Params) })
+	slices.SortStableFunc(q.entries, func(a, b *Entry[T]) int { return a.compare(b.Params) })
 	return slices.Clone(q.entries)
 }
 
-// EstimateWait estimates how long a call waits for its turn, in the queue or not: as long as those
-// before it need to find room.
+// EstimateWait estimates how long a call, in the queue or not, waits for its turn: as long as the
+// calls before it need to find room.
 func (q *Queue[T]) EstimateWait(call Params, now time.Time) time.Duration {
 	ahead := 0
 	for _, entry := range q.entries {
-		if entry.order(call) < 0 {
+		if entry.compare(call) < 0 {
 			ahead++
 		}
 	}
-	q.fade(now)
-	perSecond := max(q.admitted/rateWindow.Seconds(), leastRate)
+	q.decay(now)
+	perSecond := max(q.admitted/rateWindow.Seconds(), minRate)
 	return time.Duration(float64(ahead) / perSecond * float64(time.Second))
 }
 
-// CannotMeetDeadline reports whether a call's turn comes after its wait has ended.
+// CannotMeetDeadline reports whether a call's turn is expected after its deadline.
 func (q *Queue[T]) CannotMeetDeadline(call Params, now time.Time) bool {
 	return now.Add(q.EstimateWait(call, now)).After(call.Deadline)
 }
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -11,20 +11,20 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// at makes a call whose wait ends some milliseconds after the start.
-func at(priority, until int) waitqueue.Params {
+// params returns the parameters of a call whose wait ends some milliseconds after the start.
+func params(priority, until int) waitqueue.Params {
 	return waitqueue.Params{Priority: priority, Deadline: after(until)}
 }
 
 func after(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
 
-func TestWhoGoesFirst(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	tests := []struct {
 		name          string
 		first, second waitqueue.Params
 	}{
-		{"the more urgent", at(0, 240), at(1, 100)},
-		{"of these the one whose wait ends first", at(1, 100), at(1, 240)},
+		{"the higher priority", params(0, 240), params(1, 100)},
+		{"the earlier deadline at equal priority", params(1, 100), params(1, 240)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -38,17 +38,17 @@
 	}
 }
 
-func TestACallThatLeavesIsOut(t *testing.T) {
+func TestRemove(t *testing.T) {
 	g := NewWithT(t)
 	var queue waitqueue.Queue[int]
-	entry := queue.Add(at(0, 1), 1)
+	entry := queue.Add(params(0, 1), 1)
 	g.Expect(queue.Remove(entry)).To(BeTrue())
 	g.Expect(queue.Remove(entry)).To(BeFalse())
 	g.Expect(queue.Len()).To(BeZero())
 }
 
-// busy makes a queue whose calls found room at a rate for some seconds.
-func busy(perSecond int) *waitqueue.Queue[int] {
+// queueWithRate returns a queue that admitted calls at this rate for ten seconds.
+func queueWithRate(perSecond int) *waitqueue.Queue[int] {
 	queue := &waitqueue.Queue[int]{}
 	for i := range 10 * perSecond {
 		queue.RecordAdmission(start.Add(time.Duration(i-10*perSecond) * time.Second / time.Duration(perSecond)))
@@ -56,7 +56,7 @@
 	return queue
 }
 
-func TestACallWhoseTurnComesTooLateIsRefusedAtOnce(t *testing.T) {
+func TestCannotMeetDeadline(t *testing.T) {
 	tests := []struct {
 		name    string
 		queue   *waitqueue.Queue[int]
@@ -64,28 +64,28 @@
 		call    waitqueue.Params
 		tooLate bool
 	}{
-		{"the first call of a quiet box", busy(0), 0, at(1, 240), false},
-		{"a short queue that moves", busy(60), 8, at(1, 240), false},
-		{"a queue that is too long", busy(60), 30, at(1, 240), true},
-		{"a burst at a box that has seen little", busy(2), 8, at(1, 240), false},
-		{"more than ever found room in time", busy(2), 20, at(1, 240), true},
-		{"more urgent than all of them", busy(60), 100, at(0, 240), false},
+		{"the first call of an idle box", queueWithRate(0), 0, params(1, 240), false},
+		{"a short queue that moves", queueWithRate(60), 8, params(1, 240), false},
+		{"a queue that is too long", queueWithRate(60), 30, params(1, 240), true},
+		{"a burst at a box with few admissions", queueWithRate(2), 8, params(1, 240), false},
+		{"more calls than the minimum rate admits in time", queueWithRate(2), 20, params(1, 240), true},
+		{"a higher priority than all of them", queueWithRate(60), 100, params(0, 240), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			for range test.ahead {
-				test.queue.Add(at(1, 100), 0)
+				test.queue.Add(params(1, 100), 0)
 			}
 			g.Expect(test.queue.CannotMeetDeadline(test.call, start)).To(Equal(test.tooLate))
 		})
 	}
 }
 
-func TestTheRateIsThatOfTheLastSeconds(t *testing.T) {
+func TestTheAdmissionRateDecays(t *testing.T) {
 	g := NewWithT(t)
-	queue := busy(50)
-	queue.Add(at(0, 100), 0)
-	g.Expect(queue.EstimateWait(at(0, 60_000), start)).To(BeNumerically("~", 20*time.Millisecond, 2*time.Millisecond))
-	g.Expect(queue.EstimateWait(at(0, 60_000), after(20_000))).To(Equal(20*time.Millisecond), "the least rate")
+	queue := queueWithRate(50)
+	queue.Add(params(0, 100), 0)
+	g.Expect(queue.EstimateWait(params(0, 60_000), start)).To(BeNumerically("~", 20*time.Millisecond, 2*time.Millisecond))
+	g.Expect(queue.EstimateWait(params(0, 60_000), after(20_000))).To(Equal(20*time.Millisecond), "the minimum rate")
 }
