--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,7 @@
-// Package admission lets calls wait for room at backend servers, in the order of package waitqueue.
-// Whichever goroutine of a waiting call wakes up, by an answer that ended or by its timer, places
-// all calls for which there is room, so nothing runs while no call waits.
+// Package admission queues calls that wait for room at backend servers, in the order of package
+// waitqueue. There is no scheduler goroutine: each waiting call's goroutine that wakes up, by freed
+// room or by its timer, places all calls for which there is room. So nothing runs while no call
+// waits.
 package admission
 
 import (
@@ -13,19 +14,19 @@
 )
 
 const (
-	// recheckInterval is the time between two checks of the queue without a signal of freed room:
-	// pauses of servers end, and other boxes' work does.
+	// recheckInterval is the time between two checks of the queue if no room was signalled as free:
+	// servers' pauses end without a signal, and so do calls of other boxes.
 	recheckInterval = 20 * time.Millisecond
-	// shortestRecheck is the least time between two checks, which cost some 20 µs for each
+	// minRecheckInterval is the least time between two checks, which cost some 20 µs for each
 	// server.
-	shortestRecheck = 4 * time.Millisecond
+	minRecheckInterval = 4 * time.Millisecond
 )
 
-// Config sets up a Queue of calls C, which find places P.
+// Config configures a Queue of calls C, which are assigned places P.
 type Config[C, P any] struct {
-	// TryPlace finds a place for a call now. It is never called by two at once.
+	// TryPlace returns a place for a call if there is one now. Calls of it are never concurrent.
 	TryPlace func(call C) (P, bool)
-	// Freed gives a channel that is closed when there may be room again.
+	// Freed returns a channel that is closed when there may be room again.
 	Freed func() <-chan struct{}
 }
 
@@ -38,29 +39,30 @@
 	recheckedAt time.Time
 }
 
-// waiter is a call that waits.
+// waiter is a waiting call.
 type waiter[C, P any] struct {
 	call C
-	// found gets its place.
-	found chan P
+	// placed receives the call's place.
+	placed chan P
 }
 
-// New makes an empty queue.
+// New creates an empty queue.
 func New[C, P any](cfg Config[C, P]) *Queue[C, P] { return &Queue[C, P]{cfg: cfg} }
 
 // Acquire places a call at once if there is room. Otherwise it waits until the call's turn comes,
-// its wait is over or ctx ends; not at all if its turn would come too late.
+// its wait deadline passes or ctx ends; it does not wait if the turn is expected after the
+// deadline.
 func (q *Queue[C, P]) Acquire(ctx context.Context, limits waitqueue.Params, call C) (place P, ok bool) {
-	entry, place, ok := q.enter(limits, call)
+	entry, place, ok := q.placeOrEnqueue(limits, call)
 	if entry == nil {
 		return place, ok
 	}
 	return q.wait(ctx, entry)
 }
 
-// enter places a call at once if there is room for it, and puts it into the queue otherwise.
-// Without an entry it has been placed, or to wait is pointless.
-func (q *Queue[C, P]) enter(limits waitqueue.Params, call C) (entry *waitqueue.Entry[*waiter[C, P]], place P, ok bool) {
+// placeOrEnqueue places a call at once if there is room for it, and adds it to the queue otherwise.
+// A nil entry means that the call was placed, or that waiting is pointless.
+func (q *Queue[C, P]) placeOrEnqueue(limits waitqueue.Params, call C) (entry *waitqueue.Entry[*waiter[C, P]], place P, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := boottime.Now()
@@ -74,35 +76,35 @@
 	return q.calls.Add(limits, &waiter[C, P]{call, make(chan P, 1)}), place, false
 }
 
-// wait waits until a call's turn comes, its wait is over, or ctx ends.
+// wait waits until the call is placed, its wait deadline passes, or ctx ends.
 func (q *Queue[C, P]) wait(ctx context.Context, entry *waitqueue.Entry[*waiter[C, P]]) (place P, ok bool) {
 	timer := time.NewTicker(recheckInterval)
 	defer timer.Stop()
 	for {
 		wake := q.cfg.Freed()
 		q.recheck()
-		if q.giveUp(entry) {
+		if q.expire(entry) {
 			return place, false
 		}
 		select {
-		case place = <-entry.Value.found:
+		case place = <-entry.Value.placed:
 			return place, true
 		case <-wake:
 		case <-timer.C:
 		case <-ctx.Done():
-			return q.abandon(entry)
+			return q.cancel(entry)
 		}
 	}
 }
 
-// recheck places the calls for which there is room now, in their order. One for which there
-// is none holds up nobody: with runners' memory full for long prompts, short ones and those
-// that need other weights still find some.
+// recheck places the calls for which there is room now, in their order. A call without room does
+// not block those behind it: while runners' memory is too full for long prompts, short ones and
+// those for other weights may still fit.
 func (q *Queue[C, P]) recheck() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := boottime.Now()
-	if now.Sub(q.recheckedAt) < shortestRecheck {
+	if now.Sub(q.recheckedAt) < minRecheckInterval {
 		return
 	}
 	q.recheckedAt = now
@@ -110,25 +112,25 @@
 		if place, ok := q.cfg.TryPlace(entry.Value.call); ok {
 			q.calls.Remove(entry)
 			q.calls.RecordAdmission(now)
-			entry.Value.found <- place
+			entry.Value.placed <- place
 		}
 	}
 }
 
-// giveUp takes a call out of the queue whose wait is over.
-func (q *Queue[C, P]) giveUp(entry *waitqueue.Entry[*waiter[C, P]]) bool {
+// expire removes a call from the queue once its wait deadline has passed.
+func (q *Queue[C, P]) expire(entry *waitqueue.Entry[*waiter[C, P]]) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return boottime.Now().After(entry.Deadline) && q.calls.Remove(entry) // it may have been placed just now
 }
 
-// abandon takes a call out of the queue that nobody waits for any more. It may have been placed
-// just now, which whoever gets the place finds out.
-func (q *Queue[C, P]) abandon(entry *waitqueue.Entry[*waiter[C, P]]) (place P, ok bool) {
+// cancel removes a call from the queue whose caller no longer waits. It may have been placed just
+// now; the place is then returned for the caller to release.
+func (q *Queue[C, P]) cancel(entry *waitqueue.Entry[*waiter[C, P]]) (place P, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.calls.Remove(entry) {
 		return place, false
 	}
-	return <-entry.Value.found, true
+	return <-entry.Value.placed, true
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/waitqueue"
 )
 
-// room has places for calls, and tells when one is free.
+// room is a number of places for calls, with a signal for freed ones.
 type room struct {
 	free  int
 	freed waiting.Signal
@@ -28,11 +28,11 @@
 	}})
 }
 
-func soon(wait time.Duration) waitqueue.Params {
+func waitFor(wait time.Duration) waitqueue.Params {
 	return waitqueue.Params{Deadline: time.Now().Add(wait)}
 }
 
-func TestWait(t *testing.T) {
+func TestAcquire(t *testing.T) {
 	tests := []struct {
 		name      string
 		wait      time.Duration
@@ -44,8 +44,8 @@
 		{"there is room", 0, 0, time.Hour, "place of a", 0},
 		{"room comes in time", 100 * time.Millisecond, 50 * time.Millisecond, time.Hour, "place of a", 50 * time.Millisecond},
 		{"room comes too late", 100 * time.Millisecond, time.Second, time.Hour, "", 120 * time.Millisecond},
-		{"nothing to wait for", 0, time.Second, time.Hour, "", 0},
-		{"its caller leaves", time.Second, time.Second, 30 * time.Millisecond, "", 30 * time.Millisecond},
+		{"no time to wait", 0, time.Second, time.Hour, "", 0},
+		{"its caller disconnects", time.Second, time.Second, 30 * time.Millisecond, "", 30 * time.Millisecond},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -65,8 +65,8 @@
 					r.freed.Send()
 				})
 				began := time.Now()
-				time.Sleep(time.Nanosecond) // past the moment itself
-				place, ok := q.Acquire(ctx, soon(test.wait), "a")
+				time.Sleep(time.Nanosecond) // past the instant itself
+				place, ok := q.Acquire(ctx, waitFor(test.wait), "a")
 				g.Expect(place).To(Equal(test.place))
 				g.Expect(ok).To(Equal(test.place != ""))
 				g.Expect(time.Since(began)).To(BeNumerically("~", test.took, 5*time.Millisecond))
