--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -52,8 +52,8 @@
 // Acquire places a call at once if there is room. Otherwise it waits until the call's turn comes,
 // its wait deadline passes or ctx ends; it does not wait if the turn is expected after the
 // deadline.
-func (q *Queue[C, P]) Acquire(ctx context.Context, limits waitqueue.Params, call C) (place P, ok bool) {
-	entry, place, ok := q.placeOrEnqueue(limits, call)
+func (q *Queue[C, P]) Acquire(ctx context.Context, params waitqueue.Params, call C) (place P, ok bool) {
+	entry, place, ok := q.placeOrEnqueue(params, call)
 	if entry == nil {
 		return place, ok
 	}
@@ -62,7 +62,7 @@
 
 // placeOrEnqueue places a call at once if there is room for it, and adds it to the queue otherwise.
 // A nil entry means that the call was placed, or that waiting is pointless.
-func (q *Queue[C, P]) placeOrEnqueue(limits waitqueue.Params, call C) (entry *waitqueue.Entry[*waiter[C, P]], place P, ok bool) {
+func (q *Queue[C, P]) placeOrEnqueue(params waitqueue.Params, call C) (entry *waitqueue.Entry[*waiter[C, P]], place P, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := boottime.Now()
@@ -70,10 +70,10 @@
 		q.calls.RecordAdmission(now)
 		return nil, place, true
 	}
-	if !now.Before(limits.Deadline) || q.calls.CannotMeetDeadline(limits, now) {
+	if !now.Before(params.Deadline) || q.calls.CannotMeetDeadline(params, now) {
 		return nil, place, false
 	}
-	return q.calls.Add(limits, &waiter[C, P]{call, make(chan P, 1)}), place, false
+	return q.calls.Add(params, &waiter[C, P]{call, make(chan P, 1)}), place, false
 }
 
 // wait waits until the call is placed, its wait deadline passes, or ctx ends.
--- a/internal/gateway/lateresponse_test.go
+++ b/internal/gateway/lateresponse_test.go
@@ -40,10 +40,10 @@
 			}))
 			c := promptCatalogWithTimeout(g, routeTimeout)
 			gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
-			answer := httptest.NewRecorder()
+			recorder := httptest.NewRecorder()
 			began := time.Now()
-			gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
-			g.Expect(answer.Code).To(Equal(test.status))
+			gateway.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+			g.Expect(recorder.Code).To(Equal(test.status))
 			g.Expect(time.Since(began)).To(BeNumerically("<", routeTimeout+400*time.Millisecond), "no call waits much longer")
 		})
 	}
--- a/internal/gateway/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -87,8 +87,8 @@
 	serveOne(g, gateway)
 	g.Expect(asked.Load()).To(BeZero())
 	f.SetRemote("another", []fleet.Load{{Incarnation: "r", InFlight: 2}})
-	answer := httptest.NewRecorder()
-	gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
-	g.Expect(answer.Code).To(Equal(http.StatusOK))
+	recorder := httptest.NewRecorder()
+	gateway.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+	g.Expect(recorder.Code).To(Equal(http.StatusOK))
 	g.Expect(asked.Load()).To(BeEquivalentTo(1))
 }
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -73,9 +73,9 @@
 
 // serveOne makes one call and expects it to succeed.
 func serveOne(g *WithT, gateway *Gateway) {
-	answer := httptest.NewRecorder()
-	gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
-	g.Expect(answer.Code).To(Equal(http.StatusOK))
+	recorder := httptest.NewRecorder()
+	gateway.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+	g.Expect(recorder.Code).To(Equal(http.StatusOK))
 }
 
 // promptTimeout is the timeout of the route of promptCatalog.
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -28,21 +28,21 @@
 // crashed.
 func newCrashGateway(g *WithT, crashes bool) *crashGateway {
 	f := fleet.New(fleet.Config{})
-	c := promptCatalog(g)
-	e := &crashGateway{Gateway: promptGateway(newPlanProtocol(), f, emptyIndex(c), c), fleet: f}
-	e.quarantined = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
+	configuration := promptCatalog(g)
+	c := &crashGateway{Gateway: promptGateway(newPlanProtocol(), f, emptyIndex(configuration), configuration), fleet: f}
+	c.quarantined = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
 		if change.Held {
-			e.CancelRequest(change.Request)
+			c.CancelRequest(change.Request)
 		}
 	}})
-	e.cfg.Quarantine = e.quarantined
-	e.cfg.ConfirmCrash = func(_ context.Context, loss crash.Loss) bool {
+	c.cfg.Quarantine = c.quarantined
+	c.cfg.ConfirmCrash = func(_ context.Context, loss crash.Loss) bool {
 		if crashes {
-			e.recordCrashes(loss.Server.Incarnation)
+			c.recordCrashes(loss.Server.Incarnation)
 		}
 		return crashes
 	}
-	return e
+	return c
 }
 
 // testRequest is the request of all calls in these tests.
@@ -68,7 +68,7 @@
 	return response
 }
 
-func TestTestCallsHaveTheFingerprintOfTheTestRequest(t *testing.T) {
+func TestTestRequestIsTheRequestOfTheCalls(t *testing.T) {
 	g := NewWithT(t)
 	e := newCrashGateway(g, false)
 	e.recordCrashes("x", "y")
@@ -85,9 +85,9 @@
 	var runs atomic.Int64
 	startRunner(t, e.fleet, "r", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	e.recordCrashes("x", "y", "z")
-	answer := e.call()
-	g.Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
-	g.Expect(answer.Body.String()).To(ContainSubstring(reasonCrashesServers))
+	response := e.call()
+	g.Expect(response.Code).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(response.Body.String()).To(ContainSubstring(reasonCrashesServers))
 	g.Expect(runs.Load()).To(BeZero())
 }
 
@@ -102,14 +102,14 @@
 		<-r.Context().Done()
 		close(cancelled)
 	}))
-	answers := make(chan *httptest.ResponseRecorder, 1)
-	go func() { answers <- e.call() }()
+	responses := make(chan *httptest.ResponseRecorder, 1)
+	go func() { responses <- e.call() }()
 	<-begun
 	e.recordCrashes("x", "y", "z")
 	g.Eventually(cancelled).Should(BeClosed())
-	answer := <-answers
-	g.Expect(answer.Code).To(Equal(http.StatusBadGateway), "it may have run")
-	g.Expect(answer.Body.String()).To(ContainSubstring(reasonCrashesServers))
+	response := <-responses
+	g.Expect(response.Code).To(Equal(http.StatusBadGateway), "it may have run")
+	g.Expect(response.Body.String()).To(ContainSubstring(reasonCrashesServers))
 	g.Eventually(e.InFlight).Should(BeZero())
 }
 
@@ -127,14 +127,14 @@
 		g.Expect(hold).NotTo(BeNil())
 		defer hold.Done(fleet.EndAbandoned)
 	}
-	answers := make(chan *httptest.ResponseRecorder, 1)
+	responses := make(chan *httptest.ResponseRecorder, 1)
 	began := time.Now()
-	go func() { answers <- e.call() }()
+	go func() { responses <- e.call() }()
 	g.Eventually(e.Waiting).Should(BeEquivalentTo(1))
 	e.recordCrashes("x", "y", "z")
-	answer := <-answers
-	g.Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
-	g.Expect(answer.Body.String()).To(ContainSubstring(reasonCrashesServers))
+	response := <-responses
+	g.Expect(response.Code).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(response.Body.String()).To(ContainSubstring(reasonCrashesServers))
 	g.Expect(time.Since(began)).To(BeNumerically("<", 150*time.Millisecond), "before its wait deadline")
 }
 
--- a/internal/gateway/resume_test.go
+++ b/internal/gateway/resume_test.go
@@ -40,8 +40,8 @@
 			protocol := newPlanProtocol()
 			protocol.facts.Prompt = largeMemoryPrompt()
 			gateway := promptGateway(protocol, f, emptyIndex(c), c)
-			answers := make(chan string, 1)
-			go func() { answers <- serveStream(gateway) }()
+			bodies := make(chan string, 1)
+			go func() { bodies <- serveStream(gateway) }()
 			g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 			startSecond(t, f, serveEvents("second", 0))
 			hold := f.Choose(fleet.Query{
@@ -54,7 +54,7 @@
 				time.AfterFunc(test.freeAfter, func() { hold.Done(fleet.EndServed) })
 			})
 			began := time.Now()
-			g.Expect(<-answers).To(Equal(test.served))
+			g.Expect(<-bodies).To(Equal(test.served))
 			g.Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second), "callers cancel after two seconds")
 		})
 	}
@@ -77,8 +77,8 @@
 	protocol := newPlanProtocol()
 	protocol.facts.Prompt = largeMemoryPrompt()
 	gateway := promptGateway(protocol, f, emptyIndex(c), c)
-	answers := make(chan string, 1)
-	go func() { answers <- serveStream(gateway) }()
+	bodies := make(chan string, 1)
+	go func() { bodies <- serveStream(gateway) }()
 	g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 	startSecond(t, f, serveEvents("second", 0))
 	evacuate := func(active bool, offset int64) {
@@ -90,5 +90,5 @@
 	g.Expect(f.Availability("r", nil).Servers).To(BeFalse())
 	close(crash)
 	time.AfterFunc(300*time.Millisecond, func() { evacuate(false, 2) })
-	g.Expect(<-answers).To(Equal(fullStream("second", true)))
+	g.Expect(<-bodies).To(Equal(fullStream("second", true)))
 }
--- a/internal/gateway/stalledservers_test.go
+++ b/internal/gateway/stalledservers_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, _ *http.Request)      { w.WriteHeader(http.StatusServiceUnavailable) }
+func refuse(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+
 func fail(w http.ResponseWriter, _ *http.Request)        { w.WriteHeader(http.StatusInternalServerError) }
 func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
@@ -111,14 +112,14 @@
 // serveStream makes a call and returns the body that its caller got, with "cut" appended if the
 // response was aborted.
 func serveStream(gateway *Gateway) (body string) {
-	answer := httptest.NewRecorder()
+	recorder := httptest.NewRecorder()
 	defer func() {
 		if cut := recover(); cut != nil {
-			body = answer.Body.String() + "cut"
+			body = recorder.Body.String() + "cut"
 		}
 	}()
-	gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
-	return answer.Body.String()
+	gateway.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+	return recorder.Body.String()
 }
 
 func inFlight(f *fleet.Fleet) int {
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -44,9 +44,9 @@
 			}
 			c := promptCatalog(g)
 			gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
-			answer := httptest.NewRecorder()
-			gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
-			g.Expect(answer.Code).To(Equal(test.status))
+			recorder := httptest.NewRecorder()
+			gateway.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+			g.Expect(recorder.Code).To(Equal(test.status))
 			g.Expect(runs).To(Equal(test.runs))
 		})
 	}
@@ -92,11 +92,11 @@
 			}))
 			c := promptCatalog(g)
 			gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
-			answers := make(chan *httptest.ResponseRecorder, 1)
+			responses := make(chan *httptest.ResponseRecorder, 1)
 			go func() {
-				answer := httptest.NewRecorder()
-				gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
-				answers <- answer
+				recorder := httptest.NewRecorder()
+				gateway.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+				responses <- recorder
 			}()
 			<-begun
 			machine.Suspend(test.suspended)
@@ -106,7 +106,7 @@
 			} else {
 				defer close(release)
 			}
-			g.Expect((<-answers).Code).To(Equal(test.status))
+			g.Expect((<-responses).Code).To(Equal(test.status))
 		})
 	}
 }
--- a/internal/gateway/unreachable_test.go
+++ b/internal/gateway/unreachable_test.go
@@ -31,8 +31,8 @@
 	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
 	gateway.cfg.Budget = retrybudget.New(retrybudget.Config{PerRequest: 1e-9, Burst: 1e-9})
 	for range 12 {
-		answer := httptest.NewRecorder()
-		gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
-		g.Expect(answer.Code).To(Equal(http.StatusOK))
+		recorder := httptest.NewRecorder()
+		gateway.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+		g.Expect(recorder.Code).To(Equal(http.StatusOK))
 	}
 }
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -64,12 +64,12 @@
 				gateway.cfg.Budget = retrybudget.New(retrybudget.Config{PerRequest: 1e-9, Burst: test.budget})
 				var logged syncBuffer
 				gateway.cfg.Logger = zerolog.New(&logged)
-				answers := make(chan string, 1)
-				go func() { answers <- serveStream(gateway) }()
+				bodies := make(chan string, 1)
+				go func() { bodies <- serveStream(gateway) }()
 				g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 				startSecond(t, f, test.second)
 
-				g.Expect(<-answers).To(Equal(fullStream(test.servedBy, started)), logged.String)
+				g.Expect(<-bodies).To(Equal(fullStream(test.servedBy, started)), logged.String)
 				g.Expect(logged.String()).To(ContainSubstring(test.logged))
 				g.Expect(gateway.cfg.Budget.State().Saved).To(BeNumerically("~", test.saved, 0.01))
 				if test.servedBy == "second" {
@@ -109,14 +109,14 @@
 				<-ctx.Done()
 				return false
 			}
-			answers := make(chan string, 1)
-			go func() { answers <- serveStream(gateway) }()
+			bodies := make(chan string, 1)
+			go func() { bodies <- serveStream(gateway) }()
 			g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 			startSecond(t, f, func(w http.ResponseWriter, r *http.Request) {
 				time.Sleep(stallDuration)
 				refuse(w, r)
 			})
-			g.Expect(<-answers).To(Equal(fullStream("first", started)))
+			g.Expect(<-bodies).To(Equal(fullStream("first", started)))
 			g.Eventually(func() int { return inFlight(f) }).Should(BeZero())
 		})
 	}
@@ -138,15 +138,15 @@
 	}))
 	c := resumableCatalog(g, 2)
 	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
-	answers := make(chan string, 1)
-	go func() { answers <- serveStream(gateway) }()
+	bodies := make(chan string, 1)
+	go func() { bodies <- serveStream(gateway) }()
 	g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 	startSecond(t, f, func(_ http.ResponseWriter, r *http.Request) {
 		close(hedged)
 		<-r.Context().Done()
 		close(cancelled)
 	})
-	g.Expect(<-answers).To(Equal(fullStream("first", true)))
+	g.Expect(<-bodies).To(Equal(fullStream("first", true)))
 	g.Eventually(cancelled).Should(BeClosed())
 	g.Eventually(func() int { return inFlight(f) }).Should(BeZero())
 }
@@ -164,8 +164,8 @@
 	}))
 	c := resumableCatalog(g, 2)
 	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
-	answers := make(chan string, 1)
-	go func() { answers <- serveStream(gateway) }()
+	bodies := make(chan string, 1)
+	go func() { bodies <- serveStream(gateway) }()
 	g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 	var runs atomic.Int64
 	startSecond(t, f, func(w http.ResponseWriter, r *http.Request) {
@@ -174,7 +174,7 @@
 		}
 		serveEvents("second", refusalTimeout)(w, r)
 	})
-	g.Expect(<-answers).To(Equal(fullStream("second", true)))
+	g.Expect(<-bodies).To(Equal(fullStream("second", true)))
 	g.Expect(runs.Load()).To(BeEquivalentTo(1))
 }
 
@@ -189,15 +189,15 @@
 	}))
 	c := resumableCatalog(g, 2)
 	gateway := promptGateway(newPlanProtocol(), f, emptyIndex(c), c)
-	answers := make(chan int, 1)
+	codes := make(chan int, 1)
 	go func() {
-		answer := httptest.NewRecorder()
-		gateway.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
-		answers <- answer.Code
+		recorder := httptest.NewRecorder()
+		gateway.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
+		codes <- recorder.Code
 	}()
 	g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
 	startSecond(t, f, abortConnection)
-	g.Expect(<-answers).To(Equal(http.StatusBadGateway), "unknown, and not 'not run'")
+	g.Expect(<-codes).To(Equal(http.StatusBadGateway), "unknown, and not 'not run'")
 }
 
 // The caller disconnects while a hedge is in progress: both attempts are cancelled.
@@ -230,7 +230,7 @@
 // A plain service that neither refuses a call nor responds soon may be unresponsive too, so the
 // call stays at its server. It switches to a server that responds.
 func TestAPlainServiceCallSwitchesOnlyToAServerThatResponds(t *testing.T) {
-	answer := func(text string, after time.Duration) http.HandlerFunc {
+	respond := func(text string, after time.Duration) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-time.After(after):
@@ -252,14 +252,14 @@
 			t.Parallel()
 			g := NewWithT(t)
 			f := fleet.New(fleet.Config{})
-			startRunner(t, f, "first", answer("first", stallDuration))
+			startRunner(t, f, "first", respond("first", stallDuration))
 			c := plainCatalog(g)
 			gateway := promptGateway(plainProtocol{&planProtocol{facts: call.Facts{RequestID: "q"}}}, f, emptyIndex(c), c)
-			answers := make(chan string, 1)
-			go func() { answers <- serveStream(gateway) }()
+			bodies := make(chan string, 1)
+			go func() { bodies <- serveStream(gateway) }()
 			g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
-			startSecond(t, f, answer("second", test.second))
-			g.Expect(<-answers).To(Equal(test.want))
+			startSecond(t, f, respond("second", test.second))
+			g.Expect(<-bodies).To(Equal(test.want))
 			g.Eventually(func() int { return inFlight(f) }).Should(BeZero())
 		})
 	}
--- a/internal/waitqueue/waitqueue.go
+++ b/internal/waitqueue/waitqueue.go
@@ -53,8 +53,8 @@
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
 // Add adds a call to the queue.
-func (q *Queue[T]) Add(call Params, value T) *Entry[T] {
-	entry := &Entry[T]{call, value}
+func (q *Queue[T]) Add(params Params, value T) *Entry[T] {
+	entry := &Entry[T]{params, value}
 	q.entries = append(q.entries, entry)
 	return entry
 }
@@ -94,10 +94,10 @@
 
 // EstimateWait estimates how long a call, in the queue or not, waits for its turn: as long as the
 // calls before it need to find room.
-func (q *Queue[T]) EstimateWait(call Params, now time.Time) time.Duration {
+func (q *Queue[T]) EstimateWait(params Params, now time.Time) time.Duration {
 	ahead := 0
 	for _, entry := range q.entries {
-		if entry.compare(call) < 0 {
+		if entry.compare(params) < 0 {
 			ahead++
 		}
 	}
@@ -107,6 +107,6 @@
 }
 
 // CannotMeetDeadline reports whether a call's turn is expected after its deadline.
-func (q *Queue[T]) CannotMeetDeadline(call Params, now time.Time) bool {
-	return now.Add(q.EstimateWait(call, now)).After(call.Deadline)
+func (q *Queue[T]) CannotMeetDeadline(params Params, now time.Time) bool {
+	return now.Add(q.EstimateWait(params, now)).After(params.Deadline)
 }
