--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 }
 
 func (r *room) queue() *Queue[string, string] {
-	return New(Config[string, string]{Freed: r.freed.Wait, Place: func(call string) (string, bool) {
+	return New(Config[string, string]{Freed: r.freed.Chan, Place: func(call string) (string, bool) {
 		if r.free == 0 {
 			return "", false
 		}
@@ -60,7 +60,7 @@
 					q.mu.Lock()
 					r.free++
 					q.mu.Unlock()
-					r.freed.Send()
+					r.freed.Broadcast()
 				})
 				began := time.Now()
 				time.Sleep(time.Nanosecond) // past the moment itself
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -181,14 +181,14 @@
 	defer d.mu.Unlock()
 	if len(d.open) < mostLosses {
 		d.open = append(d.open, openLoss{loss, boottime.Now().Add(lookFor)})
-		d.added.Send()
+		d.added.Broadcast()
 	}
 }
 
 // Loop looks at the registry until ctx ends.
 func (d *Detector) Loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		added := d.added.Wait()
+		added := d.added.Chan()
 		if !d.anyOpen() {
 			select {
 			case <-added:
--- a/internal/delegate/delegate.go
+++ b/internal/delegate/delegate.go
@@ -28,17 +28,17 @@
 	Zone string
 	// Cores is the processor that it may use; zero where it does not say.
 	Cores float64
-	// Away says that it is not to be chosen now: it is not heard, or did not answer. It
+	// Unavailable says that it is not to be chosen now: it is not heard, or did not answer. It
 	// counts all the same for which zones have delegates of their own, which must not change
 	// while boxes that start are heard one after the other.
-	Away bool
+	Unavailable bool
 }
 
 // Config says how many delegates there are.
 type Config struct {
 	Role Role
-	// BoxesEach bounds the boxes of one delegate.
-	BoxesEach int
+	// BoxesPerDelegate bounds the boxes of one delegate.
+	BoxesPerDelegate int
 }
 
 const (
@@ -59,9 +59,9 @@
 	return slices.MinFunc(delegates, byRank(self.Name)), true
 }
 
-// OfZone gives the first delegate of a zone, which is the same for all who know the same
+// ForZone gives the first delegate of a zone, which is the same for all who know the same
 // boxes, whatever their own zone; false where nobody is there.
-func OfZone(cfg Config, zone string, boxes []Box) (Box, bool) {
+func ForZone(cfg Config, zone string, boxes []Box) (Box, bool) {
 	delegates := ofGroup(cfg, group(zone, slices.Clone(boxes)))
 	if len(delegates) == 0 {
 		return Box{}, false
@@ -73,19 +73,19 @@
 // Where there are several they stand in for each other.
 func IsStandby(cfg Config, self Box, others []Box) bool {
 	only, other := Choose(cfg, self, others)
-	if !other || len(Foreign(cfg, self.Zone, append(slices.Clone(others), self))) > 0 {
+	if !other || len(OfOtherGroups(cfg, self.Zone, append(slices.Clone(others), self))) > 0 {
 		return false
 	}
 	rest := slices.Clone(others)
 	for i := range rest {
-		rest[i].Away = rest[i].Away || rest[i].Name == only.Name
+		rest[i].Unavailable = rest[i].Unavailable || rest[i].Name == only.Name
 	}
 	_, other = Choose(cfg, self, rest)
 	return !other
 }
 
-// Foreign gives the delegates of all groups but that of a zone.
-func Foreign(cfg Config, zone string, boxes []Box) []Box {
+// OfOtherGroups gives the delegates of all groups but that of a zone.
+func OfOtherGroups(cfg Config, zone string, boxes []Box) []Box {
 	own := map[string]bool{}
 	for _, box := range group(zone, slices.Clone(boxes)) {
 		own[box.Zone] = true
@@ -119,8 +119,8 @@
 
 // ofGroup gives the delegates of a group: as many as it needs, the first by rank.
 func ofGroup(cfg Config, boxes []Box) []Box {
-	needed := (len(boxes) + cfg.BoxesEach - 1) / cfg.BoxesEach
-	there := slices.DeleteFunc(slices.Clone(boxes), func(b Box) bool { return b.Away })
+	needed := (len(boxes) + cfg.BoxesPerDelegate - 1) / cfg.BoxesPerDelegate
+	there := slices.DeleteFunc(slices.Clone(boxes), func(b Box) bool { return b.Unavailable })
 	able := large(there)
 	if len(able) < needed {
 		able = there
--- a/internal/delegate/delegate_test.go
+++ b/internal/delegate/delegate_test.go
@@ -11,7 +11,7 @@
 )
 
 // reading is a role with few boxes for each delegate.
-var reading = delegate.Config{Role: "reader", BoxesEach: 24}
+var reading = delegate.Config{Role: "reader", BoxesPerDelegate: 24}
 
 // boxesIn makes boxes in zones of given sizes.
 func boxesIn(sizes ...int) []delegate.Box {
@@ -110,7 +110,7 @@
 		boxes[i].Cores = 0.192
 	}
 	boxes[7].Cores, boxes[31].Cores, boxes[44].Cores = 0.8, 0.8, 0.6
-	hub := delegate.Config{Role: "hub", BoxesEach: 64}
+	hub := delegate.Config{Role: "hub", BoxesPerDelegate: 64}
 	for _, left := range [][]int{{7, 31, 44}, {31, 44}, {44}} {
 		chosen, follow := delegate.Choose(hub, boxes[0], boxes[1:])
 		g.Expect(follow).To(BeTrue())
@@ -124,13 +124,13 @@
 // that its own boxes make.
 func TestTheDelegatesOfOtherGroupsAreThoseTheyChoose(t *testing.T) {
 	g := NewWithT(t)
-	hub := delegate.Config{Role: "hub", BoxesEach: 64}
+	hub := delegate.Config{Role: "hub", BoxesPerDelegate: 64}
 	for _, sizes := range [][]int{{20, 30, 70}, {20, 3, 2}, {3, 3, 2}} {
 		boxes := boxesIn(sizes...)
 		all := readersOf(hub, boxes)
 		own := readersOf(hub, delegate.Group("zone-0", boxes))
 		foreign := map[string]delegate.Box{}
-		for _, box := range delegate.Foreign(hub, "zone-0", boxes) {
+		for _, box := range delegate.OfOtherGroups(hub, "zone-0", boxes) {
 			foreign[box.Name] = box
 		}
 		g.Expect(len(own) + len(foreign)).To(Equal(len(all)))
@@ -147,21 +147,21 @@
 	g := NewWithT(t)
 	boxes := boxesIn(16, 16)
 	for i := range boxes {
-		boxes[i].Away = i != 0 && i != 3 && i != 20
+		boxes[i].Unavailable = i != 0 && i != 3 && i != 20
 	}
 	chosen, follow := delegate.Choose(reading, boxes[0], boxes[1:])
 	if follow {
 		g.Expect(chosen.Name).To(Equal("box-0-3"))
 	}
-	for _, foreign := range delegate.Foreign(reading, "zone-0", boxes) {
+	for _, foreign := range delegate.OfOtherGroups(reading, "zone-0", boxes) {
 		g.Expect(foreign.Name).To(Equal("box-1-4"))
 	}
 	for i := range boxes {
-		boxes[i].Away = i != 0
+		boxes[i].Unavailable = i != 0
 	}
 	_, follow = delegate.Choose(reading, boxes[0], boxes[1:])
 	g.Expect(follow).To(BeFalse(), "whoever hears nobody is its own")
-	g.Expect(delegate.Foreign(reading, "zone-0", boxes)).To(BeEmpty())
+	g.Expect(delegate.OfOtherGroups(reading, "zone-0", boxes)).To(BeEmpty())
 }
 
 // What the only delegate knows is known by one other box too, which needs not learn it first
@@ -208,23 +208,23 @@
 			boxes = append(boxes, delegate.Box{Name: fmt.Sprint(zone, i), Zone: zone, Cores: 1})
 		}
 	}
-	cfg := delegate.Config{Role: "hub", BoxesEach: 64}
+	cfg := delegate.Config{Role: "hub", BoxesPerDelegate: 64}
 	for _, zone := range []string{"a", "b", "c", "without boxes"} {
-		first, there := delegate.OfZone(cfg, zone, boxes)
+		first, there := delegate.ForZone(cfg, zone, boxes)
 		g.Expect(there).To(BeTrue())
 		slices.Reverse(boxes)
-		again, _ := delegate.OfZone(cfg, zone, boxes)
+		again, _ := delegate.ForZone(cfg, zone, boxes)
 		g.Expect(again).To(Equal(first))
 	}
-	owner, _ := delegate.OfZone(cfg, "a", boxes)
+	owner, _ := delegate.ForZone(cfg, "a", boxes)
 	g.Expect(owner.Zone).To(Equal("a"))
-	alone, _ := delegate.OfZone(cfg, "without boxes", boxes)
+	alone, _ := delegate.ForZone(cfg, "without boxes", boxes)
 	g.Expect(alone.Zone).To(Equal("c"), "small zones and those without boxes share one")
 	for i := range boxes {
-		boxes[i].Away = boxes[i].Name == owner.Name
+		boxes[i].Unavailable = boxes[i].Name == owner.Name
 	}
-	next, _ := delegate.OfZone(cfg, "a", boxes)
+	next, _ := delegate.ForZone(cfg, "a", boxes)
 	g.Expect(next.Name).NotTo(Equal(owner.Name))
-	_, there := delegate.OfZone(cfg, "a", nil)
+	_, there := delegate.ForZone(cfg, "a", nil)
 	g.Expect(there).To(BeFalse())
 }
--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -158,13 +158,13 @@
 func (b *Box) assembleBeliefs() {
 	b.fleet = fleet.New(fleet.Config{
 		Logger: b.logger, Off: b.settings.Off, Heartbeat: b.settings.ServerHeartbeat,
-		CallsCold:     func(zone, server string) bool { return b.share.CallsCold(zone, server) },
+		CallsCold:     func(zone, server string) bool { return b.share.OwnsColdServer(zone, server) },
 		LimitPosition: func(zone, server string) advisory.Position { return b.share.LimitPosition(zone, server) },
 	})
 	b.parts = partindex.New(partindex.Config{News: &b.partNews, Off: b.settings.Off, FirstWait: b.firstWait()})
 	b.registry = registry.New(registry.Config{
 		Log: b.log, Decoder: b.cfg.Decoder, Fleet: b.fleet, Logger: b.logger, Changed: b.configure, News: &b.news,
-		Boxes: func(records []sharedlog.Record) { b.share.TakeBoxes(records) }, FirstWait: b.firstWait(),
+		Boxes: func(records []sharedlog.Record) { b.share.ApplyBoxRecords(records) }, FirstWait: b.firstWait(),
 		Followed: func() bool { return b.readers.Following() != "" }, TellerLost: func() bool { return b.readers.TellerLost() },
 	})
 }
@@ -174,24 +174,24 @@
 func (b *Box) assembleShared() {
 	b.lease = orderlease.New(orderlease.Config{Log: b.log, Logger: b.logger, Holder: b.name, Gap: b.settings.OrderGap, Idle: b.leavesOrders})
 	b.giver = weightorders.New(weightorders.Config{
-		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.name, Off: b.settings.Off, Paused: func() { b.share.TellNow() },
+		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.name, Off: b.settings.Off, Paused: func() { b.share.SendNow() },
 		Models: b.registry.NamedModels, Wanted: func(model string) int { return b.registry.Weights(model).Version },
 	})
 	b.retire = retire.New(retire.Config{
-		Registry: b.registry, Peers: func() []retire.Peer { return b.share.Peers() }, Boxes: func() int { return b.share.Roll() },
+		Registry: b.registry, Peers: func() []retire.Peer { return b.share.Peers() }, Boxes: func() int { return b.share.ListedCount() },
 	})
 	b.watcher = storewatch.New(storewatch.Config{Stores: b.cfg.Stores, Index: b.parts, Logger: b.logger, MayFree: b.mayFree})
 	b.share = loadshare.New(loadshare.Config{
-		Log: b.log, Fleet: b.fleet, Logger: b.logger, Box: b.settings.Box, Life: shortName(b.name), Zone: b.settings.Zone, Address: b.PeerAddress(), Reader: b.ReaderAddress(), Places: b.PlacesAddress(),
-		Cores: b.settings.Cores, Off: b.settings.Off, Named: b.registry.Tell, Heard: b.registry.Hear, Snapshot: b.registry.Snapshot,
-		Lacks: b.registry.Lacks, Adopt: b.registry.Adopt, Quarantine: b.quarantine, MayCallCold: b.mayCallCold,
+		Log: b.log, Fleet: b.fleet, Logger: b.logger, Box: b.settings.Box, Incarnation: shortName(b.name), Zone: b.settings.Zone, Address: b.PeerAddress(), ReaderAddress: b.ReaderAddress(), PlacesAddress: b.PlacesAddress(),
+		Cores: b.settings.Cores, Off: b.settings.Off, NamedVersions: b.registry.Tell, MergeNamedVersions: b.registry.Hear, Snapshot: b.registry.Snapshot,
+		NeedsSnapshot: b.registry.Lacks, ApplySnapshot: b.registry.Adopt, Quarantine: b.quarantine, MayCallCold: b.mayCallCold,
 	})
 	b.readers = zonereader.New(zonereader.Config{
-		Registry: b.registry, Parts: b.parts, Logger: b.logger, News: &b.news, PartNews: &b.partNews, Others: b.otherBoxes, Known: b.share.Known,
+		Registry: b.registry, Parts: b.parts, Logger: b.logger, News: &b.news, PartNews: &b.partNews, Others: b.otherBoxes, Known: b.share.BoxListLoaded,
 		Off: b.settings.Off, Self: zonereader.Box{Box: b.self(), Address: b.ReaderAddress()},
 	})
 	b.places = places.New(places.Config{
-		Fleet: b.fleet, Logger: b.logger, Off: b.settings.Off, Others: b.otherOwners, Active: b.hasOwners, Said: b.share.SaidAt,
+		Fleet: b.fleet, Logger: b.logger, Off: b.settings.Off, Others: b.otherOwners, Active: b.hasOwners, Said: b.share.LoadSentAfter,
 		Self: places.Box{Box: b.self(), Address: b.PlacesAddress()},
 	})
 }
@@ -212,25 +212,25 @@
 
 // otherBoxes lists the boxes that may read for this one, as package zonereader wants them.
 func (b *Box) otherBoxes() []zonereader.Box {
-	others := b.share.Others()
+	others := b.share.Candidates()
 	boxes := make([]zonereader.Box, len(others))
 	for i, other := range others {
-		boxes[i] = zonereader.Box{Box: other.Box, Address: other.Reader}
+		boxes[i] = zonereader.Box{Box: other.Box, Address: other.ReaderAddress}
 	}
 	return boxes
 }
 
 // hasOwners reports whether boxes ask owners for places: a box alone has nobody to ask, and
 // before it knows the others it would own all servers by itself.
-func (b *Box) hasOwners() bool { return b.share.Known() && b.share.Boxes() > 1 }
+func (b *Box) hasOwners() bool { return b.share.BoxListLoaded() && b.share.BoxCount() > 1 }
 
 // otherOwners lists the boxes that may own servers, as package places wants them.
 func (b *Box) otherOwners() []places.Box {
-	others := b.share.Others()
+	others := b.share.Candidates()
 	boxes := make([]places.Box, len(others))
 	for i, other := range others {
-		boxes[i] = places.Box{Box: other.Box, Address: other.Places}
-		boxes[i].Away = boxes[i].Away || other.Places == ""
+		boxes[i] = places.Box{Box: other.Box, Address: other.PlacesAddress}
+		boxes[i].Unavailable = boxes[i].Unavailable || other.PlacesAddress == ""
 	}
 	return boxes
 }
@@ -241,7 +241,7 @@
 	b.gateway = gateway.New(gateway.Config{
 		Protocol: b.cfg.Protocol, Pool: b.pool,
 		Off: b.settings.Off, Fleet: b.fleet, Parts: b.parts, Logger: b.logger, Scope: b.metrics.Scope(), Zone: b.settings.Zone,
-		Budget: b.budget, Boxes: b.share.Boxes, Headroom: b.share.OwnsHeadroom, Lag: b.share.Lag,
+		Budget: b.budget, Boxes: b.share.BoxCount, Headroom: b.share.OwnsHeadroom, Lag: b.share.Lag,
 		Places: b.places, Box: b.settings.Box, Regions: b.settings.Regions,
 		Catalog: b.registry.Catalog, Weights: b.registry, Retire: b.retire, OutdatedAfter: b.settings.WeightsLimit,
 		Answers: b.answers, ServersAge: b.registry.ServersAge, Quarantine: b.quarantine, Crashed: b.crashes.Judge,
@@ -295,7 +295,7 @@
 func (b *Box) Run(ctx context.Context) error {
 	for _, loop := range []func(context.Context){
 		b.registry.LoopOperator, b.registry.LoopServers, b.lease.Loop, b.giver.Loop, b.watcher.LoopClean,
-		b.registry.LoopBoxes, b.share.LoopAnnounce, b.share.LoopLink, b.share.LoopForget, b.readers.LoopFollow, b.crashes.Loop, b.loopWake, b.loopUpkeep,
+		b.registry.LoopBoxes, b.share.LoopAnnounce, b.share.LoopMaintainLinks, b.share.LoopExpireReports, b.readers.LoopFollow, b.crashes.Loop, b.loopWake, b.loopUpkeep,
 	} {
 		b.loops.Go(func() { loop(b.background) })
 	}
--- a/internal/entrybox/suspects.go
+++ b/internal/entrybox/suspects.go
@@ -46,7 +46,7 @@
 // that must not go on.
 func (b *Box) suspectChanged(change quarantine.Change) {
 	if b.tellsAtOnce(change) {
-		b.share.TellNow()
+		b.share.SendNow()
 	}
 	if change.Held {
 		b.gateway.StopRequest(change.Request)
--- a/internal/entrybox/upkeep.go
+++ b/internal/entrybox/upkeep.go
@@ -35,13 +35,13 @@
 // is as much older from now on (package boottime).
 func (b *Box) noteSuspension(length time.Duration) {
 	b.logger.Warn().Dur("length", length).Msg("machine_suspended")
-	b.woke.Send()
+	b.woke.Broadcast()
 }
 
 // loopWake ends the calls whose time passed in a suspension, until ctx ends.
 func (b *Box) loopWake(ctx context.Context) {
 	for ctx.Err() == nil {
-		woke := b.woke.Wait()
+		woke := b.woke.Chan()
 		select {
 		case <-woke:
 			b.gateway.EndOverdue()
@@ -81,7 +81,7 @@
 
 // retryBurst is this box's part of the retries that need no calls.
 func (b *Box) retryBurst() float64 {
-	return max(1, retrySlackPart*b.settings.RetrySlack/float64(b.share.Boxes()))
+	return max(1, retrySlackPart*b.settings.RetrySlack/float64(b.share.BoxCount()))
 }
 
 func (b *Box) showGauges() {
@@ -104,7 +104,7 @@
 	scope.Gauge("servers_limited_shared").Update(float64(shared))
 	scope.Gauge("zones_evacuated").Update(float64(len(b.fleet.Evacuated())))
 	scope.Gauge("servers_read_age_seconds").Update(b.registry.ServersAge().Seconds())
-	scope.Gauge("boxes_known").Update(float64(b.share.Boxes()))
+	scope.Gauge("boxes_known").Update(float64(b.share.BoxCount()))
 	scope.Gauge("is_hub").Update(oneIf(b.share.Hub() == ""))
 	scope.Gauge("reads_for_itself").Update(oneIf(b.readers.Following() == ""))
 	scope.Gauge("boxes_heard").Update(float64(len(b.share.Peers()) + 1))
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -25,7 +25,7 @@
 	}
 	if change := state.advised.TakeAnswer(answer); change != (advisory.Change{}) {
 		f.logAdvised(state, change, sourceAnswer, boottime.Now())
-		f.changed.Send() // other boxes are to know soon
+		f.changed.Broadcast() // other boxes are to know soon
 	}
 }
 
--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -9,7 +9,7 @@
 
 // Evacuate takes over a record of the operators on a zone.
 func (f *Fleet) Evacuate(change evacuation.Change) {
-	defer f.freed.Send() // waiting calls are placed anew, or end
+	defer f.freed.Broadcast() // waiting calls are placed anew, or end
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.evacuated.Apply(change, boottime.Now()) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -321,11 +321,11 @@
 
 // Freed gives a channel that is closed when a call ends at a server, or another box tells
 // of its work.
-func (f *Fleet) Freed() <-chan struct{} { return f.freed.Wait() }
+func (f *Fleet) Freed() <-chan struct{} { return f.freed.Chan() }
 
 // Changed gives a channel that is closed when this box places a call at a server or ends one
 // there.
-func (f *Fleet) Changed() <-chan struct{} { return f.changed.Wait() }
+func (f *Fleet) Changed() <-chan struct{} { return f.changed.Chan() }
 
 // fadeEvery is the time between two rounds of fading.
 const fadeEvery = 500 * time.Millisecond
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -36,7 +36,7 @@
 
 // End has the call count no longer: its box tells of it itself, or does not use the place.
 func (g *Grant) End() {
-	defer g.fleet.freed.Send()
+	defer g.fleet.freed.Broadcast()
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
 	addWork(g.fleet.granted, g.load, -1)
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -80,7 +80,7 @@
 	if state.inFlight == 0 {
 		state.silentSince = now
 	}
-	f.changed.Send()
+	f.changed.Broadcast()
 	state.inFlight++
 	state.pendingTokens += candidate.WorkTokens
 	state.heldTokens += query.Load.Tokens
@@ -179,10 +179,10 @@
 
 // Done gives the place back and notes what the call showed of the server.
 func (h *Hold) Done(end End) {
-	defer h.fleet.freed.Send()
+	defer h.fleet.freed.Broadcast()
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
-	h.fleet.changed.Send()
+	h.fleet.changed.Broadcast()
 	h.read()
 	h.state.inFlight--
 	h.state.heldTokens -= h.held
--- a/internal/fleet/remote.go
+++ b/internal/fleet/remote.go
@@ -64,7 +64,7 @@
 // SetRemote takes over what another box last told of its work, in place of what it
 // told before; nil when the box has fallen silent.
 func (f *Fleet) SetRemote(box string, loads []Load) {
-	defer f.freed.Send()
+	defer f.freed.Broadcast()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, load := range f.remote[box] {
--- a/internal/loadshare/box_test.go
+++ b/internal/loadshare/box_test.go
@@ -39,14 +39,14 @@
 	b := &box{fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), heard: make(chan map[string][]registry.Heard, 1000), address: listener.Addr().String()}
 	b.fleet.Apply([]fleet.Update{{Key: "s", Offset: 1, Server: &fleet.Server{Incarnation: "s", Service: "s", Slots: 4}}})
 	b.share = loadshare.New(loadshare.Config{
-		Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), Box: name, Life: name, Address: b.address,
-		Named: func() map[string][]registry.Heard { return named }, Heard: func(named map[string][]registry.Heard, _ time.Time) { b.heard <- named },
-		Lacks: func() bool { return b.snapshot.Load() == nil }, Snapshot: b.snapshot.Load, Adopt: func(s registry.Snapshot) { b.snapshot.Store(&s) },
+		Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), Box: name, Incarnation: name, Address: b.address,
+		NamedVersions: func() map[string][]registry.Heard { return named }, MergeNamedVersions: func(named map[string][]registry.Heard, _ time.Time) { b.heard <- named },
+		NeedsSnapshot: func() bool { return b.snapshot.Load() == nil }, Snapshot: b.snapshot.Load, ApplySnapshot: func(s registry.Snapshot) { b.snapshot.Store(&s) },
 	})
-	list := registry.New(registry.Config{Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), Boxes: b.share.TakeBoxes})
+	list := registry.New(registry.Config{Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), Boxes: b.share.ApplyBoxRecords})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stop = cancel
-	for _, loop := range []func(context.Context){b.share.LoopAnnounce, b.share.LoopLink, b.share.LoopForget, list.LoopBoxes} {
+	for _, loop := range []func(context.Context){b.share.LoopAnnounce, b.share.LoopMaintainLinks, b.share.LoopExpireReports, list.LoopBoxes} {
 		go loop(ctx)
 	}
 	go b.share.LoopAccept(ctx, listener)
--- a/internal/loadshare/boxes.go
+++ b/internal/loadshare/boxes.go
@@ -39,9 +39,9 @@
 	Address string `msgpack:"a"`
 	Life    string `msgpack:"l"`
 	Zone    string `msgpack:"z,omitempty"`
-	// Reader is where boxes that follow this one ask it.
+	// ReaderAddress is where boxes that follow this one ask it.
 	Reader string `msgpack:"v,omitempty"`
-	// Places is where boxes ask it for places at servers that it owns.
+	// PlacesAddress is where boxes ask it for places at servers that it owns.
 	Places string `msgpack:"p,omitempty"`
 	// Cores is the processor that the box may use.
 	Cores float64 `msgpack:"c,omitempty"`
@@ -66,7 +66,7 @@
 	pause := announcePause
 	s.awaitList(ctx)
 	for ctx.Err() == nil {
-		wake := s.unlisted.Wait()
+		wake := s.unlisted.Chan()
 		switch {
 		case s.isAnnounced():
 			select {
@@ -86,7 +86,7 @@
 // awaitList waits for the list of boxes, for a while.
 func (s *Share) awaitList(ctx context.Context) {
 	end := boottime.Now().Add(listWait)
-	for !s.Known() && boottime.Now().Before(end) && ctx.Err() == nil {
+	for !s.BoxListLoaded() && boottime.Now().Before(end) && ctx.Err() == nil {
 		waiting.For(ctx, listLook)
 	}
 }
@@ -140,9 +140,9 @@
 	s.announced, s.announcedOffset = true, offset
 }
 
-// TakeBoxes takes over what is new in the list of boxes. From the first time on boxes come
+// ApplyBoxRecords takes over what is new in the list of boxes. From the first time on boxes come
 // from the list alone.
-func (s *Share) TakeBoxes(records []sharedlog.Record) {
+func (s *Share) ApplyBoxRecords(records []sharedlog.Record) {
 	for _, record := range records {
 		s.take(record)
 	}
@@ -159,7 +159,7 @@
 			}
 		}
 	}
-	s.relink.Send()
+	s.relink.Broadcast()
 }
 
 // decode reads what a record says of its box: nothing when the box has left.
@@ -193,14 +193,14 @@
 		s.noteAnnounced(record.Offset)
 	case !says && s.announced && record.Offset > s.announcedOffset:
 		s.announced = false
-		s.unlisted.Send()
+		s.unlisted.Broadcast()
 		s.cfg.Logger.Info().Int64("offset", record.Offset).Msg("box_no_longer_listed")
 	}
 }
 
 // announcement is what this box says of itself.
 func (s *Share) announcement() announcement {
-	return announcement{Address: s.cfg.Address, Life: s.cfg.Life, Zone: s.cfg.Zone, Reader: s.cfg.Reader, Places: s.cfg.Places, Cores: s.cfg.Cores}
+	return announcement{Address: s.cfg.Address, Life: s.cfg.Incarnation, Zone: s.cfg.Zone, Reader: s.cfg.ReaderAddress, Places: s.cfg.PlacesAddress, Cores: s.cfg.Cores}
 }
 
 // take takes over where a box is reached.
@@ -223,15 +223,15 @@
 	delete(s.avoided, record.Key) // it has just started
 }
 
-// Roll counts the boxes that are announced, this one included; zero while that is not
+// ListedCount counts the boxes that are announced, this one included; zero while that is not
 // known. A box that has not read the list goes by those that have.
-func (s *Share) Roll() int {
+func (s *Share) ListedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.roll()
 }
 
-// roll is Roll for a caller that holds mu.
+// roll is ListedCount for a caller that holds mu.
 func (s *Share) roll() int {
 	if s.followed {
 		return len(s.peers) + 1
@@ -239,31 +239,31 @@
 	return s.rollOfOthers()
 }
 
-// Other is another box that may do something for this one.
-type Other struct {
+// Candidate is another box that may do something for this one.
+type Candidate struct {
 	delegate.Box
-	// Reader is where boxes that follow it ask it.
-	Reader string
-	// Places is where it is asked for places at servers that it owns.
-	Places string
+	// ReaderAddress is where boxes that follow it ask it.
+	ReaderAddress string
+	// PlacesAddress is where it is asked for places at servers that it owns.
+	PlacesAddress string
 }
 
-// Others lists the other boxes, which may read for this one unless they are away.
-func (s *Share) Others() []Other {
+// Candidates lists the other boxes, which may read for this one unless they are away.
+func (s *Share) Candidates() []Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	boxes := s.others(boottime.Now())
-	others := make([]Other, len(boxes))
+	others := make([]Candidate, len(boxes))
 	for i, box := range boxes {
-		others[i] = Other{Box: box, Reader: s.peers[box.Name].reader, Places: s.peers[box.Name].places}
-		others[i].Away = box.Away || others[i].Reader == ""
+		others[i] = Candidate{Box: box, ReaderAddress: s.peers[box.Name].reader, PlacesAddress: s.peers[box.Name].places}
+		others[i].Unavailable = box.Unavailable || others[i].ReaderAddress == ""
 	}
 	return others
 }
 
-// SaidAt gives a moment after which another box has said what this one has of its work; zero
+// LoadSentAfter gives a moment after which another box has said what this one has of its work; zero
 // when it is not heard first-hand, or when that is not known.
-func (s *Share) SaidAt(box string) time.Time {
+func (s *Share) LoadSentAfter(box string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if last := s.heard[box]; last != nil {
@@ -272,15 +272,15 @@
 	return time.Time{}
 }
 
-// Known reports whether the list of boxes has been read.
-func (s *Share) Known() bool {
+// BoxListLoaded reports whether the list of boxes has been read.
+func (s *Share) BoxListLoaded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.followed
 }
 
-// Boxes counts the boxes that are known of, this one included.
-func (s *Share) Boxes() int {
+// BoxCount counts the boxes that are known of, this one included.
+func (s *Share) BoxCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.peers) + 1
--- a/internal/loadshare/cold.go
+++ b/internal/loadshare/cold.go
@@ -17,8 +17,8 @@
 // maxColdOwners bounds the answers that are remembered, one for each life of a cold server.
 const maxColdOwners = 4096
 
-// CallsCold reports whether it is this box that calls a cold server of a zone.
-func (s *Share) CallsCold(zone, server string) bool {
+// OwnsColdServer reports whether it is this box that calls a cold server of a zone.
+func (s *Share) OwnsColdServer(zone, server string) bool {
 	if !s.cfg.MayCallCold() {
 		return false
 	}
--- a/internal/loadshare/cold_test.go
+++ b/internal/loadshare/cold_test.go
@@ -79,9 +79,9 @@
 }
 
 func (b *coldBox) start(now time.Time) {
-	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop(), CallsCold: func(zone, server string) bool { return b.share.CallsCold(zone, server) }})
+	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop(), CallsCold: func(zone, server string) bool { return b.share.OwnsColdServer(zone, server) }})
 	b.share = loadshare.New(loadshare.Config{
-		Fleet: b.fleet, Logger: zerolog.Nop(), Box: b.name, Life: fmt.Sprint(b.name, "/", now), Zone: coldZone, Address: b.name,
+		Fleet: b.fleet, Logger: zerolog.Nop(), Box: b.name, Incarnation: fmt.Sprint(b.name, "/", now), Zone: coldZone, Address: b.name,
 		MayCallCold: func() bool {
 			return b.leavingSince.IsZero() && (b.h.withoutLapse || time.Since(b.inTouchAt) < freshFor)
 		},
@@ -121,7 +121,7 @@
 		next++
 	}
 	if next > b.read {
-		b.share.TakeBoxes(b.h.list[b.read:next])
+		b.share.ApplyBoxRecords(b.h.list[b.read:next])
 		b.read = next
 	}
 }
--- a/internal/loadshare/hear.go
+++ b/internal/loadshare/hear.go
@@ -83,10 +83,10 @@
 func (s *Share) hear(m message) {
 	s.acquaint(m)
 	if m.Snapshot != nil {
-		s.cfg.Adopt(*m.Snapshot)
+		s.cfg.ApplySnapshot(*m.Snapshot)
 	}
 	s.cfg.Quarantine.Hear(m.Suspects) // before they are acknowledged
-	s.cfg.Heard(m.Named, s.note(m))
+	s.cfg.MergeNamedVersions(m.Named, s.note(m))
 	s.cfg.Fleet.SetRemote(m.Box, m.Loads)
 	if !m.FarKept {
 		s.cfg.Fleet.SetRemote(farOf(m.Box), m.Far)
@@ -103,10 +103,10 @@
 // what anybody did.
 func (s *Share) passOnAtOnce(m message) {
 	if m.Hub == s.cfg.Box {
-		s.TellNow()
+		s.SendNow()
 		return
 	}
-	s.urgent.Send()
+	s.urgent.Broadcast()
 }
 
 // late reports whether a message was overtaken by a later one of the same life, on a
@@ -132,7 +132,7 @@
 	}
 	last.receivedAt, last.life, last.sent = boottime.Now(), m.Life, m.Sent
 	last.at, last.echoed, last.ack, last.suspectsAck = time.Time{}, 0, 0, 0
-	if m.EchoLife == s.cfg.Life {
+	if m.EchoLife == s.cfg.Incarnation {
 		last.at, last.echoed = s.started.Add(m.Echo+m.EchoHeld), m.Echo
 		last.ack, last.ackAll, last.suspectsAck = m.Ack, m.AckAll, m.SuspectsAck
 	}
@@ -154,7 +154,7 @@
 		s.noteReached(m.Box)
 	}
 	if first || wanted != last.chosen {
-		s.relink.Send()
+		s.relink.Broadcast()
 	}
 	return last.at
 }
@@ -166,13 +166,13 @@
 	delete(s.avoided, box)
 	s.othersAt = time.Time{}
 	if told := s.telling[box]; told != nil {
-		told.reached.Send()
+		told.reached.Broadcast()
 	}
 }
 
-// LoopForget lets the work of silent boxes count as nothing, and keeps what is known of all
+// LoopExpireReports lets the work of silent boxes count as nothing, and keeps what is known of all
 // boxes, until ctx ends.
-func (s *Share) LoopForget(ctx context.Context) {
+func (s *Share) LoopExpireReports(ctx context.Context) {
 	for waiting.For(ctx, forgetEvery) {
 		for _, box := range s.forgetSilent(silentAfter * s.longestInterval()) {
 			s.cfg.Fleet.SetRemote(box, nil)
--- a/internal/loadshare/hubs_test.go
+++ b/internal/loadshare/hubs_test.go
@@ -181,21 +181,21 @@
 	var share *loadshare.Share
 	a.suspects = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
 		if !change.Heard {
-			share.TellNow()
+			share.SendNow()
 		}
 	}})
 	share = loadshare.New(loadshare.Config{
 		Quarantine: a.suspects,
-		Fleet:      known, Logger: zerolog.Nop(), Box: a.name, Life: fmt.Sprint(a.name, "/", a.life), Zone: a.zone, Cores: a.cores, Address: a.name, Reader: a.name,
-		Named: a.named, Heard: func(told map[string][]registry.Heard, _ time.Time) { a.hear(told) },
-		Lacks: func() bool { return false }, Snapshot: func() *registry.Snapshot { return nil }, Dial: h.fabric.dialFrom(a.name),
+		Fleet:      known, Logger: zerolog.Nop(), Box: a.name, Incarnation: fmt.Sprint(a.name, "/", a.life), Zone: a.zone, Cores: a.cores, Address: a.name, ReaderAddress: a.name,
+		NamedVersions: a.named, MergeNamedVersions: func(told map[string][]registry.Heard, _ time.Time) { a.hear(told) },
+		NeedsSnapshot: func() bool { return false }, Snapshot: func() *registry.Snapshot { return nil }, Dial: h.fabric.dialFrom(a.name),
 	})
 	a.share = share
-	a.share.TakeBoxes(h.list())
+	a.share.ApplyBoxRecords(h.list())
 	ctx, a.stop = context.WithCancel(ctx)
 	listener := h.fabric.listen(a.name)
 	var loops sync.WaitGroup
-	for _, loop := range []func(context.Context){a.share.LoopLink, a.share.LoopForget} {
+	for _, loop := range []func(context.Context){a.share.LoopMaintainLinks, a.share.LoopExpireReports} {
 		loops.Go(func() { loop(ctx) })
 	}
 	loops.Go(func() { share.LoopAccept(ctx, listener) })
--- a/internal/loadshare/links.go
+++ b/internal/loadshare/links.go
@@ -44,7 +44,7 @@
 )
 
 // hubRole is what a hub does for the other boxes of its zone.
-var hubRole = delegate.Config{Role: "hub", BoxesEach: boxesPerHub}
+var hubRole = delegate.Config{Role: "hub", BoxesPerDelegate: boxesPerHub}
 
 // hubs reports whether boxes tell each other by way of hubs. The caller holds mu.
 func (s *Share) hubs() bool {
@@ -58,16 +58,16 @@
 	return s.hub
 }
 
-// LoopLink tells those that are to be told until ctx ends.
-func (s *Share) LoopLink(ctx context.Context) {
+// LoopMaintainLinks tells those that are to be told until ctx ends.
+func (s *Share) LoopMaintainLinks(ctx context.Context) {
 	linkedAt := time.Time{}
 	for ctx.Err() == nil {
-		wake := s.relink.Wait()
+		wake := s.relink.Chan()
 		if !s.isSettled() || boottime.Since(linkedAt) >= settledEvery {
 			s.link(ctx)
 			linkedAt = boottime.Now()
 		}
-		waiting.ForOr(ctx, linkEvery, wake)
+		waiting.ForOrSignal(ctx, linkEvery, wake)
 		if isClosed(wake) {
 			linkedAt = time.Time{} // whoever woke this loop is to be told now
 		}
@@ -146,7 +146,7 @@
 	for _, box := range delegate.Group(s.cfg.Zone, others) {
 		wanted[box.Name] = true
 	}
-	for _, box := range delegate.Foreign(hubRole, s.cfg.Zone, append(others, s.self())) {
+	for _, box := range delegate.OfOtherGroups(hubRole, s.cfg.Zone, append(others, s.self())) {
 		wanted[box.Name] = true
 	}
 	return wanted
@@ -181,7 +181,7 @@
 	s.othersAt = time.Time{}
 	if box == s.hub {
 		s.cfg.Logger.Warn().Str("hub", box).Msg("hub_unreachable")
-		s.relink.Send()
+		s.relink.Broadcast()
 	}
 }
 
@@ -211,7 +211,7 @@
 	boxes := make([]delegate.Box, 0, len(s.peers))
 	for name, known := range s.peers {
 		away := now.Before(s.avoided[name]) || heardIn[known.zone] && s.known[name] == nil && !followed[name]
-		boxes = append(boxes, delegate.Box{Name: name, Zone: known.zone, Cores: known.cores, Away: away})
+		boxes = append(boxes, delegate.Box{Name: name, Zone: known.zone, Cores: known.cores, Unavailable: away})
 	}
 	return boxes
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -47,27 +47,27 @@
 	Log    sharedlog.Log
 	Fleet  *fleet.Fleet
 	Logger zerolog.Logger
-	// Box names this box, Life this life of it.
-	Box  string
-	Life string
-	// Address is where other boxes reach this one, Reader where those that follow it ask
-	// it, Places where it is asked for places, Zone its availability zone, and Cores the processor that it may use.
-	Address string
-	Reader  string
-	Places  string
-	Zone    string
-	Cores   float64
-	// Named gives the weights that this box knows to be named, by model, the newest
-	// last, and Heard takes over what another box knew at asOf, or some time before
+	// Box names this box, Incarnation this life of it.
+	Box         string
+	Incarnation string
+	// Address is where other boxes reach this one, ReaderAddress where those that follow it ask
+	// it, PlacesAddress where it is asked for places, Zone its availability zone, and Cores the processor that it may use.
+	Address       string
+	ReaderAddress string
+	PlacesAddress string
+	Zone          string
+	Cores         float64
+	// NamedVersions gives the weights that this box knows to be named, by model, the newest
+	// last, and MergeNamedVersions takes over what another box knew at asOf, or some time before
 	// now when asOf is zero.
-	Named func() map[string][]registry.Heard
-	Heard func(named map[string][]registry.Heard, asOf time.Time)
-	// Lacks reports that this box has no configuration and cannot read the log. Snapshot
-	// gives what it read of the log, or nil while it has no configuration; Adopt takes
+	NamedVersions      func() map[string][]registry.Heard
+	MergeNamedVersions func(named map[string][]registry.Heard, asOf time.Time)
+	// NeedsSnapshot reports that this box has no configuration and cannot read the log. Snapshot
+	// gives what it read of the log, or nil while it has no configuration; ApplySnapshot takes
 	// over that of another box.
-	Lacks    func() bool
-	Snapshot func() *registry.Snapshot
-	Adopt    func(registry.Snapshot)
+	NeedsSnapshot func() bool
+	Snapshot      func() *registry.Snapshot
+	ApplySnapshot func(registry.Snapshot)
 	// Quarantine knows which requests end servers; nil stands for one that knows nothing.
 	Quarantine *quarantine.Set
 	// MayCallCold reports whether this box may call cold servers at all; nil means that it may.
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -24,10 +24,10 @@
 	g.Eventually(b.knows, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	g.Expect(<-b.heard).To(Equal(told))
 	g.Expect(b.share.Peers()[0].Weights).To(Equal(map[string]int{"m": 3}))
-	g.Expect(a.share.Boxes()).To(Equal(2))
+	g.Expect(a.share.BoxCount()).To(Equal(2))
 	a.stop()
 	g.Eventually(b.knows, 3*time.Second, 10*time.Millisecond).Should(BeFalse())
-	g.Eventually(b.share.Boxes, 3*time.Second, 10*time.Millisecond).Should(Equal(1), "a planned stop takes the box off the list")
+	g.Eventually(b.share.BoxCount, 3*time.Second, 10*time.Millisecond).Should(Equal(1), "a planned stop takes the box off the list")
 }
 
 func TestTheWorkOfOtherBoxesIsKnown(t *testing.T) {
@@ -63,6 +63,6 @@
 	late := start(t, away, "late", nil)
 	list(g, log, "late", late.address)
 	g.Eventually(late.snapshot.Load, 5*time.Second, 10*time.Millisecond).Should(HaveValue(Equal(want)))
-	g.Eventually(late.share.Roll, 3*time.Second, 10*time.Millisecond).Should(Equal(4), "three are listed, and it may not be")
+	g.Eventually(late.share.ListedCount, 3*time.Second, 10*time.Millisecond).Should(Equal(4), "three are listed, and it may not be")
 	g.Eventually(a.knows, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 }
--- a/internal/loadshare/silent_test.go
+++ b/internal/loadshare/silent_test.go
@@ -112,7 +112,7 @@
 	g := NewWithT(t)
 	whole, older := fakesharedlog.New(), fakesharedlog.New()
 	b := start(t, older, "b", nil)
-	g.Eventually(b.share.Roll, "5s", "10ms").Should(Equal(1), "b has read its list")
+	g.Eventually(b.share.ListedCount, "5s", "10ms").Should(Equal(1), "b has read its list")
 	way := newRelay(t, b.address)
 	list(g, whole, "b", way.listener.Addr().String())
 	start(t, whole, "a", nil)
--- a/internal/loadshare/standing.go
+++ b/internal/loadshare/standing.go
@@ -164,7 +164,7 @@
 	}
 	if len(heard)+len(silent) > 0 {
 		s.limits.forget()
-		s.relink.Send()
+		s.relink.Broadcast()
 	}
 }
 
--- a/internal/loadshare/tell.go
+++ b/internal/loadshare/tell.go
@@ -62,7 +62,7 @@
 // loopTellPeer tells one peer this box's work until ctx ends.
 func (s *Share) loopTellPeer(ctx context.Context, box string, told *telling) {
 	for ctx.Err() == nil {
-		reached := told.reached.Wait()
+		reached := told.reached.Chan()
 		dialing, cancel := context.WithTimeout(ctx, ioLimit)
 		connection, err := s.cfg.Dial(dialing, told.address)
 		cancel()
@@ -73,7 +73,7 @@
 		if ctx.Err() == nil {
 			s.avoid(box)
 		}
-		waiting.ForOr(ctx, connectEvery, reached)
+		waiting.ForOrSignal(ctx, connectEvery, reached)
 	}
 }
 
@@ -87,7 +87,7 @@
 			s.cfg.Logger.Warn().Str("other", box).Msg("box_connection_silent")
 			return
 		}
-		wake := s.urgent.Wait()
+		wake := s.urgent.Chan()
 		m := s.compose(box)
 		m.Address, address = address, ""
 		if err := s.send(connection, m); err != nil {
@@ -97,13 +97,13 @@
 	}
 }
 
-// TellNow tells all peers at once: something that they, and those who follow them, must know
+// SendNow tells all peers at once: something that they, and those who follow them, must know
 // before the next message is due.
-func (s *Share) TellNow() {
+func (s *Share) SendNow() {
 	s.mu.Lock()
 	s.urgency++
 	s.mu.Unlock()
-	s.urgent.Send()
+	s.urgent.Broadcast()
 }
 
 // unanswered reports whether another box has echoed nothing for too long, of what was
@@ -123,7 +123,7 @@
 // compose writes down this box's work for another box, and what it passes on.
 func (s *Share) compose(box string) message {
 	own := s.cfg.Fleet.Loads()
-	m := message{Box: s.cfg.Box, Life: s.cfg.Life, Named: s.cfg.Named(), Lacks: s.cfg.Lacks(), Snapshot: s.handOver(box)}
+	m := message{Box: s.cfg.Box, Life: s.cfg.Incarnation, Named: s.cfg.NamedVersions(), Lacks: s.cfg.NeedsSnapshot(), Snapshot: s.handOver(box)}
 	all, farDue := s.composeKnown(&m, box, own)
 	if !all {
 		return m
@@ -193,7 +193,7 @@
 // pause lies between two messages to a peer.
 func (s *Share) pause(ctx context.Context, box string, wake <-chan struct{}) {
 	if s.Hub() != box {
-		waiting.ForOr(ctx, s.interval(box), wake)
+		waiting.ForOrSignal(ctx, s.interval(box), wake)
 		return
 	}
 	began := boottime.Now()
@@ -202,7 +202,7 @@
 	case <-wake:
 		return
 	case <-news:
-		waiting.ForOr(ctx, newsEvery-boottime.Since(began), wake)
+		waiting.ForOrSignal(ctx, newsEvery-boottime.Since(began), wake)
 	case <-time.After(restEvery):
 	case <-ctx.Done():
 	}
--- a/internal/loadshare/withoutlog.go
+++ b/internal/loadshare/withoutlog.go
@@ -29,7 +29,7 @@
 		return
 	}
 	s.peers[m.Box] = &peer{address: m.Address}
-	s.relink.Send()
+	s.relink.Broadcast()
 }
 
 // handOver gives what a box is handed with the next message: nil when it lacks nothing or
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -193,7 +193,7 @@
 	s.takeUnfinished(report.Unfinished)
 	x.noteListed(s, report.AsOf)
 	s.told.mend(before, s.held)
-	x.news.Send()
+	x.news.Broadcast()
 }
 
 // heldIn gives what a store box is known to keep in a life; nothing in another one.
@@ -240,7 +240,7 @@
 	s.told.note(s.next, report)
 	x.take(s, report)
 	if len(report.Changes) > 0 {
-		x.news.Send()
+		x.news.Broadcast()
 	}
 	return true
 }
--- a/internal/partindex/told.go
+++ b/internal/partindex/told.go
@@ -87,7 +87,7 @@
 func (x *Index) waitUntil(s *store, until time.Time) {
 	s.told.until = until
 	if s.told.lapse == nil {
-		s.told.lapse = time.AfterFunc(boottime.Until(until), x.askItself.Send)
+		s.told.lapse = time.AfterFunc(boottime.Until(until), x.askItself.Broadcast)
 		return
 	}
 	s.told.lapse.Reset(boottime.Until(until))
@@ -301,7 +301,7 @@
 		s.told.until = time.Time{}
 	}
 	x.mu.Unlock()
-	x.askItself.Send()
+	x.askItself.Broadcast()
 }
 
 // Follows reports whether another box tells this one of store boxes.
@@ -314,7 +314,7 @@
 // WaitWhileTold waits while another box tells of a store box, and reports whether it had to.
 func (x *Index) WaitWhileTold(ctx context.Context, address string) (waited bool) {
 	for ctx.Err() == nil {
-		wake := x.askItself.Wait()
+		wake := x.askItself.Chan()
 		if !x.Told(address) {
 			return waited
 		}
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -111,7 +111,7 @@
 
 // owning is what the owner of a zone does. The order is that of hubs, so that it is one, and
 // there is one for however many boxes.
-var owning = delegate.Config{Role: "hub", BoxesEach: 1 << 30}
+var owning = delegate.Config{Role: "hub", BoxesPerDelegate: 1 << 30}
 
 // ownersFor is how long owners are remembered that were worked out: to rank 300 boxes takes
 // 0.1 ms, and which are there changes seldom.
@@ -138,7 +138,7 @@
 	for i, box := range all {
 		boxes[i] = box.Box
 	}
-	chosen, there := delegate.OfZone(owning, zone, boxes)
+	chosen, there := delegate.ForZone(owning, zone, boxes)
 	if !there {
 		return Box{}, false
 	}
--- a/internal/registry/read.go
+++ b/internal/registry/read.go
@@ -92,14 +92,14 @@
 // and as long as it can read neither stream, it asks for one of them. That none reads for
 // this box any more ends the pause.
 func (r *Registry) pauseAfter(ctx context.Context, stream sharedlog.Stream, failed int, usual time.Duration) {
-	ended, back := r.readItself.Wait(), r.back.Wait()
+	ended, back := r.readItself.Chan(), r.back.Chan()
 	switch {
 	case failed < 2 && !r.cfg.TellerLost() || !r.cfg.Followed():
 		waiting.For(ctx, usual/2+rand.N(usual))
 	case stream == sharedlog.Servers && r.Lost():
-		waiting.ForOr(ctx, longestServersPause, back)
+		waiting.ForOrSignal(ctx, longestServersPause, back)
 	default:
-		waiting.ForOr(ctx, leastFollowerPause+rand.N(spreadFollowerPause), ended)
+		waiting.ForOrSignal(ctx, leastFollowerPause+rand.N(spreadFollowerPause), ended)
 	}
 }
 
@@ -178,7 +178,7 @@
 		case sharedlog.Servers:
 			r.cfg.Fleet.RegistryBack()
 		case sharedlog.Operator:
-			r.back.Send()
+			r.back.Broadcast()
 		}
 	}
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -224,7 +224,7 @@
 	news := r.tail(stream).take(read)
 	r.mu.Unlock()
 	if len(news) > 0 || read.whole {
-		r.news.Send()
+		r.news.Broadcast()
 	}
 	switch stream {
 	case sharedlog.Servers:
--- a/internal/registry/told.go
+++ b/internal/registry/told.go
@@ -145,7 +145,7 @@
 	}
 	r.cfg.Logger.Warn().Stringer("stream", word.Stream).Int64("offset", word.Next).Msg("view_differs")
 	t.reread, t.toldUntil = true, time.Time{}
-	r.readItself.Send()
+	r.readItself.Broadcast()
 }
 
 // Told reports whether this box goes by what another one reads of the operators' stream.
@@ -170,14 +170,14 @@
 		t.toldUntil = time.Time{}
 	}
 	r.mu.Unlock()
-	r.readItself.Send()
+	r.readItself.Broadcast()
 }
 
 // waitWhileTold waits while what another box told of a stream counts, and reports whether
 // there was any such time.
 func (r *Registry) waitWhileTold(ctx context.Context, stream sharedlog.Stream) (waited bool) {
 	for ctx.Err() == nil {
-		wake := r.readItself.Wait()
+		wake := r.readItself.Chan()
 		r.mu.Lock()
 		left := boottime.Until(r.tail(stream).toldUntil)
 		r.mu.Unlock()
@@ -185,7 +185,7 @@
 			return waited
 		}
 		waited = true
-		waiting.ForOr(ctx, left, wake)
+		waiting.ForOrSignal(ctx, left, wake)
 	}
 	return waited
 }
--- a/internal/waiting/signal.go
+++ b/internal/waiting/signal.go
@@ -12,8 +12,8 @@
 	wake chan struct{}
 }
 
-// Wait gives a channel that is closed by the next Send.
-func (s *Signal) Wait() <-chan struct{} {
+// Chan gives a channel that is closed by the next Broadcast.
+func (s *Signal) Chan() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wake == nil {
@@ -22,8 +22,8 @@
 	return s.wake
 }
 
-// Send wakes all that wait now.
-func (s *Signal) Send() {
+// Broadcast wakes all that wait now.
+func (s *Signal) Broadcast() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wake != nil {
@@ -32,8 +32,8 @@
 	}
 }
 
-// ForOr waits for a time, or until wake is closed or ctx ends when that comes first.
-func ForOr(ctx context.Context, length time.Duration, wake <-chan struct{}) {
+// ForOrSignal waits for a time, or until wake is closed or ctx ends when that comes first.
+func ForOrSignal(ctx context.Context, length time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
--- a/internal/zonereader/follow.go
+++ b/internal/zonereader/follow.go
@@ -79,7 +79,7 @@
 	now := boottime.Now()
 	for i, box := range others {
 		boxes[i], addresses[box.Name] = box.Box, box.Address
-		boxes[i].Away = box.Away || now.Before(z.avoided[box.Name])
+		boxes[i].Unavailable = box.Unavailable || now.Before(z.avoided[box.Name])
 	}
 	z.standby = delegate.IsStandby(reading, z.cfg.Self.Box, boxes)
 	chosen, follow := delegate.Choose(reading, z.cfg.Self.Box, boxes)
--- a/internal/zonereader/zonereader.go
+++ b/internal/zonereader/zonereader.go
@@ -47,7 +47,7 @@
 const boxesPerReader = 64
 
 // reading is what a reader does for the other boxes of its zone.
-var reading = delegate.Config{Role: "reader", BoxesEach: boxesPerReader}
+var reading = delegate.Config{Role: "reader", BoxesPerDelegate: boxesPerReader}
 
 // Config sets up a Zone.
 type Config struct {
@@ -229,7 +229,7 @@
 	z.cfg.Parts.Doubt(asked.Doubted)
 	atOnce := z.tellsPartsAtOnce() || asked.lacksStores()
 	for {
-		wake, partsWake := z.cfg.News.Wait(), z.cfg.PartNews.Wait()
+		wake, partsWake := z.cfg.News.Chan(), z.cfg.PartNews.Chan()
 		if !atOnce {
 			partsWake = nil
 		}
