--- a/internal/loadshare/box_test.go
+++ b/internal/loadshare/box_test.go
@@ -18,29 +18,29 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// box is one of several boxes that share a log and tell each other on loopback.
+// box is one of several boxes that share a log and send each other reports on loopback.
 type box struct {
-	fleet *fleet.Fleet
-	share *loadshare.Share
-	heard chan map[string][]registry.Heard
-	// snapshot is what the box has of the log.
+	fleet    *fleet.Fleet
+	share    *loadshare.Share
+	received chan map[string][]registry.Heard
+	// snapshot is what the box has read from the log.
 	snapshot atomic.Pointer[registry.Snapshot]
 	stop     context.CancelFunc
 	address  string
 }
 
-// start runs a box until the end of the test, or until its stop is called.
-func start(t *testing.T, log *fakesharedlog.Log, name string, named map[string][]registry.Heard) *box {
+// startBox runs a box until the end of the test, or until its stop is called.
+func startBox(t *testing.T, log *fakesharedlog.Log, name string, named map[string][]registry.Heard) *box {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &box{fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), heard: make(chan map[string][]registry.Heard, 1000), address: listener.Addr().String()}
+	b := &box{fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), received: make(chan map[string][]registry.Heard, 1000), address: listener.Addr().String()}
 	b.fleet.Apply([]fleet.Update{{Key: "s", Offset: 1, Server: &fleet.Server{Incarnation: "s", Service: "s", Slots: 4}}})
 	b.share = loadshare.New(loadshare.Config{
 		Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), Box: name, Incarnation: name, Address: b.address,
-		NamedVersions: func() map[string][]registry.Heard { return named }, MergeNamedVersions: func(named map[string][]registry.Heard, _ time.Time) { b.heard <- named },
+		NamedVersions: func() map[string][]registry.Heard { return named }, MergeNamedVersions: func(named map[string][]registry.Heard, _ time.Time) { b.received <- named },
 		NeedsSnapshot: func() bool { return b.snapshot.Load() == nil }, Snapshot: b.snapshot.Load, ApplySnapshot: func(s registry.Snapshot) { b.snapshot.Store(&s) },
 	})
 	list := registry.New(registry.Config{Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), Boxes: b.share.ApplyBoxRecords})
@@ -54,11 +54,11 @@
 	return b
 }
 
-// knows reports whether any other box has been heard lately.
-func (b *box) knows() bool { return len(b.share.Peers()) > 0 }
+// hasPeers reports whether any other box has sent a recent report.
+func (b *box) hasPeers() bool { return len(b.share.Peers()) > 0 }
 
-// list enters where a box is reached into the log, as the box itself does.
-func list(g *WithT, log *fakesharedlog.Log, name, address string) {
+// listBox writes the address of a box into the log, as the box itself does.
+func listBox(g *WithT, log *fakesharedlog.Log, name, address string) {
 	entry, err := msgpack.Marshal(map[string]string{"a": address, "l": name})
 	g.Expect(err).NotTo(HaveOccurred())
 	log.Put(sharedlog.Boxes, name, entry)
--- a/internal/loadshare/boxes.go
+++ b/internal/loadshare/boxes.go
@@ -1,7 +1,7 @@
-// Which boxes there are: each writes its address into the platform's log when it
-// starts, takes it out at a planned stop, and follows those of the others (package
-// registry reads that stream, or is told of it by the box that reads for the zone). What a
-// box does that cannot read this list stands in withoutlog.go.
+// The list of boxes. Each box writes its address into the platform's log when it starts, removes it
+// at a planned stop, and follows the entries of the others (package registry reads that stream, or
+// receives it from the box that reads for the zone). withoutlog.go covers a box that cannot read
+// this list.
 
 package loadshare
 
@@ -19,52 +19,51 @@
 )
 
 const (
-	// callLimit bounds a call of the log.
-	callLimit = time.Second
-	// withdrawLimit bounds the last one at a planned stop. It is short: a log that does not
-	// answer must not hold the process until it is killed.
-	withdrawLimit = 250 * time.Millisecond
-	// announcePause lies after an entry that failed, and grows up to longestAnnouncePause:
-	// boxes that started in an outage would otherwise ask twice a second each.
-	announcePause = 500 * time.Millisecond
-	// listWait bounds the wait for the list before this box enters itself, and listLook is
-	// the time between two looks whether it is there.
-	listWait             = time.Second
-	listLook             = 10 * time.Millisecond
-	longestAnnouncePause = 2 * time.Second
+	// logTimeout bounds a call to the log.
+	logTimeout = time.Second
+	// withdrawTimeout bounds the last call at a planned stop. It is short: a log that does not
+	// respond must not delay the exit until the process is killed.
+	withdrawTimeout = 250 * time.Millisecond
+	// minAnnouncePause is the pause after an entry that failed. It doubles up to maxAnnouncePause:
+	// otherwise all boxes that started during an outage would send two requests a second each.
+	minAnnouncePause = 500 * time.Millisecond
+	// listTimeout bounds the wait for the list before this box writes its own entry, and
+	// listPollInterval is the interval at which it checks for the list.
+	listTimeout      = time.Second
+	listPollInterval = 10 * time.Millisecond
+	maxAnnouncePause = 2 * time.Second
 )
 
-// announcement is a box's record in the log.
+// announcement is the entry of a box in the log.
 type announcement struct {
-	Address string `msgpack:"a"`
-	Life    string `msgpack:"l"`
-	Zone    string `msgpack:"z,omitempty"`
-	// ReaderAddress is where boxes that follow this one ask it.
-	Reader string `msgpack:"v,omitempty"`
-	// PlacesAddress is where boxes ask it for places at servers that it owns.
-	Places string `msgpack:"p,omitempty"`
-	// Cores is the processor that the box may use.
+	Address     string `msgpack:"a"`
+	Incarnation string `msgpack:"l"`
+	Zone        string `msgpack:"z,omitempty"`
+	// ReaderAddress serves the boxes that read the log through this one.
+	ReaderAddress string `msgpack:"v,omitempty"`
+	// PlacesAddress serves requests for places at the servers that the box owns.
+	PlacesAddress string `msgpack:"p,omitempty"`
+	// Cores is the number of CPU cores that the box may use.
 	Cores float64 `msgpack:"c,omitempty"`
 }
 
 // peer is another box.
 type peer struct {
-	address string
-	zone    string
-	reader  string
-	places  string
-	cores   float64
-	// listed says that it stands in the log, rather than having told of itself.
+	address       string
+	zone          string
+	readerAddress string
+	placesAddress string
+	cores         float64
+	// listed is whether the box is in the log; otherwise it was added because it sent a message.
 	listed bool
 }
 
-// LoopAnnounce keeps this box's address in the log until ctx ends. The list is awaited
-// first: a box that starts again is still on it, and has nothing to say. 295 boxes that all
-// entered themselves when they started kept the log busy for 1.2 s, and each other from
-// reading the list.
+// LoopAnnounce keeps this box's address in the log until ctx ends. It waits for the list first: a
+// box that restarts is usually still listed and need not write its entry. When 295 boxes all wrote
+// their entry as they started, the log was busy for 1.2 s and none of them could read the list.
 func (s *Share) LoopAnnounce(ctx context.Context) {
-	pause := announcePause
-	s.awaitList(ctx)
+	pause := minAnnouncePause
+	s.waitForList(ctx)
 	for ctx.Err() == nil {
 		wake := s.unlisted.Chan()
 		switch {
@@ -74,48 +73,48 @@
 			case <-ctx.Done():
 			}
 		case s.announce(ctx):
-			pause = announcePause
+			pause = minAnnouncePause
 		default:
 			waiting.For(ctx, pause)
-			pause = min(2*pause, longestAnnouncePause)
+			pause = min(2*pause, maxAnnouncePause)
 		}
 	}
 	s.withdraw()
 }
 
-// awaitList waits for the list of boxes, for a while.
-func (s *Share) awaitList(ctx context.Context) {
-	end := boottime.Now().Add(listWait)
-	for !s.BoxListLoaded() && boottime.Now().Before(end) && ctx.Err() == nil {
-		waiting.For(ctx, listLook)
+// waitForList waits for the list of boxes, for at most listTimeout.
+func (s *Share) waitForList(ctx context.Context) {
+	deadline := boottime.Now().Add(listTimeout)
+	for !s.BoxListLoaded() && boottime.Now().Before(deadline) && ctx.Err() == nil {
+		waiting.For(ctx, listPollInterval)
 	}
 }
 
-// Wait waits until all that Loop functions began has ended; they must have returned.
+// Wait waits until everything that the Loop functions started has ended. They must have returned.
 func (s *Share) Wait() {
 	s.loops.Wait()
 	s.server.Wait()
 }
 
-// withdraw takes this box's address out of the log at a planned stop.
+// withdraw removes this box's address from the log at a planned stop.
 func (s *Share) withdraw() {
-	ctx, cancel := context.WithTimeout(context.Background(), withdrawLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	if _, err := s.cfg.Log.Append(ctx, sharedlog.Boxes, sharedlog.AnyEnd, sharedlog.Record{Key: s.cfg.Box}); err != nil {
 		s.cfg.Logger.Warn().Str("error", err.Error()).Msg("box_not_withdrawn")
 	}
 }
 
-// isAnnounced reports whether this box stands in the log.
+// isAnnounced reports whether this box is listed in the log.
 func (s *Share) isAnnounced() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.announced
 }
 
-// announce writes this box's address into the log, and reports whether it stands there.
+// announce writes this box's address into the log and reports whether that succeeded.
 func (s *Share) announce(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	value, err := msgpack.Marshal(s.announcement())
 	offset := int64(0)
@@ -128,33 +127,33 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteAnnounced(offset)
+	s.markAnnounced(offset)
 	return true
 }
 
-// noteAnnounced notes that this box is listed. The caller holds mu.
-func (s *Share) noteAnnounced(offset int64) {
+// markAnnounced records that this box is listed. The caller holds mu.
+func (s *Share) markAnnounced(offset int64) {
 	if !s.announced {
 		s.announcedAt = boottime.Now()
 	}
 	s.announced, s.announcedOffset = true, offset
 }
 
-// ApplyBoxRecords takes over what is new in the list of boxes. From the first time on boxes come
-// from the list alone.
+// ApplyBoxRecords applies new records of the list of boxes. After the first call, boxes are added
+// from the list only.
 func (s *Share) ApplyBoxRecords(records []sharedlog.Record) {
 	for _, record := range records {
-		s.take(record)
+		s.applyRecord(record)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.othersAt = time.Time{}
+	s.candidatesAt = time.Time{}
 	clear(s.coldOwners)
-	s.limits.forget()
-	if !s.followed {
-		s.followed = true
-		for box, known := range s.peers {
-			if !known.listed {
+	s.limits.invalidate()
+	if !s.listLoaded {
+		s.listLoaded = true
+		for box, peer := range s.peers {
+			if !peer.listed {
 				delete(s.peers, box)
 			}
 		}
@@ -162,55 +161,56 @@
 	s.relink.Broadcast()
 }
 
-// decode reads what a record says of its box: nothing when the box has left.
-func (s *Share) decode(record sharedlog.Record) (box announcement, understood bool) {
+// decode returns the entry in a record, which is empty when the box was removed. It returns false if
+// the entry is invalid.
+func (s *Share) decode(record sharedlog.Record) (box announcement, ok bool) {
 	if len(record.Value) == 0 {
 		return announcement{}, true
 	}
 	if err := safepack.Unmarshal(record.Value, &box); err != nil {
-		s.cfg.Logger.Error().Str("key", record.Key).Str("error", err.Error()).Msg("box_not_understood")
+		s.cfg.Logger.Error().Str("key", record.Key).Str("error", err.Error()).Msg("box_entry_invalid")
 		return box, false
 	}
 	return box, true
 }
 
-// takeOwn looks at a record of this box's own name. One of an earlier life that says the
-// same will do. A stop of an earlier life may be carried out late and take this life out of
-// the list; it then enters itself again.
-func (s *Share) takeOwn(record sharedlog.Record) {
-	box, understood := s.decode(record)
-	if !understood {
-		box = announcement{} // it hides this life as well
+// applyOwnRecord applies a record of this box's own name. An entry of an earlier incarnation that
+// is otherwise the same is valid for this one too. The removal by an earlier incarnation may be
+// carried out late and remove the entry of this one, which then announces itself again.
+func (s *Share) applyOwnRecord(record sharedlog.Record) {
+	box, ok := s.decode(record)
+	if !ok {
+		box = announcement{} // an unreadable entry also replaces this incarnation's
 	}
 	own := s.announcement()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sameButLife := own
-	sameButLife.Life = box.Life
-	says := box.Life == own.Life || box == sameButLife
+	sameExceptIncarnation := own
+	sameExceptIncarnation.Incarnation = box.Incarnation
+	matches := box.Incarnation == own.Incarnation || box == sameExceptIncarnation
 	switch {
-	case says && !s.announced:
-		s.noteAnnounced(record.Offset)
-	case !says && s.announced && record.Offset > s.announcedOffset:
+	case matches && !s.announced:
+		s.markAnnounced(record.Offset)
+	case !matches && s.announced && record.Offset > s.announcedOffset:
 		s.announced = false
 		s.unlisted.Broadcast()
 		s.cfg.Logger.Info().Int64("offset", record.Offset).Msg("box_no_longer_listed")
 	}
 }
 
-// announcement is what this box says of itself.
+// announcement returns the entry of this box.
 func (s *Share) announcement() announcement {
-	return announcement{Address: s.cfg.Address, Life: s.cfg.Incarnation, Zone: s.cfg.Zone, Reader: s.cfg.ReaderAddress, Places: s.cfg.PlacesAddress, Cores: s.cfg.Cores}
+	return announcement{Address: s.cfg.Address, Incarnation: s.cfg.Incarnation, Zone: s.cfg.Zone, ReaderAddress: s.cfg.ReaderAddress, PlacesAddress: s.cfg.PlacesAddress, Cores: s.cfg.Cores}
 }
 
-// take takes over where a box is reached.
-func (s *Share) take(record sharedlog.Record) {
+// applyRecord adds, updates or removes a box.
+func (s *Share) applyRecord(record sharedlog.Record) {
 	if record.Key == s.cfg.Box {
-		s.takeOwn(record)
+		s.applyOwnRecord(record)
 		return
 	}
-	box, understood := s.decode(record)
-	if !understood {
+	box, ok := s.decode(record)
+	if !ok {
 		return
 	}
 	s.mu.Lock()
@@ -219,55 +219,56 @@
 		delete(s.peers, record.Key)
 		return
 	}
-	s.peers[record.Key] = &peer{address: box.Address, zone: box.Zone, reader: box.Reader, places: box.Places, cores: box.Cores, listed: true}
-	delete(s.avoided, record.Key) // it has just started
+	s.peers[record.Key] = &peer{address: box.Address, zone: box.Zone, readerAddress: box.ReaderAddress, placesAddress: box.PlacesAddress, cores: box.Cores, listed: true}
+	delete(s.avoided, record.Key) // its new entry shows that it has just started
 }
 
-// ListedCount counts the boxes that are announced, this one included; zero while that is not
-// known. A box that has not read the list goes by those that have.
+// ListedCount returns the number of listed boxes including this one, or zero while it is unknown. A
+// box that has not read the list uses the count of boxes that have.
 func (s *Share) ListedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.roll()
+	return s.listedCount()
 }
 
-// roll is ListedCount for a caller that holds mu.
-func (s *Share) roll() int {
-	if s.followed {
+// listedCount is ListedCount for a caller that holds mu.
+func (s *Share) listedCount() int {
+	if s.listLoaded {
 		return len(s.peers) + 1
 	}
-	return s.rollOfOthers()
+	return s.listedCountOfPeers()
 }
 
-// Candidate is another box that may do something for this one.
+// Candidate is another box that may be chosen as a delegate of this one.
 type Candidate struct {
 	delegate.Box
-	// ReaderAddress is where boxes that follow it ask it.
+	// ReaderAddress serves the boxes that read the log through it.
 	ReaderAddress string
-	// PlacesAddress is where it is asked for places at servers that it owns.
+	// PlacesAddress serves requests for places at the servers that it owns.
 	PlacesAddress string
 }
 
-// Candidates lists the other boxes, which may read for this one unless they are away.
+// Candidates lists the other boxes, which may read the log for this one unless they are
+// unavailable.
 func (s *Share) Candidates() []Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	boxes := s.others(boottime.Now())
-	others := make([]Candidate, len(boxes))
+	boxes := s.candidates(boottime.Now())
+	candidates := make([]Candidate, len(boxes))
 	for i, box := range boxes {
-		others[i] = Candidate{Box: box, ReaderAddress: s.peers[box.Name].reader, PlacesAddress: s.peers[box.Name].places}
-		others[i].Unavailable = box.Unavailable || others[i].ReaderAddress == ""
+		candidates[i] = Candidate{Box: box, ReaderAddress: s.peers[box.Name].readerAddress, PlacesAddress: s.peers[box.Name].placesAddress}
+		candidates[i].Unavailable = box.Unavailable || candidates[i].ReaderAddress == ""
 	}
-	return others
+	return candidates
 }
 
-// LoadSentAfter gives a moment after which another box has said what this one has of its work; zero
-// when it is not heard first-hand, or when that is not known.
+// LoadSentAfter returns a time after which another box sent the load report that this box has of
+// it. It is zero when the other box does not report directly, or when the time is unknown.
 func (s *Share) LoadSentAfter(box string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if last := s.heard[box]; last != nil {
-		return last.at
+	if last := s.reports[box]; last != nil {
+		return last.sentAfter
 	}
 	return time.Time{}
 }
@@ -276,10 +277,10 @@
 func (s *Share) BoxListLoaded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.followed
+	return s.listLoaded
 }
 
-// BoxCount counts the boxes that are known of, this one included.
+// BoxCount returns the number of known boxes, including this one.
 func (s *Share) BoxCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loadshare/boxes_test.go
+++ b/internal/loadshare/boxes_test.go
@@ -18,8 +18,8 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// following runs a test on a box that only follows the list of boxes, with paused time.
-func following(t *testing.T, prepare func(*fakesharedlog.Log), test func(g *WithT, log *fakesharedlog.Log, roll func() int)) {
+// followList runs a test, in simulated time, on a box that only follows the list of boxes.
+func followList(t *testing.T, prepare func(*fakesharedlog.Log), test func(g *WithT, log *fakesharedlog.Log, listedCount func() int)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -38,24 +38,24 @@
 	})
 }
 
-// While the list has not been read nobody knows what more than half of the boxes are.
-func TestWithoutTheLogTheRollIsUnknown(t *testing.T) {
+// While the list has not been read, it is unknown how many boxes are more than half.
+func TestTheListedCountIsUnknownWithoutTheLog(t *testing.T) {
 	down := func(log *fakesharedlog.Log) { log.Faults().SetFaults(fakelog.Faults{Down: true}) }
-	following(t, down, func(g *WithT, log *fakesharedlog.Log, roll func() int) {
+	followList(t, down, func(g *WithT, log *fakesharedlog.Log, listedCount func() int) {
 		time.Sleep(time.Minute)
-		g.Expect(roll()).To(BeZero())
+		g.Expect(listedCount()).To(BeZero())
 		log.Faults().SetFaults(fakelog.Faults{})
 		time.Sleep(time.Minute)
-		g.Expect(roll()).To(Equal(1))
+		g.Expect(listedCount()).To(Equal(1))
 		log.Faults().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(time.Minute)
-		g.Expect(roll()).To(Equal(1))
+		g.Expect(listedCount()).To(Equal(1))
 	})
 }
 
-// The stop of an earlier life may be carried out when the next one is listed already.
-func TestABoxThatWasTakenOffTheListEntersItselfAgain(t *testing.T) {
-	following(t, func(*fakesharedlog.Log) {}, func(g *WithT, log *fakesharedlog.Log, _ func() int) {
+// The removal of an earlier incarnation may be carried out when the next one is already listed.
+func TestABoxRemovedFromTheListAnnouncesItselfAgain(t *testing.T) {
+	followList(t, func(*fakesharedlog.Log) {}, func(g *WithT, log *fakesharedlog.Log, _ func() int) {
 		listed := func() int {
 			page, err := log.Newest(context.Background(), sharedlog.Boxes)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -69,17 +69,17 @@
 	})
 }
 
-// 295 boxes that started again together each wrote their entry anew, 4 ms for each of them,
-// and nobody could read the list meanwhile. The entry of an earlier life that says the same
-// still holds; one that says otherwise is written over.
-func TestAnEntryThatStillStandsIsNotWrittenAgain(t *testing.T) {
+// When 295 boxes restarted together, each wrote its entry again, which took 4 ms each, and none
+// could read the list meanwhile. An otherwise identical entry of an earlier incarnation is still
+// valid; a different one is overwritten.
+func TestAnUnchangedEntryIsNotWrittenAgain(t *testing.T) {
 	tests := []struct {
 		name    string
 		address string
 		written bool
 	}{
 		{"at the same address", "127.0.0.1:1", false},
-		{"at another one", "127.0.0.1:2", true},
+		{"at another address", "127.0.0.1:2", true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 				}
 				log.Put(sharedlog.Boxes, "a", entry)
 			}
-			following(t, earlier, func(g *WithT, log *fakesharedlog.Log, _ func() int) {
+			followList(t, earlier, func(g *WithT, log *fakesharedlog.Log, _ func() int) {
 				time.Sleep(time.Minute)
 				page, err := log.Newest(context.Background(), sharedlog.Boxes)
 				g.Expect(err).NotTo(HaveOccurred())
--- a/internal/loadshare/cold.go
+++ b/internal/loadshare/cold.go
@@ -1,6 +1,7 @@
-// Which box calls a cold server. All boxes find it by rendezvous hashing over the boxes of the
-// server's zone that stand on the list in the platform's log, rather than over those that are heard:
-// lists differ by their lag only, and boxes that do not hear each other must not both send.
+// Which box calls a cold server. All boxes compute it by rendezvous hashing over the boxes of the
+// server's zone in the list of the platform's log, not over those that send reports. The lists of
+// two boxes differ only by their lag, and boxes that do not receive each other's reports must not
+// both send calls.
 
 package loadshare
 
@@ -10,25 +11,26 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// coldTenure is how long this box must have been listed, in this life, before it calls cold servers.
-// Within it other boxes read the list anew, and what an earlier life of this box sent has arrived.
-const coldTenure = 4 * time.Second
+// minListedTime is how long this incarnation must have been listed before it calls cold servers.
+// Within that time the other boxes read the updated list, and calls that an earlier incarnation of
+// this box sent have arrived.
+const minListedTime = 4 * time.Second
 
-// maxColdOwners bounds the answers that are remembered, one for each life of a cold server.
+// maxColdOwners bounds the cached owners, one for each incarnation of a cold server.
 const maxColdOwners = 4096
 
-// OwnsColdServer reports whether it is this box that calls a cold server of a zone.
+// OwnsColdServer reports whether this box is the one that calls a cold server of a zone.
 func (s *Share) OwnsColdServer(zone, server string) bool {
 	if !s.cfg.MayCallCold() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.followed || !s.announced || boottime.Since(s.announcedAt) < coldTenure {
+	if !s.listLoaded || !s.announced || boottime.Since(s.announcedAt) < minListedTime {
 		return false
 	}
-	owner, known := s.coldOwners[server]
-	if !known {
+	owner, found := s.coldOwners[server]
+	if !found {
 		if len(s.coldOwners) >= maxColdOwners {
 			clear(s.coldOwners)
 		}
@@ -38,21 +40,21 @@
 	return owner == s.cfg.Box
 }
 
-// coldOwner gives the box that ranks first for a server among the listed boxes of its zone, or among
-// all where its zone has none. This box is listed. The caller holds mu.
+// coldOwner returns the box that ranks first for a server among the listed boxes of its zone, or
+// among all listed boxes if its zone has none. This box must be listed. The caller holds mu.
 func (s *Share) coldOwner(zone, server string) string {
 	inZone, anywhere := "", s.cfg.Box
 	if s.cfg.Zone == zone {
 		inZone = s.cfg.Box
 	}
-	for box, known := range s.peers {
-		anywhere = firstOf(anywhere, box, server)
+	for box, peer := range s.peers {
+		anywhere = higherRanked(anywhere, box, server)
 		switch {
-		case known.zone != zone:
+		case peer.zone != zone:
 		case inZone == "":
 			inZone = box
 		default:
-			inZone = firstOf(inZone, box, server)
+			inZone = higherRanked(inZone, box, server)
 		}
 	}
 	if inZone != "" {
--- a/internal/loadshare/cold_test.go
+++ b/internal/loadshare/cold_test.go
@@ -18,62 +18,64 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// All boxes together may send a cold server a number of calls in any second. They share no counter,
-// so this plays random histories: boxes die, start again, leave and join, freeze with calls in hand,
-// and are cut off with an old list, while all of them have more calls than the server may get.
+// The number of calls that all boxes together send to a cold server in any second is bounded. The
+// boxes share no counter, so this test runs random histories: boxes crash, restart, leave and join,
+// freeze with calls pending, and are cut off with an outdated list, while all of them have more
+// calls than the server may get.
 
 // coldLimit allows 26 calls in a second.
 var coldLimit = coldstart.Limit{Length: time.Hour, PerSecond: 14, Overage: 1.5, Slack: 5}
 
 const (
-	coldAllowed = 26
-	coldZone    = "a"
-	coldBoxes   = 5
-	coldStep    = 10 * time.Millisecond
-	// disturbance is the chance of something to happen in a step.
-	disturbance = 0.005
-	coldLength  = 80 * time.Second
-	// listLag is how late a box reads the list at most, and freshFor how long a box that is cut
-	// off goes on calling cold servers.
-	listLag = time.Second
-	// longestAbsence is how long a box stays off the list after a planned stop at most.
-	longestAbsence = 8 * time.Second
-	freshFor       = 3 * time.Second
+	coldMaxCalls = 26
+	coldZone     = "a"
+	coldBoxes    = 5
+	coldStep     = 10 * time.Millisecond
+	// eventProbability is the probability of an event in a step.
+	eventProbability = 0.005
+	coldLength       = 80 * time.Second
+	// maxListLag is the longest delay with which a box reads the list. maxListAge is how long a box
+	// that is cut off continues to call cold servers.
+	maxListLag = time.Second
+	// maxAbsence is the longest time that a box stays off the list after a planned stop.
+	maxAbsence = 8 * time.Second
+	maxListAge = 3 * time.Second
 )
 
-// coldHistory is one history.
+// coldHistory is one random history.
 type coldHistory struct {
-	chance *rand.Rand
-	// list holds the records of the boxes' stream in their order.
+	random *rand.Rand
+	// list holds the records of the list of boxes in order.
 	list []sharedlog.Record
-	// written are the times of the records.
-	written  []time.Time
-	boxes    []*coldBox
-	arrivals []time.Time
-	// planted faults.
-	withoutLapse, withoutExpiry bool
-	// calm says that nothing happens to the boxes.
-	calm bool
+	// writtenAt holds the times of the records.
+	writtenAt []time.Time
+	boxes     []*coldBox
+	arrivals  []time.Time
+	// Injected faults: boxes that are cut off continue, and calls are handed over however late.
+	ignoreListAge, ignoreExpiry bool
+	// noEvents disables the random events.
+	noEvents bool
 }
 
-// coldBox is a box in one of its lives.
+// coldBox is a box across its restarts.
 type coldBox struct {
 	h    *coldHistory
 	name string
 	// share and fleet are nil while the box is down.
 	share *loadshare.Share
 	fleet *fleet.Fleet
-	// read counts the records of the list that it has read.
-	read int
-	// until which it is down, frozen, cut off; leavingSince is set for a planned stop.
+	// applied counts the records of the list that the box has read.
+	applied int
+	// The times until which the box is down, frozen or cut off. leavingSince is set during a
+	// planned stop.
 	downUntil, frozenUntil, cutUntil time.Time
 	leavingSince                     time.Time
-	inTouchAt                        time.Time
-	inHand                           []handed
+	lastContact                      time.Time
+	pending                          []pendingCall
 }
 
-// handed is a call that was placed, and reaches the server at a moment.
-type handed struct {
+// pendingCall is a call that was placed and reaches the server at a given time.
+type pendingCall struct {
 	hold *fleet.Hold
 	at   time.Time
 }
@@ -83,12 +85,12 @@
 	b.share = loadshare.New(loadshare.Config{
 		Fleet: b.fleet, Logger: zerolog.Nop(), Box: b.name, Incarnation: fmt.Sprint(b.name, "/", now), Zone: coldZone, Address: b.name,
 		MayCallCold: func() bool {
-			return b.leavingSince.IsZero() && (b.h.withoutLapse || time.Since(b.inTouchAt) < freshFor)
+			return b.leavingSince.IsZero() && (b.h.ignoreListAge || time.Since(b.lastContact) < maxListAge)
 		},
 	})
 	b.fleet.SetColdLimits(map[string]coldstart.Limit{"s": coldLimit})
 	b.fleet.Apply([]fleet.Update{{Key: "cold", Offset: 1, Server: &fleet.Server{Incarnation: "cold", Service: "s", Zone: coldZone, Slots: 8, ColdFor: time.Hour}}})
-	b.read, b.inTouchAt, b.leavingSince = 0, now, time.Time{}
+	b.applied, b.lastContact, b.leavingSince = 0, now, time.Time{}
 	if !b.h.isListed(b.name) {
 		b.h.write(b.name, true)
 	}
@@ -104,29 +106,29 @@
 	return listed
 }
 
-func (h *coldHistory) write(name string, there bool) {
+func (h *coldHistory) write(name string, listed bool) {
 	record := sharedlog.Record{Key: name, Offset: int64(len(h.list))}
-	if there {
+	if listed {
 		record.Value, _ = msgpack.Marshal(map[string]any{"a": name, "z": coldZone})
 	}
-	h.list, h.written = append(h.list, record), append(h.written, time.Now())
+	h.list, h.writtenAt = append(h.list, record), append(h.writtenAt, time.Now())
 }
 
-// readList has a box that is in touch read the list, up to a lag.
+// readList makes a box that is in contact read the list, up to a random lag.
 func (b *coldBox) readList(now time.Time) {
-	b.inTouchAt = now
-	lag := time.Duration(b.h.chance.Int64N(int64(listLag)))
-	next := b.read
-	for next < len(b.h.list) && (b.read == 0 || now.Sub(b.h.written[next]) >= lag) {
+	b.lastContact = now
+	lag := time.Duration(b.h.random.Int64N(int64(maxListLag)))
+	next := b.applied
+	for next < len(b.h.list) && (b.applied == 0 || now.Sub(b.h.writtenAt[next]) >= lag) {
 		next++
 	}
-	if next > b.read {
-		b.share.ApplyBoxRecords(b.h.list[b.read:next])
-		b.read = next
+	if next > b.applied {
+		b.share.ApplyBoxRecords(b.h.list[b.applied:next])
+		b.applied = next
 	}
 }
 
-// step plays one box for one step.
+// step simulates one box for one step.
 func (b *coldBox) step(now time.Time) {
 	if b.share == nil {
 		if now.After(b.downUntil) {
@@ -140,25 +142,25 @@
 	if now.After(b.cutUntil) {
 		b.readList(now)
 	}
-	b.arrive(now)
-	for range b.h.chance.IntN(4) {
+	b.deliver(now)
+	for range b.h.random.IntN(4) {
 		if hold := b.fleet.Choose(fleet.Query{Service: "s", Zone: coldZone}); hold != nil {
-			b.inHand = append(b.inHand, handed{hold, now.Add(time.Duration(b.h.chance.Int64N(int64(30 * time.Millisecond))))})
+			b.pending = append(b.pending, pendingCall{hold, now.Add(time.Duration(b.h.random.Int64N(int64(30 * time.Millisecond))))})
 		}
 	}
 	if !b.leavingSince.IsZero() && now.Sub(b.leavingSince) > 2500*time.Millisecond {
 		b.h.write(b.name, false)
-		b.end(now, time.Duration(b.h.chance.Int64N(int64(longestAbsence))))
+		b.stop(now, time.Duration(b.h.random.Int64N(int64(maxAbsence))))
 	}
 }
 
-// arrive hands the calls over whose time has come.
-func (b *coldBox) arrive(now time.Time) {
-	b.inHand = slices.DeleteFunc(b.inHand, func(call handed) bool {
+// deliver hands over the calls that are due.
+func (b *coldBox) deliver(now time.Time) {
+	b.pending = slices.DeleteFunc(b.pending, func(call pendingCall) bool {
 		if now.Before(call.at) {
 			return false
 		}
-		if b.h.withoutExpiry || call.hold.MayHandOver() {
+		if b.h.ignoreExpiry || call.hold.MayHandOver() {
 			b.h.arrivals = append(b.h.arrivals, now)
 		}
 		call.hold.Done(fleet.EndServed)
@@ -166,19 +168,19 @@
 	})
 }
 
-func (b *coldBox) end(now time.Time, length time.Duration) {
-	b.share, b.fleet, b.inHand = nil, nil, nil
+func (b *coldBox) stop(now time.Time, length time.Duration) {
+	b.share, b.fleet, b.pending = nil, nil, nil
 	b.downUntil = now.Add(length)
 }
 
-// disturb has something happen to a box by chance.
-func (h *coldHistory) disturb(now time.Time) {
-	b := h.boxes[h.chance.IntN(len(h.boxes))]
-	length := 300*time.Millisecond + time.Duration(h.chance.Int64N(int64(3*time.Second)))
-	switch h.chance.IntN(4) {
+// injectEvent causes a random event at a random box.
+func (h *coldHistory) injectEvent(now time.Time) {
+	b := h.boxes[h.random.IntN(len(h.boxes))]
+	length := 300*time.Millisecond + time.Duration(h.random.Int64N(int64(3*time.Second)))
+	switch h.random.IntN(4) {
 	case 0:
 		if b.share != nil {
-			b.end(now, length)
+			b.stop(now, length)
 		}
 	case 1:
 		if b.share != nil && b.leavingSince.IsZero() {
@@ -191,15 +193,15 @@
 	}
 }
 
-// play plays the history, and gives the most calls that arrived in any second.
-func (h *coldHistory) play() (most int) {
+// play runs the history and returns the maximum number of calls that arrived within a second.
+func (h *coldHistory) play() (peak int) {
 	for i := range coldBoxes {
 		h.boxes = append(h.boxes, &coldBox{h: h, name: fmt.Sprint("box-", i)})
 	}
 	end := time.Now().Add(coldLength)
 	for now := time.Now(); now.Before(end); now = time.Now() {
-		if !h.calm && h.chance.Float64() < disturbance {
-			h.disturb(now)
+		if !h.noEvents && h.random.Float64() < eventProbability {
+			h.injectEvent(now)
 		}
 		for _, b := range h.boxes {
 			b.step(now)
@@ -211,48 +213,48 @@
 		for at.Sub(h.arrivals[first]) >= time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
 
-func playCold(t *testing.T, seed uint64, plant func(*coldHistory)) (most, arrivals int) {
+func playCold(t *testing.T, seed uint64, prepare func(*coldHistory)) (peak, arrivals int) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		h := &coldHistory{chance: rand.New(rand.NewPCG(seed, 1))}
-		plant(h)
-		most, arrivals = h.play(), len(h.arrivals)
+		h := &coldHistory{random: rand.New(rand.NewPCG(seed, 1))}
+		prepare(h)
+		peak, arrivals = h.play(), len(h.arrivals)
 	})
-	return most, arrivals
+	return peak, arrivals
 }
 
-func TestAllBoxesTogetherKeepTheBoundOfAColdServer(t *testing.T) {
+func TestAllBoxesTogetherRespectTheLimitOfAColdServer(t *testing.T) {
 	g := NewWithT(t)
 	const histories = 40
 	for seed := range uint64(histories) {
-		most, _ := playCold(t, seed, func(*coldHistory) {})
-		g.Expect(most).To(BeNumerically("<=", coldAllowed), "seed %d", seed)
+		peak, _ := playCold(t, seed, func(*coldHistory) {})
+		g.Expect(peak).To(BeNumerically("<=", coldMaxCalls), "seed %d", seed)
 	}
 }
 
-// The bound is not kept by sending nothing: while nothing fails a cold server gets at least half of
-// what it bears.
-func TestAColdServerServesWhatItBears(t *testing.T) {
+// The limit must not be kept by sending nothing: without events a cold server gets at least half of
+// its rate.
+func TestAColdServerGetsAtLeastHalfOfItsLimit(t *testing.T) {
 	g := NewWithT(t)
-	most, arrivals := playCold(t, 1, func(h *coldHistory) { h.calm = true })
-	g.Expect(most).To(BeNumerically("<=", coldAllowed))
+	peak, arrivals := playCold(t, 1, func(h *coldHistory) { h.noEvents = true })
+	g.Expect(peak).To(BeNumerically("<=", coldMaxCalls))
 	g.Expect(float64(arrivals) / coldLength.Seconds()).To(BeNumerically(">", coldLimit.PerSecond/2))
 }
 
-// The same histories find a code without one of its guards: then a second box sends its part too, or
-// the one sends it twice, where the guards leave that margin for what is not known.
-func TestTheHistoriesOfColdServersFindPlantedFaults(t *testing.T) {
+// The same histories detect code without one of its guards: then a second box sends its part too,
+// or one box sends it twice. The guards leave that margin for what the boxes cannot know.
+func TestColdServerHistoriesDetectInjectedFaults(t *testing.T) {
 	tests := []struct {
-		name  string
-		plant func(*coldHistory)
+		name    string
+		prepare func(*coldHistory)
 	}{
-		{"calls that are handed over however late", func(h *coldHistory) { h.withoutExpiry = true }},
-		{"boxes that are cut off go on", func(h *coldHistory) { h.withoutLapse = true }},
+		{"calls are handed over however late", func(h *coldHistory) { h.ignoreExpiry = true }},
+		{"boxes that are cut off continue", func(h *coldHistory) { h.ignoreListAge = true }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -260,11 +262,11 @@
 			const histories = 60
 			worst := 0
 			for seed := range uint64(histories) {
-				most, _ := playCold(t, seed, test.plant)
-				worst = max(worst, most)
+				peak, _ := playCold(t, seed, test.prepare)
+				worst = max(worst, peak)
 			}
-			t.Log("most calls in a second:", worst)
-			g.Expect(worst).To(BeNumerically(">", coldAllowed/2))
+			t.Log("maximum calls in a second:", worst)
+			g.Expect(worst).To(BeNumerically(">", coldMaxCalls/2))
 		})
 	}
 }
--- a/internal/loadshare/headroom.go
+++ b/internal/loadshare/headroom.go
@@ -1,75 +1,74 @@
-// Whose a server's headroom is. Boxes hear of each other's work late, so when many of
-// them wait for room at a server, all see the same room and fill it together. They
-// therefore leave a part of it free; and that part, the headroom, belongs to one box,
-// which can fill it without such a surprise.
+// Ownership of a server's headroom. Boxes receive each other's load with a delay, so when many of
+// them wait for capacity at a server, all see the same free capacity and would fill it together.
+// They therefore leave a part of it free. That part, the headroom, is owned by one box, which can
+// use it without such a conflict.
 //
-// All boxes find the owner by rendezvous hashing over the boxes that they hear. Where
-// they hear different ones, two may use the same headroom for a while: a guess that
-// costs a prompt read again at worst, not a promise.
+// All boxes compute the owner by rendezvous hashing over the boxes whose reports they receive. If
+// these differ, two boxes may use the same headroom for a while. This is best effort: the cost is
+// at most that a prompt is prefilled again.
 
 package loadshare
 
 import "github.com/cespare/xxhash/v2"
 
-// maxHeadroom bounds the answers that are remembered, one for each life of a server.
-const maxHeadroom = 4096
+// maxHeadroomOwners bounds the cached owners, one for each incarnation of a server.
+const maxHeadroomOwners = 4096
 
-// OwnsHeadroom reports whether a server's headroom belongs to this box, by the boxes
-// that are heard now.
+// OwnsHeadroom reports whether this box owns a server's headroom, by the boxes that report now.
 func (s *Share) OwnsHeadroom(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	owner, known := s.headroom[server]
-	if !known {
-		if len(s.headroom) >= maxHeadroom {
-			clear(s.headroom)
+	owner, found := s.headroomOwners[server]
+	if !found {
+		if len(s.headroomOwners) >= maxHeadroomOwners {
+			clear(s.headroomOwners)
 		}
-		owner = s.firstFor(server)
-		s.headroom[server] = owner
+		owner = s.ownerOf(server)
+		s.headroomOwners[server] = owner
 	}
 	return owner == s.cfg.Box
 }
 
-// RanksFirst reports whether something that one box is to do is up to this one, by the boxes
-// that are heard now. Boxes that hear different ones may both find so.
+// RanksFirst reports whether this box ranks first for a name, by the boxes that report now, and so
+// is the one to do a task. Boxes that receive different reports may both rank first.
 func (s *Share) RanksFirst(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.firstFor(name) == s.cfg.Box
+	return s.ownerOf(name) == s.cfg.Box
 }
 
-// firstFor gives the box that ranks first for a name, of those that are heard. The caller
-// holds mu.
-func (s *Share) firstFor(name string) string {
-	first := s.cfg.Box
-	for box := range s.known {
-		first = firstOf(first, box, name)
+// ownerOf returns the box that ranks first for a name among this one and those that report. The
+// caller holds mu.
+func (s *Share) ownerOf(name string) string {
+	owner := s.cfg.Box
+	for box := range s.states {
+		owner = higherRanked(owner, box, name)
 	}
-	return first
+	return owner
 }
 
-// headroomHeard lets a box take the headroom that is its own from now on: to work out all
-// anew for each of 300 boxes that start would be 50,000 hashes each time. The caller holds
-// mu.
-func (s *Share) headroomHeard(box string) {
-	for server, owner := range s.headroom {
-		s.headroom[server] = firstOf(owner, box, server)
+// addHeadroomBox updates the cached owners for a new box. Computing all owners again for each of
+// 300 boxes that start would take 50,000 hashes each time. The caller holds mu.
+func (s *Share) addHeadroomBox(box string) {
+	for server, owner := range s.headroomOwners {
+		s.headroomOwners[server] = higherRanked(owner, box, server)
 	}
 }
 
-// headroomSilent has the owners worked out anew of what a box had. The caller holds mu.
-func (s *Share) headroomSilent(box string) {
-	for server, owner := range s.headroom {
+// removeHeadroomBox deletes the cached ownerships of a box, which are then computed again. The
+// caller holds mu.
+func (s *Share) removeHeadroomBox(box string) {
+	for server, owner := range s.headroomOwners {
 		if owner == box {
-			delete(s.headroom, server)
+			delete(s.headroomOwners, server)
 		}
 	}
 }
 
-// firstOf gives that of two boxes which ranks first for a name.
-func firstOf(a, b, name string) string {
-	first, second := rank(a, name), rank(b, name)
-	if second > first || second == first && b > a {
+// higherRanked returns the one of two boxes that ranks higher for a name.
+func higherRanked(a, b, name string) string {
+	rankA, rankB := rank(a, name), rank(b, name)
+	if rankB > rankA || rankB == rankA && b > a {
 		return b
 	}
 	return a
--- a/internal/loadshare/headroom_test.go
+++ b/internal/loadshare/headroom_test.go
@@ -10,8 +10,9 @@
 	"github.com/cometlock/cometlock/internal/fakesharedlog"
 )
 
-// owners counts the boxes that call a server's headroom theirs, for each server.
-func owners(servers int, boxes ...*box) []int {
+// countOwners returns, for each server, the number of boxes that consider themselves the owner of
+// its headroom.
+func countOwners(servers int, boxes ...*box) []int {
 	counts := make([]int, servers)
 	for server := range counts {
 		for _, b := range boxes {
@@ -23,8 +24,8 @@
 	return counts
 }
 
-// Two boxes that fill the same headroom would drive prompts out of it; one that is
-// nobody's would never be used. Both hold while boxes come and go.
+// If two boxes filled the same headroom, prompts would be evicted from the server; headroom without
+// an owner would never be used. Each has exactly one owner while boxes start and stop.
 func TestEachHeadroomHasOneOwner(t *testing.T) {
 	g := NewWithT(t)
 	const servers = 60
@@ -33,17 +34,17 @@
 		one[server] = 1
 	}
 	log := fakesharedlog.New()
-	a := start(t, log, "a", nil)
-	g.Expect(owners(servers, a)).To(Equal(one), "a box that hears nobody owns all")
-	b, c := start(t, log, "b", nil), start(t, log, "c", nil)
-	g.Eventually(func() []int { return owners(servers, a, b, c) }, 5*time.Second, 10*time.Millisecond).Should(Equal(one))
+	a := startBox(t, log, "a", nil)
+	g.Expect(countOwners(servers, a)).To(Equal(one), "a box without peers owns all headroom")
+	b, c := startBox(t, log, "b", nil), startBox(t, log, "c", nil)
+	g.Eventually(func() []int { return countOwners(servers, a, b, c) }, 5*time.Second, 10*time.Millisecond).Should(Equal(one))
 	for _, box := range []*box{a, b, c} {
 		owned := 0
-		for _, count := range owners(servers, box) {
+		for _, count := range countOwners(servers, box) {
 			owned += count
 		}
 		g.Expect(owned).To(BeNumerically("~", servers/3, 12), "shared evenly")
 	}
 	c.stop()
-	g.Eventually(func() []int { return owners(servers, a, b) }, 5*time.Second, 10*time.Millisecond).Should(Equal(one), "the others take over")
+	g.Eventually(func() []int { return countOwners(servers, a, b) }, 5*time.Second, 10*time.Millisecond).Should(Equal(one), "the others take over")
 }
--- a/internal/loadshare/hubs_test.go
+++ b/internal/loadshare/hubs_test.go
@@ -18,51 +18,51 @@
 	"github.com/cometlock/cometlock/internal/registry"
 )
 
-// zonesOf48 is a fleet of three zones of sixteen boxes.
+// zonesOf48 is a fleet of three zones with sixteen boxes each.
 var zonesOf48 = []int{16, 16, 16}
 
-// fleetOf runs a test in paused time on boxes with hubs, before one server in zone 0 that
-// takes one prompt at a time.
-func fleetOf(t *testing.T, zones []int, test func(g *WithT, h *history, fleets []*fleet.Fleet)) {
+// runFleet runs a test in simulated time on boxes in the given zones, with one server in zone 0
+// that takes one prompt at a time.
+func runFleet(t *testing.T, zones []int, test func(g *WithT, h *history, fleets []*fleet.Fleet)) {
 	t.Helper()
-	fleetAfter(t, zones, func(*history) {}, test)
+	runPreparedFleet(t, zones, func(*history) {}, test)
 }
 
-// fleetAfter is fleetOf after something was done to the boxes before they started.
-func fleetAfter(t *testing.T, zones []int, before func(h *history), test func(g *WithT, h *history, fleets []*fleet.Fleet)) {
+// runPreparedFleet is runFleet with a preparation before the boxes start.
+func runPreparedFleet(t *testing.T, zones []int, prepare func(h *history), test func(g *WithT, h *history, fleets []*fleet.Fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		h := &history{t: t, fabric: newFabric(), named: 1}
-		defer h.finish(cancel)
-		h.place(zones)
-		before(h)
-		fleets := make([]*fleet.Fleet, len(h.actors))
-		for i, a := range h.actors {
+		h := &history{t: t, network: newNetwork(), newestVersion: 1}
+		defer h.stop(cancel)
+		h.addBoxes(zones)
+		prepare(h)
+		fleets := make([]*fleet.Fleet, len(h.simBoxes))
+		for i, a := range h.simBoxes {
 			fleets[i] = fleet.New(fleet.Config{Logger: zerolog.Nop()})
 			fleets[i].Apply([]fleet.Update{{Key: "s", Offset: 1, Server: &fleet.Server{
 				Incarnation: "s", Service: "s", Zone: "zone-0", Slots: 4, Weights: map[string]int{model: 1},
 			}}})
-			h.beginWith(ctx, a, fleets[i])
+			h.startWithFleet(ctx, a, fleets[i])
 		}
 		time.Sleep(3 * time.Second)
 		test(NewWithT(t), h, fleets)
 	})
 }
 
-// prompt asks for a place that a server has only while nobody else's prompt waits there.
-func prompt() fleet.Query {
+// promptQuery is a query that a server accepts only while no other prompt is waiting there.
+func promptQuery() fleet.Query {
 	return fleet.Query{
 		Service: "s", Model: model, Load: placing.Query{ReadLimit: 1}, Work: func(int) int { return 5000 },
 		Outdated: func(int) (float64, bool) { return 0, true },
 	}
 }
 
-// seeing counts the boxes that see the server busy.
-func seeing(fleets []*fleet.Fleet) int {
+// countBusy returns the number of boxes by whose view the server is busy.
+func countBusy(fleets []*fleet.Fleet) int {
 	count := 0
 	for _, f := range fleets {
-		if hold := f.Choose(prompt()); hold == nil {
+		if hold := f.Choose(promptQuery()); hold == nil {
 			count++
 		} else {
 			hold.Done(fleet.EndAbandoned)
@@ -71,83 +71,83 @@
 	return count
 }
 
-// At 295 boxes that told each other directly, each heard of the others' work 0.4 s late
-// within its zone and 2 s late between zones, and 70,000 messages a second went between
-// them. A prompt is read in 0.08 to 0.3 s, so all boxes chose by loads that were over.
-func TestWorkIsKnownSoonByFewMessages(t *testing.T) {
-	fleetOf(t, zonesOf48, func(g *WithT, h *history, fleets []*fleet.Fleet) {
-		before := h.fabric.messages()
+// When 295 boxes sent to each other directly, each received the load of the others 0.4 s late
+// within its zone and 2 s late between zones, with 70,000 messages a second between them. A prefill
+// takes 0.08 to 0.3 s, so all boxes placed calls by loads that were already finished.
+func TestHubsPassOnLoadsQuicklyWithFewMessages(t *testing.T) {
+	runFleet(t, zonesOf48, func(g *WithT, h *history, fleets []*fleet.Fleet) {
+		before := h.network.messages()
 		const watched = 10 * time.Second
 		time.Sleep(watched)
-		perBox := float64(h.fabric.messages()-before) / watched.Seconds() / float64(len(fleets))
-		g.Expect(perBox).To(BeNumerically("<", 14), "to each other directly it would be 240 a second")
+		perBox := float64(h.network.messages()-before) / watched.Seconds() / float64(len(fleets))
+		g.Expect(perBox).To(BeNumerically("<", 14), "sending directly would take 240 a second")
 		for round := range 5 {
 			time.Sleep(time.Duration(round) * 37 * time.Millisecond)
-			hold := fleets[round*9+1].Choose(prompt())
+			hold := fleets[round*9+1].Choose(promptQuery())
 			g.Expect(hold).NotTo(BeNil())
 			time.Sleep(350 * time.Millisecond)
-			g.Expect(seeing(fleets[:16])).To(Equal(16), "boxes of the server's zone")
+			g.Expect(countBusy(fleets[:16])).To(Equal(16), "boxes of the server's zone")
 			time.Sleep(350 * time.Millisecond)
-			g.Expect(seeing(fleets)).To(Equal(48))
+			g.Expect(countBusy(fleets)).To(Equal(48))
 			hold.Done(fleet.EndServed)
 			time.Sleep(700 * time.Millisecond)
-			g.Expect(seeing(fleets)).To(BeZero())
+			g.Expect(countBusy(fleets)).To(BeZero())
 		}
 	})
 }
 
-// A hub may die, stand still or be cut off at any moment; another takes its place, and its
-// word counts no more.
+// A hub may crash, freeze or be cut off at any time. Another box then replaces it, and the reports
+// of the old one no longer count.
 func TestAnotherHubTakesOver(t *testing.T) {
 	tests := []struct {
-		name    string
-		breakIt func(h *history, hub *actor)
+		name        string
+		injectFault func(h *history, hub *simBox)
 	}{
-		{"it dies", func(_ *history, hub *actor) { hub.stop() }},
-		{"it is cut off", func(h *history, hub *actor) {
-			for _, other := range h.actors {
-				h.fabric.setCut(hub.name, other.name, true)
-				h.fabric.setCut(other.name, hub.name, true)
+		{"it crashes", func(_ *history, hub *simBox) { hub.stop() }},
+		{"it is cut off", func(h *history, hub *simBox) {
+			for _, other := range h.simBoxes {
+				h.network.setCut(hub.name, other.name, true)
+				h.network.setCut(other.name, hub.name, true)
 			}
 		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			fleetOf(t, zonesOf48, func(g *WithT, h *history, fleets []*fleet.Fleet) {
-				hub := h.actor(h.actors[5].share.Hub())
+			runFleet(t, zonesOf48, func(g *WithT, h *history, fleets []*fleet.Fleet) {
+				hub := h.boxNamed(h.simBoxes[5].share.Hub())
 				g.Expect(hub).NotTo(BeNil())
-				test.breakIt(h, hub)
+				test.injectFault(h, hub)
 				time.Sleep(2500 * time.Millisecond)
 				var left []*fleet.Fleet
-				for i, a := range h.actors {
+				for i, a := range h.simBoxes {
 					if a != hub {
 						left = append(left, fleets[i])
 						g.Expect(a.share.Hub()).NotTo(Equal(hub.name))
 					}
 				}
-				hold := left[7].Choose(prompt())
+				hold := left[7].Choose(promptQuery())
 				g.Expect(hold).NotTo(BeNil())
 				time.Sleep(700 * time.Millisecond)
-				g.Expect(seeing(left)).To(Equal(len(left)))
+				g.Expect(countBusy(left)).To(Equal(len(left)))
 				hold.Done(fleet.EndServed)
 			})
 		})
 	}
 }
 
-// What a hub knows of which boxes there are comes to all of them, and one that is gone is
-// forgotten by all.
-func TestAllBoxesAreHeardByWayOfHubs(t *testing.T) {
-	fleetOf(t, zonesOf48, func(g *WithT, h *history, _ []*fleet.Fleet) {
-		for _, a := range h.actors {
+// The states of all boxes reach all of them through the hubs, and all of them drop a box that has
+// stopped.
+func TestHubsPassOnWhichBoxesAreRunning(t *testing.T) {
+	runFleet(t, zonesOf48, func(g *WithT, h *history, _ []*fleet.Fleet) {
+		for _, a := range h.simBoxes {
 			g.Expect(len(a.share.Peers())).To(Equal(47), a.name)
 			for _, peer := range a.share.Peers() {
-				g.Expect(time.Since(peer.At)).To(BeNumerically("<", wordFresh), "%s of %s", a.name, peer.Box)
+				g.Expect(time.Since(peer.At)).To(BeNumerically("<", maxReportAge), "%s of %s", a.name, peer.Box)
 			}
 		}
-		h.actors[20].stop()
+		h.simBoxes[20].stop()
 		time.Sleep(3 * time.Second)
-		for i, a := range h.actors {
+		for i, a := range h.simBoxes {
 			if i != 20 {
 				g.Expect(len(a.share.Peers())).To(Equal(46), a.name)
 			}
@@ -155,29 +155,29 @@
 	})
 }
 
-// place makes the boxes of a history, two large ones in each zone.
-func (h *history) place(zones []int) {
+// addBoxes adds the boxes of a history, two large ones in each zone.
+func (h *history) addBoxes(zones []int) {
 	for zone, boxes := range zones {
 		for i := range boxes {
 			cores := 0.2
 			if i < 2 {
 				cores = 0.8
 			}
-			h.actors = append(h.actors, &actor{name: fmt.Sprint("box-", zone, "-", i), zone: fmt.Sprint("zone-", zone), cores: cores})
+			h.simBoxes = append(h.simBoxes, &simBox{name: fmt.Sprint("box-", zone, "-", i), zone: fmt.Sprint("zone-", zone), cores: cores})
 		}
 	}
 }
 
-// beginWith starts the first life of a box with a fleet of its own.
-func (h *history) beginWith(ctx context.Context, a *actor, known *fleet.Fleet) {
-	a.life++
-	a.spans = []span{{life: a.life, from: time.Now(), version: 1}}
-	h.run(ctx, a, known)
+// startWithFleet starts an incarnation of a box with the given fleet.
+func (h *history) startWithFleet(ctx context.Context, a *simBox, boxFleet *fleet.Fleet) {
+	a.incarnation++
+	a.spans = []span{{incarnation: a.incarnation, from: time.Now(), version: 1}}
+	h.runLoops(ctx, a, boxFleet)
 }
 
-// run starts a box's loops.
-func (h *history) run(ctx context.Context, a *actor, known *fleet.Fleet) {
-	// Each life has a share of its own, which the changes of its set are told by.
+// runLoops starts the loops of a box.
+func (h *history) runLoops(ctx context.Context, a *simBox, boxFleet *fleet.Fleet) {
+	// Each incarnation has its own Share, through which the changes of its quarantine are sent.
 	var share *loadshare.Share
 	a.suspects = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
 		if !change.Heard {
@@ -186,20 +186,20 @@
 	}})
 	share = loadshare.New(loadshare.Config{
 		Quarantine: a.suspects,
-		Fleet:      known, Logger: zerolog.Nop(), Box: a.name, Incarnation: fmt.Sprint(a.name, "/", a.life), Zone: a.zone, Cores: a.cores, Address: a.name, ReaderAddress: a.name,
-		NamedVersions: a.named, MergeNamedVersions: func(told map[string][]registry.Heard, _ time.Time) { a.hear(told) },
-		NeedsSnapshot: func() bool { return false }, Snapshot: func() *registry.Snapshot { return nil }, Dial: h.fabric.dialFrom(a.name),
+		Fleet:      boxFleet, Logger: zerolog.Nop(), Box: a.name, Incarnation: fmt.Sprint(a.name, "/", a.incarnation), Zone: a.zone, Cores: a.cores, Address: a.name, ReaderAddress: a.name,
+		NamedVersions: a.namedVersions, MergeNamedVersions: func(versions map[string][]registry.Heard, _ time.Time) { a.mergeVersions(versions) },
+		NeedsSnapshot: func() bool { return false }, Snapshot: func() *registry.Snapshot { return nil }, Dial: h.network.dialFrom(a.name),
 	})
 	a.share = share
-	a.share.ApplyBoxRecords(h.list())
+	a.share.ApplyBoxRecords(h.boxRecords())
 	ctx, a.stop = context.WithCancel(ctx)
-	listener := h.fabric.listen(a.name)
+	listener := h.network.listen(a.name)
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){a.share.LoopMaintainLinks, a.share.LoopExpireReports} {
 		loops.Go(func() { loop(ctx) })
 	}
 	loops.Go(func() { share.LoopAccept(ctx, listener) })
-	// The loops begin what the share waits for, so they end first, as in a box.
+	// The loops start goroutines that Share.Wait waits for, so they end first, as in an entry box.
 	a.stopped.Go(func() {
 		loops.Wait()
 		share.Wait()
--- a/internal/loadshare/lag_test.go
+++ b/internal/loadshare/lag_test.go
@@ -8,16 +8,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// In a large fleet a box cannot tell all others often; those of its own zone come first,
+// In a large fleet a box cannot send to all others often. Boxes of its own zone take precedence,
 // since their calls go to the same runners.
-func TestTheOwnZoneIsToldMoreOften(t *testing.T) {
+func TestTheOwnZoneIsSentReportsMoreOften(t *testing.T) {
 	tests := []struct {
 		name              string
 		own, others       int
 		lag, lagElsewhere time.Duration
 	}{
-		{"a small fleet", 2, 6, tellEvery, tellEvery},
-		{"a large one", 20, 61, time.Second / 6, 61 * time.Second / 120},
+		{"a small fleet", 2, 6, minDirectInterval, minDirectInterval},
+		{"a large fleet", 20, 61, time.Second / 6, 61 * time.Second / 120},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/loadshare/limits.go
+++ b/internal/loadshare/limits.go
@@ -1,51 +1,53 @@
-// Where this box stands among those that share the rate limit of a server (package advisory): by
-// rendezvous hashing over the boxes that hear each other, those of the server's zone first, since calls
-// stay in their zone where they can.
+// The rank of this box among the boxes that share the rate limit of a server (package advisory).
+// The order is given by rendezvous hashing over the boxes that receive each other's reports. Boxes
+// of the server's zone come first, since calls stay in their zone where possible.
 
 package loadshare
 
 import "github.com/cometlock/cometlock/internal/advisory"
 
-// maxLimitRanks bounds the ranks that are remembered, one for each incarnation of a limited server.
+// maxLimitRanks bounds the cached ranks, one for each incarnation of a limited server.
 const maxLimitRanks = 4096
 
-// limitRanks remembers this box's ranks for as long as the same boxes are present.
+// limitRanks caches this box's ranks while the set of present boxes stays the same.
 type limitRanks struct {
-	// present are the other boxes that are heard and listed, by name, with their zones; nil when they
-	// have to be found anew.
+	// present holds the zones of the other boxes that report and are listed, by name; nil when it
+	// must be computed again.
 	present map[string]string
 	ranks   map[string]int
 }
 
-// forget has the present boxes found anew.
-func (l *limitRanks) forget() { l.present = nil }
+// invalidate discards the set of present boxes.
+func (l *limitRanks) invalidate() { l.present = nil }
 
-// LimitPosition says where this box stands among those that share the rate limit of a server of a zone.
+// LimitPosition returns the rank of this box among those that share the rate limit of a server in a
+// zone.
 func (s *Share) LimitPosition(zone, server string) advisory.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.limits.present == nil {
 		s.limits = limitRanks{present: s.presentBoxes(), ranks: map[string]int{}}
 	}
-	rank, known := s.limits.ranks[server]
-	if !known {
+	rank, found := s.limits.ranks[server]
+	if !found {
 		if len(s.limits.ranks) >= maxLimitRanks {
 			clear(s.limits.ranks)
 		}
 		rank = s.limitRank(zone, server)
 		s.limits.ranks[server] = rank
 	}
-	return advisory.Position{Rank: rank, Present: len(s.limits.present) + 1, Listed: s.roll()}
+	return advisory.Position{Rank: rank, Present: len(s.limits.present) + 1, Listed: s.listedCount()}
 }
 
-// presentBoxes gives the zones of the other boxes that are heard and listed. The caller holds mu.
+// presentBoxes returns the zones of the other boxes that report and are listed, by name. The caller
+// holds mu.
 func (s *Share) presentBoxes() map[string]string {
-	present := make(map[string]string, len(s.known))
-	for box := range s.known {
+	present := make(map[string]string, len(s.states))
+	for box := range s.states {
 		switch listed := s.peers[box]; {
 		case listed != nil:
 			present[box] = listed.zone
-		case !s.followed:
+		case !s.listLoaded:
 			present[box] = ""
 		}
 	}
@@ -54,16 +56,16 @@
 
 // limitRank counts the present boxes that precede this one for a server. The caller holds mu.
 func (s *Share) limitRank(zone, server string) int {
-	var near, far []string
+	var sameZone, otherZones []string
 	for box, boxZone := range s.limits.present {
 		if boxZone == zone {
-			near = append(near, box)
+			sameZone = append(sameZone, box)
 		} else {
-			far = append(far, box)
+			otherZones = append(otherZones, box)
 		}
 	}
 	if s.cfg.Zone == zone {
-		return advisory.Rank(s.cfg.Box, near, server)
+		return advisory.Rank(s.cfg.Box, sameZone, server)
 	}
-	return len(near) + advisory.Rank(s.cfg.Box, far, server)
+	return len(sameZone) + advisory.Rank(s.cfg.Box, otherZones, server)
 }
--- a/internal/loadshare/limits_test.go
+++ b/internal/loadshare/limits_test.go
@@ -1,6 +1,6 @@
-// A server may name the rate of requests that it takes from all boxes together. Boxes share no counter,
-// so these tests play random histories: boxes start again, links and zones are cut, and the limit
-// changes, ends and is named again, while every box has calls for the server all the time.
+// A server may name the rate of requests that it accepts from all boxes together. Boxes share no
+// counter, so these tests run random histories: boxes restart, links and zones are cut, and the
+// limit changes, ends and is named again, while every box has calls for the server all the time.
 
 package loadshare_test
 
@@ -22,106 +22,107 @@
 const (
 	limitLength = 40 * time.Second
 	limitStep   = 20 * time.Millisecond
-	// limitWindow is the span in which requests are counted, and limitKnown how long after its first
-	// answer with a limit a box is counted.
-	limitWindow = 4 * time.Second
-	limitKnown  = 500 * time.Millisecond
-	// limitGrace is how long after a server first named its limit nothing is counted.
-	limitGrace = contactTime
-	// limitExcused is how long a box is not counted after it started.
-	limitExcused = limitWindow
-	// wayThere is the time of a request, and of an answer, on its way at most.
-	wayThere = 30 * time.Millisecond
+	// limitWindow is the window in which requests are counted. countedAfterAnswer is how long after
+	// its first answer with a limit the requests of a box are counted.
+	limitWindow        = 4 * time.Second
+	countedAfterAnswer = 500 * time.Millisecond
+	// countedAfterNamed is the time after which requests are counted when a server starts to name a
+	// limit.
+	countedAfterNamed = maxPropagation
+	// countedAfterStart is how long after its start the requests of a box are not counted.
+	countedAfterStart = limitWindow
+	// maxTransit is the maximum transit time of a request or an answer.
+	maxTransit = 30 * time.Millisecond
 )
 
-// limitedServer names a limit and keeps a ledger of what it gets.
+// limitedServer names a limit and records the requests that it receives.
 type limitedServer struct {
 	perSecond float64
-	// namedSince is since when it names a limit without a break.
+	// namedSince is when it last started to name a limit.
 	namedSince time.Time
-	ledger     []limitedArrival
+	arrivals   []limitedArrival
 }
 
 type limitedArrival struct {
 	at  time.Time
 	box string
-	// counts says that the box must have known of the limit.
+	// counts is whether the box must have known of the limit.
 	counts bool
-	// limit is the least that was named in the window before.
+	// limit is the limit that the server named when the request arrived.
 	limit float64
 }
 
 // limitedBox is a box that calls the server.
 type limitedBox struct {
-	*actor
+	*simBox
 	fleet *fleet.Fleet
-	// answeredAt is when it first got an answer with the present limit.
+	// answeredAt is when the box received its first answer with the current limit.
 	answeredAt, startedAt time.Time
 }
 
-// message is a request or an answer on its way.
-type message struct {
-	at     time.Time
-	arrive func()
+// delivery is a request or an answer in transit.
+type delivery struct {
+	at      time.Time
+	deliver func()
 }
 
-// limitHistory is one history.
+// limitHistory is one random history.
 type limitHistory struct {
 	*history
 	server limitedServer
 	boxes  []*limitedBox
-	// passing are requests and answers on their way.
-	passing []message
-	// calm says that nothing happens to the boxes, callers how many of them have calls.
-	calm    bool
-	callers int
-	// alone plants a fault: each box takes the whole limit for its own.
-	alone bool
+	// inTransit holds the requests and answers in transit.
+	inTransit []delivery
+	// noEvents disables the random events. callers is the number of boxes that have calls.
+	noEvents bool
+	callers  int
+	// noSharing injects a fault: each box uses the whole limit itself.
+	noSharing bool
 }
 
-func (h *limitHistory) start(ctx context.Context, b *limitedBox) {
+func (h *limitHistory) startBox(ctx context.Context, b *limitedBox) {
 	position := func(zone, server string) advisory.Position { return b.share.LimitPosition(zone, server) }
-	if h.alone {
+	if h.noSharing {
 		position = nil
 	}
 	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop(), LimitPosition: position})
 	b.fleet.Apply([]fleet.Update{{Key: "s", Offset: 1, Server: &fleet.Server{Incarnation: "s", Service: "s", Zone: "zone-0", Slots: 4}}})
 	b.answeredAt, b.startedAt = time.Time{}, time.Now()
-	h.beginWith(ctx, b.actor, b.fleet)
+	h.startWithFleet(ctx, b.simBox, b.fleet)
 }
 
-// call has a box call the server, if it may.
+// call makes a box call the server, if it may.
 func (h *limitHistory) call(b *limitedBox) {
 	hold := b.fleet.Choose(fleet.Query{Service: "s", Zone: b.zone})
 	if hold == nil {
 		return
 	}
-	sent, at := time.Now(), b.fleet
-	there, back := time.Duration(h.random.Int64N(int64(wayThere))), time.Duration(h.random.Int64N(int64(wayThere)))
+	sent, sender := time.Now(), b.fleet
+	requestTime, answerTime := time.Duration(h.random.Int64N(int64(maxTransit))), time.Duration(h.random.Int64N(int64(maxTransit)))
 	lost := h.random.IntN(20) == 0
-	h.after(there, func() {
+	h.deliverAfter(requestTime, func() {
 		now := time.Now()
-		counts := !b.answeredAt.IsZero() && now.Sub(b.answeredAt) > limitKnown && now.Sub(b.startedAt) > limitExcused && h.server.perSecond > 0 && now.Sub(h.server.namedSince) > limitGrace
-		h.server.ledger = append(h.server.ledger, limitedArrival{at: now, box: b.name, counts: counts, limit: h.server.perSecond})
+		counts := !b.answeredAt.IsZero() && now.Sub(b.answeredAt) > countedAfterAnswer && now.Sub(b.startedAt) > countedAfterStart && h.server.perSecond > 0 && now.Sub(h.server.namedSince) > countedAfterNamed
+		h.server.arrivals = append(h.server.arrivals, limitedArrival{at: now, box: b.name, counts: counts, limit: h.server.perSecond})
 		answer := advisory.Answer{Sent: sent, Genuine: true}
 		if h.server.perSecond > 0 {
 			answer.Limit, answer.PerSecond = advisory.LimitNamed, h.server.perSecond
 		}
-		h.after(back, func() {
+		h.deliverAfter(answerTime, func() {
 			hold.Done(fleet.EndServed)
 			if lost {
 				return
 			}
 			answer.Received = time.Now()
-			at.Advise("s", answer)
-			if at == b.fleet && b.answeredAt.IsZero() && answer.Limit == advisory.LimitNamed {
+			sender.Advise("s", answer)
+			if sender == b.fleet && b.answeredAt.IsZero() && answer.Limit == advisory.LimitNamed {
 				b.answeredAt = time.Now()
 			}
 		})
 	})
 }
 
-// setLimit has the server name another limit; zero for none.
+// setLimit makes the server name another limit; zero for none.
 func (h *limitHistory) setLimit(perSecond float64) {
 	if perSecond > 0 && h.server.perSecond == 0 {
 		h.server.namedSince = time.Now()
@@ -132,19 +133,19 @@
 	h.server.perSecond = perSecond
 }
 
-// disturb has something happen to a box, to links, or to the limit.
-func (h *limitHistory) disturb(ctx context.Context) {
+// injectEvent causes a random event at a box, at links or at the limit.
+func (h *limitHistory) injectEvent(ctx context.Context) {
 	b := h.boxes[h.random.IntN(len(h.boxes))]
 	switch h.random.IntN(8) {
 	case 0:
 		b.stop()
 		b.stopped.Wait()
-		h.start(ctx, b)
+		h.startBox(ctx, b)
 	case 1:
 		for _, other := range h.boxes {
 			if (other.zone == b.zone) != (h.random.IntN(2) == 0) {
-				h.fabric.setCut(b.name, other.name, true)
-				h.fabric.setCut(other.name, b.name, true)
+				h.network.setCut(b.name, other.name, true)
+				h.network.setCut(other.name, b.name, true)
 			}
 		}
 	case 2:
@@ -152,68 +153,68 @@
 	case 3, 4:
 		h.setLimit([]float64{0.3, 2, 2.1, 10}[h.random.IntN(4)])
 	default:
-		h.fabric.heal()
+		h.network.heal()
 	}
 }
 
-// play plays the history.
+// play runs the history.
 func (h *limitHistory) play(ctx context.Context) {
-	const disturbance = 0.02
+	const eventProbability = 0.02
 	for end := time.Now().Add(limitLength); time.Now().Before(end); time.Sleep(limitStep) {
-		if !h.calm && h.random.Float64() < disturbance {
-			h.disturb(ctx)
+		if !h.noEvents && h.random.Float64() < eventProbability {
+			h.injectEvent(ctx)
 		}
 		for _, b := range h.boxes[:h.callers] {
 			if h.random.IntN(4) == 0 {
 				h.call(b)
 			}
 		}
-		h.arrive()
+		h.deliverDue()
 	}
 }
 
-// after has a message arrive later.
-func (h *limitHistory) after(length time.Duration, arrive func()) {
-	h.passing = append(h.passing, message{time.Now().Add(length), arrive})
+// deliverAfter schedules a delivery.
+func (h *limitHistory) deliverAfter(delay time.Duration, deliver func()) {
+	h.inTransit = append(h.inTransit, delivery{time.Now().Add(delay), deliver})
 }
 
-// arrive has the messages arrive whose time has come.
-func (h *limitHistory) arrive() {
+// deliverDue carries out the deliveries that are due.
+func (h *limitHistory) deliverDue() {
 	now := time.Now()
-	passing := h.passing
-	h.passing = nil
-	for _, m := range passing {
-		if now.Before(m.at) {
-			h.passing = append(h.passing, m)
+	inTransit := h.inTransit
+	h.inTransit = nil
+	for _, d := range inTransit {
+		if now.Before(d.at) {
+			h.inTransit = append(h.inTransit, d)
 		} else {
-			m.arrive()
+			d.deliver()
 		}
 	}
 }
 
-// excess gives the span in which the most requests came beyond what was allowed, and how many there
-// were and might have been; false when there was none.
-func (s *limitedServer) excess() (came int, allowed float64, found bool) {
-	for i, last := range s.ledger {
-		most, count := 0.0, 0
-		for j := i; j >= 0 && last.at.Sub(s.ledger[j].at) < limitWindow; j-- {
-			if s.ledger[j].counts {
+// excess finds the window with the most requests above what was allowed, and returns how many
+// arrived and how many were allowed; false if there is none.
+func (s *limitedServer) excess() (received int, allowed float64, found bool) {
+	for i, last := range s.arrivals {
+		maxLimit, count := 0.0, 0
+		for j := i; j >= 0 && last.at.Sub(s.arrivals[j].at) < limitWindow; j-- {
+			if s.arrivals[j].counts {
 				count++
 			}
-			most = max(most, s.ledger[j].limit)
+			maxLimit = max(maxLimit, s.arrivals[j].limit)
 		}
-		limit := 1.5*most*limitWindow.Seconds() + 5
-		if last.counts && float64(count) > limit && float64(count)-limit > float64(came)-allowed {
-			came, allowed, found = count, limit, true
+		limit := 1.5*maxLimit*limitWindow.Seconds() + 5
+		if last.counts && float64(count) > limit && float64(count)-limit > float64(received)-allowed {
+			received, allowed, found = count, limit, true
 		}
 	}
-	return came, allowed, found
+	return received, allowed, found
 }
 
-// counted is how many requests came from boxes that must have known of the limit.
+// counted returns the number of requests from boxes that must have known of the limit.
 func (s *limitedServer) counted() int {
 	count := 0
-	for _, arrival := range s.ledger {
+	for _, arrival := range s.arrivals {
 		if arrival.counts {
 			count++
 		}
@@ -221,47 +222,47 @@
 	return count
 }
 
-func playLimits(t *testing.T, seed uint64, zones []int, plant func(h *limitHistory)) *limitHistory {
+func playLimits(t *testing.T, seed uint64, zones []int, prepare func(h *limitHistory)) *limitHistory {
 	t.Helper()
 	h := &limitHistory{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		h.history = &history{t: t, random: rand.New(rand.NewPCG(seed, 3)), fabric: newFabric(), named: 1}
-		defer h.finish(cancel)
-		h.place(zones)
-		for _, a := range h.actors {
-			h.boxes = append(h.boxes, &limitedBox{actor: a})
+		h.history = &history{t: t, random: rand.New(rand.NewPCG(seed, 3)), network: newNetwork(), newestVersion: 1}
+		defer h.stop(cancel)
+		h.addBoxes(zones)
+		for _, a := range h.simBoxes {
+			h.boxes = append(h.boxes, &limitedBox{simBox: a})
 		}
 		h.callers = len(h.boxes)
 		h.server.perSecond, h.server.namedSince = 2, time.Now()
-		plant(h)
+		prepare(h)
 		for _, b := range h.boxes {
-			h.start(ctx, b)
+			h.startBox(ctx, b)
 		}
 		h.play(ctx)
 	})
 	return h
 }
 
-func TestAllBoxesTogetherKeepTheRateLimitOfAServer(t *testing.T) {
+func TestAllBoxesTogetherRespectTheRateLimitOfAServer(t *testing.T) {
 	counted := 0
 	for _, zones := range [][]int{{3, 2}, {9, 8, 8}} {
 		for _, seed := range seedsOf(t, 2) {
 			h := playLimits(t, seed, zones, func(*limitHistory) {})
-			came, allowed, found := h.server.excess()
+			received, allowed, found := h.server.excess()
 			counted += h.server.counted()
 			if found {
-				t.Errorf("seed %d, zones %v: %d requests in %v, %.1f allowed", seed, zones, came, limitWindow, allowed)
+				t.Errorf("seed %d, zones %v: %d requests in %v, %.1f allowed", seed, zones, received, limitWindow, allowed)
 			}
 		}
 	}
 	t.Log(counted, "requests counted")
 	if counted == 0 {
-		t.Error("no request was counted: nothing was tested")
+		t.Error("no request was counted, so nothing was tested")
 	}
 }
 
-// The limit is not kept by sending nothing, whichever boxes have calls.
+// The limit must not be kept by sending nothing, whichever boxes have calls.
 func TestALimitedServerIsUsed(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -270,32 +271,32 @@
 		least   float64
 	}{
 		{"all boxes call it", 25, 2, 0.8},
-		{"all boxes call it rarely", 25, 0.3, 0.8},
+		{"all boxes call it at a low limit", 25, 0.3, 0.8},
 		{"one box calls it", 1, 2, 0.1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			h := playLimits(t, 1, zonesOf25, func(h *limitHistory) {
-				h.calm, h.callers = true, test.callers
+				h.noEvents, h.callers = true, test.callers
 				h.server.perSecond = test.limit
 			})
 			_, _, found := h.server.excess()
 			g.Expect(found).To(BeFalse())
 			late := 0
-			for _, arrival := range h.server.ledger {
-				if arrival.at.After(h.server.namedSince.Add(limitGrace)) {
+			for _, arrival := range h.server.arrivals {
+				if arrival.at.After(h.server.namedSince.Add(countedAfterNamed)) {
 					late++
 				}
 			}
-			g.Expect(float64(late)).To(BeNumerically(">=", test.least*test.limit*(limitLength-limitGrace).Seconds()))
+			g.Expect(float64(late)).To(BeNumerically(">=", test.least*test.limit*(limitLength-countedAfterNamed).Seconds()))
 		})
 	}
 }
 
-func TestTheHistoriesOfLimitsFindPlantedFaults(t *testing.T) {
+func TestLimitHistoriesDetectInjectedFaults(t *testing.T) {
 	g := NewWithT(t)
-	h := playLimits(t, 1, zonesOf25, func(h *limitHistory) { h.calm, h.alone = true, true })
-	came, allowed, found := h.server.excess()
-	g.Expect(found).To(BeTrue(), fmt.Sprint(came, " of ", allowed))
+	h := playLimits(t, 1, zonesOf25, func(h *limitHistory) { h.noEvents, h.noSharing = true, true })
+	received, allowed, found := h.server.excess()
+	g.Expect(found).To(BeTrue(), fmt.Sprint(received, " of ", allowed))
 }
--- a/internal/loadshare/links.go
+++ b/internal/loadshare/links.go
@@ -1,13 +1,14 @@
-// Whom a box tells. Where there are few boxes, all others. Otherwise each follows the hub of
-// its zone and tells that one; a hub tells all boxes of its zone that are listed, also those
-// that it does not hear, and the hubs of the other zones. Who wants to be told is told
-// besides: for some moments boxes disagree on who is the hub, and a box that cannot read the
-// list is found by the hub of its zone.
+// The links of a box, that is, the boxes to which it sends. In a small fleet a box sends to all
+// others. Otherwise each box follows the hub of its zone and sends to that hub only. A hub sends to
+// all listed boxes of its zone, including those that do not report to it, and to the hubs of the
+// other zones. In addition a box sends to every box that asks for its reports: boxes may disagree
+// for a short time on which box is the hub, and the hub of its zone contacts a box that cannot read
+// the list.
 //
-// The hub is chosen (package delegate) among the boxes of a zone that anybody hears, so that
-// one which is gone is not tried again and again; where nobody is heard, among all that are
-// listed, one after the other. One that cannot be reached is left alone for a while, and so
-// is one that says nothing.
+// The hub is chosen (package delegate) among the boxes of the zone that report, here or to a
+// follower that reports here, so that a crashed one is not tried repeatedly. If none does, all
+// listed boxes are tried, one after the other. A box that cannot be reached, or that sends no
+// reports, is avoided for a while.
 
 package loadshare
 
@@ -23,53 +24,54 @@
 )
 
 const (
-	// fewBoxes is the number of boxes up to which they tell each other directly: with 16
-	// that is 190 messages a second for each of them, and a hub saves nothing.
-	fewBoxes = 16
-	// boxesPerHub bounds the boxes of one hub: 64 of them are told 400 times a second
-	// together, and tell it up to 640 times.
+	// maxDirectBoxes is the number of boxes up to which all send to each other directly. With 16
+	// boxes each sends 190 messages a second, and a hub would save nothing.
+	maxDirectBoxes = 16
+	// boxesPerHub bounds the boxes of one hub. A hub sends 400 messages a second to 64 boxes and
+	// receives up to 640 from them.
 	boxesPerHub = 64
-	// linkEvery is the time between two looks at whom to tell, and settledEvery that of a box
-	// whose hub says that it is one: looks at 295 boxes were a seventh of what telling takes.
-	linkEvery    = 300 * time.Millisecond
-	settledEvery = 1200 * time.Millisecond
-	// othersFor is how long the other boxes are remembered as they were described. It is asked for
-	// some ten times a second, by who tells whom, who reads for whom and who owns what.
-	othersFor = 100 * time.Millisecond
-	// hubPatience is how long a hub may say nothing: some messages' time.
-	hubPatience = 700 * time.Millisecond
-	// avoidFor is how long a box is not taken for a hub that did not answer. Longer than
-	// hubPatience, so that boxes do not leave a hub that answers for one that does not.
-	avoidFor = 3 * time.Second
+	// linkInterval is the interval at which the links are updated. settledLinkInterval is that of a
+	// box whose hub responds: at 295 boxes the updates took a seventh of the CPU time of all
+	// sending.
+	linkInterval        = 300 * time.Millisecond
+	settledLinkInterval = 1200 * time.Millisecond
+	// candidatesTTL is how long the candidates are cached. They are used about ten times a second,
+	// to select links, the reader of the log and the owners of servers.
+	candidatesTTL = 100 * time.Millisecond
+	// hubTimeout is how long a hub may send nothing: several send intervals.
+	hubTimeout = 700 * time.Millisecond
+	// avoidDuration is how long a box that did not respond is not chosen as a hub. It is longer
+	// than hubTimeout, so that boxes do not leave a hub that responds for one that does not.
+	avoidDuration = 3 * time.Second
 )
 
-// hubRole is what a hub does for the other boxes of its zone.
+// hubRole is the role of a hub, which forwards reports for the other boxes of its zone.
 var hubRole = delegate.Config{Role: "hub", BoxesPerDelegate: boxesPerHub}
 
-// hubs reports whether boxes tell each other by way of hubs. The caller holds mu.
-func (s *Share) hubs() bool {
-	return s.followed && len(s.peers)+1 > fewBoxes && s.cfg.Off.On(mechanism.Hubs)
+// usesHubs reports whether boxes send through hubs. The caller holds mu.
+func (s *Share) usesHubs() bool {
+	return s.listLoaded && len(s.peers)+1 > maxDirectBoxes && s.cfg.Off.On(mechanism.Hubs)
 }
 
-// Hub names the hub that this box follows; empty for a hub, and where there are none.
+// Hub returns the name of the hub that this box follows; empty for a hub, and without hubs.
 func (s *Share) Hub() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hub
 }
 
-// LoopMaintainLinks tells those that are to be told until ctx ends.
+// LoopMaintainLinks opens and closes links to other boxes until ctx ends.
 func (s *Share) LoopMaintainLinks(ctx context.Context) {
 	linkedAt := time.Time{}
 	for ctx.Err() == nil {
 		wake := s.relink.Chan()
-		if !s.isSettled() || boottime.Since(linkedAt) >= settledEvery {
-			s.link(ctx)
+		if !s.hubResponds() || boottime.Since(linkedAt) >= settledLinkInterval {
+			s.updateLinks(ctx)
 			linkedAt = boottime.Now()
 		}
-		waiting.ForOrSignal(ctx, linkEvery, wake)
+		waiting.ForOrSignal(ctx, linkInterval, wake)
 		if isClosed(wake) {
-			linkedAt = time.Time{} // whoever woke this loop is to be told now
+			linkedAt = time.Time{} // the links must be updated now
 		}
 	}
 }
@@ -83,146 +85,150 @@
 	}
 }
 
-// isSettled reports whether this box follows a hub that says something.
-func (s *Share) isSettled() bool {
+// hubResponds reports whether this box follows a hub that sends reports and does not follow another
+// hub itself.
+func (s *Share) hubResponds() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := s.heard[s.hub]
-	return s.hub != "" && last != nil && last.hub == "" && boottime.Since(last.receivedAt) <= hubPatience
+	last := s.reports[s.hub]
+	return s.hub != "" && last != nil && last.hub == "" && boottime.Since(last.receivedAt) <= hubTimeout
 }
 
-// link begins to tell those that are to be told from now on, and stops telling the others.
-func (s *Share) link(ctx context.Context) {
+// updateLinks opens links to new targets and closes the others.
+func (s *Share) updateLinks(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wanted := s.wanted(boottime.Now())
-	for box, told := range s.telling {
-		chosen, ok := wanted[box]
-		if known := s.peers[box]; ok && known != nil && known.address == told.address {
-			told.chosen = chosen
+	targets := s.linkTargets(boottime.Now())
+	for box, link := range s.links {
+		selected, ok := targets[box]
+		if peer := s.peers[box]; ok && peer != nil && peer.address == link.address {
+			link.selected = selected
 			continue
 		}
-		told.stop()
-		delete(s.telling, box)
+		link.stop()
+		delete(s.links, box)
 	}
-	for box, chosen := range wanted {
-		if known := s.peers[box]; known != nil && s.telling[box] == nil {
-			s.begin(ctx, box, known.address, chosen)
+	for box, selected := range targets {
+		if peer := s.peers[box]; peer != nil && s.links[box] == nil {
+			s.openLink(ctx, box, peer.address, selected)
 		}
 	}
 }
 
-// begin starts telling a box. The caller holds mu.
-func (s *Share) begin(ctx context.Context, box, address string, chosen bool) {
+// openLink starts sending to a box. The caller holds mu.
+func (s *Share) openLink(ctx context.Context, box, address string, selected bool) {
 	ctx, stop := context.WithCancel(ctx)
-	told := &telling{address: address, chosen: chosen, stop: stop, urgency: s.urgency}
-	s.telling[box] = told
-	s.loops.Go(func() { s.loopTellPeer(ctx, box, told) })
+	link := &peerLink{address: address, selected: selected, stop: stop, urgentCount: s.urgentCount}
+	s.links[box] = link
+	s.loops.Go(func() { s.loopSend(ctx, box, link) })
 }
 
-// wanted lists whom to tell, and whether by this box's choice. The caller holds mu.
-func (s *Share) wanted(now time.Time) map[string]bool {
-	wanted := map[string]bool{}
-	for box, last := range s.heard {
-		if last.chosen {
-			wanted[box] = false
+// linkTargets returns the boxes to send to, each with whether this box selected it itself. The
+// caller holds mu.
+func (s *Share) linkTargets(now time.Time) map[string]bool {
+	targets := map[string]bool{}
+	for box, last := range s.reports {
+		if last.wantsReports {
+			targets[box] = false
 		}
 	}
-	if !s.hubs() {
+	if !s.usesHubs() {
 		s.hub = ""
 		for box := range s.peers {
-			wanted[box] = true
+			targets[box] = true
 		}
-		return wanted
+		return targets
 	}
-	s.leaveSilentHub(now)
-	others := s.others(now)
-	hub, follow := delegate.Choose(hubRole, s.self(), others)
-	s.follow(hub.Name, now)
+	s.avoidTimedOutHub(now)
+	candidates := s.candidates(now)
+	hub, follow := delegate.Choose(hubRole, s.self(), candidates)
+	s.setHub(hub.Name, now)
 	if follow {
-		wanted[hub.Name] = true
-		return wanted
+		targets[hub.Name] = true
+		return targets
 	}
-	for _, box := range delegate.Group(s.cfg.Zone, others) {
-		wanted[box.Name] = true
+	for _, box := range delegate.Group(s.cfg.Zone, candidates) {
+		targets[box.Name] = true
 	}
-	for _, box := range delegate.OfOtherGroups(hubRole, s.cfg.Zone, append(others, s.self())) {
-		wanted[box.Name] = true
+	for _, box := range delegate.OfOtherGroups(hubRole, s.cfg.Zone, append(candidates, s.self())) {
+		targets[box.Name] = true
 	}
-	return wanted
+	return targets
 }
 
-// follow notes whom this box follows. The caller holds mu.
-func (s *Share) follow(hub string, now time.Time) {
+// setHub records the hub that this box follows. The caller holds mu.
+func (s *Share) setHub(hub string, now time.Time) {
 	if hub == s.hub && !s.hubSince.IsZero() {
 		return
 	}
 	s.hub, s.hubSince = hub, now
-	s.cfg.Logger.Info().Str("hub", hub).Int("listed", len(s.peers)+1).Int("heard", len(s.known)).Msg("hub_chosen")
+	s.cfg.Logger.Info().Str("hub", hub).Int("listed", len(s.peers)+1).Int("heard", len(s.states)).Msg("hub_chosen")
 }
 
-// leaveSilentHub avoids a hub that has said nothing for too long. The caller holds mu.
-func (s *Share) leaveSilentHub(now time.Time) {
-	if s.hub == "" || now.Sub(s.hubSince) < hubPatience {
+// avoidTimedOutHub avoids the hub if it has sent nothing for hubTimeout. The caller holds mu.
+func (s *Share) avoidTimedOutHub(now time.Time) {
+	if s.hub == "" || now.Sub(s.hubSince) < hubTimeout {
 		return
 	}
-	if last := s.heard[s.hub]; last == nil || now.Sub(last.receivedAt) > hubPatience {
-		s.cfg.Logger.Warn().Str("hub", s.hub).Msg("hub_silent")
-		s.avoided[s.hub] = now.Add(avoidFor)
-		s.othersAt = time.Time{}
+	if last := s.reports[s.hub]; last == nil || now.Sub(last.receivedAt) > hubTimeout {
+		s.cfg.Logger.Warn().Str("hub", s.hub).Msg("hub_timed_out")
+		s.avoided[s.hub] = now.Add(avoidDuration)
+		s.candidatesAt = time.Time{}
 	}
 }
 
-// avoid leaves a box alone for a while that could not be reached.
+// avoid marks a box that could not be reached as unavailable for avoidDuration.
 func (s *Share) avoid(box string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.avoided[box] = boottime.Now().Add(avoidFor)
-	s.othersAt = time.Time{}
+	s.avoided[box] = boottime.Now().Add(avoidDuration)
+	s.candidatesAt = time.Time{}
 	if box == s.hub {
 		s.cfg.Logger.Warn().Str("hub", box).Msg("hub_unreachable")
 		s.relink.Broadcast()
 	}
 }
 
-// others describes the other boxes that are listed. Those are away that could not be
-// reached, and those that are not heard in zones of which any box is, by this box or by one
-// that it hears and that follows them. The caller holds mu.
+// candidates describes the other listed boxes for package delegate. A box is unavailable if it
+// could not be reached. In a zone where at least one box reports, those that do not are unavailable
+// too. A box counts as reporting if this box has its state, or a report of a box that follows it.
+// The caller holds mu.
 //
-// Where a hub counted as away that only its followers heard, hubs which had not reached each
-// other when they started chose a follower of each other in its place, for good: all boxes but
-// one of a zone knew a fifth of the work under way, and heard less than half of the boxes, so
-// that nothing of older weights was freed.
-func (s *Share) others(now time.Time) []delegate.Box {
-	if now.Sub(s.othersAt) >= othersFor {
-		s.othersNow, s.othersAt = slices.Clip(s.describeOthers(now)), now
-	}
-	return s.othersNow
+// If a hub counted as unavailable when only its followers received its reports, two hubs that could
+// not reach each other when they started would each choose a follower of the other instead, for
+// good. When that happened, all boxes but one of a zone knew of a fifth of the calls in flight and
+// received reports of less than half of the boxes, so that no kept parts of older weights were
+// freed.
+func (s *Share) candidates(now time.Time) []delegate.Box {
+	if now.Sub(s.candidatesAt) >= candidatesTTL {
+		s.candidateBoxes, s.candidatesAt = slices.Clip(s.computeCandidates(now)), now
+	}
+	return s.candidateBoxes
 }
 
-func (s *Share) describeOthers(now time.Time) []delegate.Box {
-	followed := s.followedByHeard()
-	heardIn := map[string]bool{}
-	for name, known := range s.peers {
-		if (s.known[name] != nil || followed[name]) && !now.Before(s.avoided[name]) {
-			heardIn[known.zone] = true
+func (s *Share) computeCandidates(now time.Time) []delegate.Box {
+	hubs := s.reportedHubs()
+	activeZones := map[string]bool{}
+	for name, peer := range s.peers {
+		if (s.states[name] != nil || hubs[name]) && !now.Before(s.avoided[name]) {
+			activeZones[peer.zone] = true
 		}
 	}
 	boxes := make([]delegate.Box, 0, len(s.peers))
-	for name, known := range s.peers {
-		away := now.Before(s.avoided[name]) || heardIn[known.zone] && s.known[name] == nil && !followed[name]
-		boxes = append(boxes, delegate.Box{Name: name, Zone: known.zone, Cores: known.cores, Unavailable: away})
+	for name, peer := range s.peers {
+		unavailable := now.Before(s.avoided[name]) || activeZones[peer.zone] && s.states[name] == nil && !hubs[name]
+		boxes = append(boxes, delegate.Box{Name: name, Zone: peer.zone, Cores: peer.cores, Unavailable: unavailable})
 	}
 	return boxes
 }
 
-// followedByHeard names the boxes that heard ones follow. The caller holds mu.
-func (s *Share) followedByHeard() map[string]bool {
-	followed := map[string]bool{}
-	for _, last := range s.heard {
+// reportedHubs returns the hubs that reporting boxes follow. The caller holds mu.
+func (s *Share) reportedHubs() map[string]bool {
+	hubs := map[string]bool{}
+	for _, last := range s.reports {
 		if last.hub != "" {
-			followed[last.hub] = true
+			hubs[last.hub] = true
 		}
 	}
-	return followed
+	return hubs
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -1,24 +1,23 @@
-// Package loadshare lets entry boxes tell each other how much work they have at
-// which backend server, so that each places calls by the work of all, and which
-// versions of weights they know.
+// Package loadshare exchanges load reports, membership and known weight versions between entry
+// boxes, so that each box places calls by the load that all boxes put on a backend server.
 //
-// What is told of work is a hint. What has not been heard for a while counts as nothing.
-// One promise rests on what is told, that of package retire, and so on how old a word
-// can be: a message may lie in a cut link for seconds and then arrive. Each message
-// therefore carries the sender's own time, which the receiver sends back in its next
-// one with how long it had it; what comes with the echo was said after that time and as long
-// again. Both clocks are steady ones, so nothing rests on the time of day.
+// A load report is a hint: it expires when no newer one arrives. One guarantee depends on the
+// reports, that of package retire, and it needs to know how old a report is. A message may be
+// delayed by seconds in a broken link and still arrive. Each message therefore carries the sender's
+// own time. The receiver echoes that time in its next message, together with the time since it
+// received it. The echo shows that the next message was sent no earlier than the sum of both. Both
+// clocks are monotonic, so nothing depends on the time of day.
 //
-// A few boxes tell each other directly. In a larger fleet each zone has a hub (package
-// delegate): its boxes tell it their work, hubs tell each other that of their zones, and
-// a hub tells each of its boxes the sum of all others' (links.go, work.go). Which boxes
-// there are and what they know goes the same way, by name and never as a count, with the
-// age of the oldest word among them (roster.go), so that no box can be counted twice. At
-// 295 boxes that told each other directly, a word was 0.4 s old within a zone and 2 s
-// between zones, and 70,000 messages a second took most of all boxes' processor.
+// In a small fleet the boxes send to each other directly. In a larger fleet each zone has a hub
+// (package delegate): boxes send their load to their zone's hub, hubs exchange the totals of their
+// zones, and a hub sends each of its boxes the total of all other boxes (links.go, loads.go).
+// Membership and weight versions take the same path, but as one entry per box and never as a count,
+// with the age of the oldest entry (roster.go), so that no box is counted twice. When 295 boxes
+// sent to each other directly, reports were 0.4 s old within a zone and 2 s old between zones, and
+// 70,000 messages a second used most of the CPU time of all boxes.
 //
-// Where the boxes reach each other stands in the platform's log: each writes its
-// address once when it starts.
+// Each box finds the addresses of the others in the platform's log, where every box writes its own
+// when it starts.
 //
 // On the wire a message is a frame of package frame.
 package loadshare
@@ -42,107 +41,109 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Config sets up a Share.
+// Config configures a Share.
 type Config struct {
 	Log    sharedlog.Log
 	Fleet  *fleet.Fleet
 	Logger zerolog.Logger
-	// Box names this box, Incarnation this life of it.
+	// Box is the name of this box. Incarnation identifies this run of its process.
 	Box         string
 	Incarnation string
-	// Address is where other boxes reach this one, ReaderAddress where those that follow it ask
-	// it, PlacesAddress where it is asked for places, Zone its availability zone, and Cores the processor that it may use.
+	// Address is where other boxes connect to this one. ReaderAddress serves the boxes that read
+	// the log through it, PlacesAddress serves requests for places at the servers that it owns.
+	// Zone is its availability zone, and Cores the number of CPU cores that it may use.
 	Address       string
 	ReaderAddress string
 	PlacesAddress string
 	Zone          string
 	Cores         float64
-	// NamedVersions gives the weights that this box knows to be named, by model, the newest
-	// last, and MergeNamedVersions takes over what another box knew at asOf, or some time before
-	// now when asOf is zero.
+	// NamedVersions returns the weight versions that were named for each model, as far as this box
+	// knows, oldest first. MergeNamedVersions merges those of another box, which were current at
+	// asOf, or at an unknown earlier time when asOf is zero.
 	NamedVersions      func() map[string][]registry.Heard
 	MergeNamedVersions func(named map[string][]registry.Heard, asOf time.Time)
 	// NeedsSnapshot reports that this box has no configuration and cannot read the log. Snapshot
-	// gives what it read of the log, or nil while it has no configuration; ApplySnapshot takes
-	// over that of another box.
+	// returns what it read from the log, nil while it has no configuration. ApplySnapshot applies
+	// the snapshot of another box.
 	NeedsSnapshot func() bool
 	Snapshot      func() *registry.Snapshot
 	ApplySnapshot func(registry.Snapshot)
-	// Quarantine knows which requests end servers; nil stands for one that knows nothing.
+	// Quarantine records which requests crash servers; nil stands for an empty one.
 	Quarantine *quarantine.Set
 	// MayCallCold reports whether this box may call cold servers at all; nil means that it may.
 	MayCallCold func() bool
-	// Off holds mechanisms that are switched off.
+	// Off holds the mechanisms that are disabled.
 	Off mechanism.Off
 	// Dial connects to another box; nil stands for TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Share tells and hears.
+// Share exchanges reports with the other boxes.
 type Share struct {
 	cfg     Config
 	started time.Time
 
 	mu sync.Mutex
-	// peers are the other boxes that are listed, by name, and telling those that are told.
-	peers   map[string]*peer
-	telling map[string]*telling
-	// hub is the box that this one follows, since hubSince; empty for a hub, and where boxes
-	// tell each other directly. avoided holds boxes that could not be reached, until when.
+	// peers holds the other boxes by name, links those to which this box sends.
+	peers map[string]*peer
+	links map[string]*peerLink
+	// hub is the hub that this box follows since hubSince; empty if this box is a hub, or if boxes
+	// send to each other directly. avoided holds boxes that could not be reached, each with the
+	// time until which it is not selected.
 	hub      string
 	hubSince time.Time
 	avoided  map[string]time.Time
-	// othersNow are the other boxes as they were described to package delegate, at othersAt.
-	othersNow []delegate.Box
-	othersAt  time.Time
-	// heard holds the last word of each box that tells this one, and known what is known of
-	// each box, by its own word or by that of a hub.
-	heard map[string]*word
-	known map[string]*standing
-	// stockAt is when known was last worked out.
-	stockAt time.Time
-	// outward is what others than this box's followers are told of boxes, inward what these
-	// are told; generation counts the changes of both.
-	outward    board
-	inward     board
-	generation uint64
-	// answers holds the boxes that have ever told this one anything.
-	answers map[string]bool
-	// announced says that this box stands in the log, since announcedOffset; followed
-	// that the list of boxes was read.
+	// candidateBoxes caches the other boxes as package delegate takes them, as of candidatesAt.
+	candidateBoxes []delegate.Box
+	candidatesAt   time.Time
+	// reports holds the last report of each box that sends to this one. states holds the state of
+	// each box, merged from its own reports and the rosters of hubs.
+	reports map[string]*report
+	states  map[string]*peerState
+	// statesAt is when states was last updated.
+	statesAt time.Time
+	// followerRoster lists this box's followers and is sent to all other boxes. fullRoster lists
+	// all boxes and is sent to the followers. generation counts the changes of both.
+	followerRoster localRoster
+	fullRoster     localRoster
+	generation     uint64
+	// everReported holds the boxes that have ever sent this one a message.
+	everReported map[string]bool
+	// announced is whether this box is listed in the log, since announcedOffset. listLoaded is
+	// whether the list of boxes has been read.
 	announced       bool
 	announcedOffset int64
-	followed        bool
-	// announcedAt is when this box found itself listed, in this life.
+	listLoaded      bool
+	// announcedAt is when this incarnation first found itself listed, or listed again.
 	announcedAt time.Time
-	// coldOwners remembers which box calls each cold server, by the present list.
+	// coldOwners caches which box calls each cold server, by the current list.
 	coldOwners map[string]string
-	// limits remembers where this box stands among those that share servers' rate limits.
+	// limits caches this box's ranks among the boxes that share a server's rate limit.
 	limits limitRanks
-	// unlisted is woken when this box was taken off the list.
+	// unlisted is signalled when this box was removed from the list.
 	unlisted waiting.Signal
-	// handedAt is when it was last another box's turn to be handed the configuration,
-	// by this box or, in a large fleet, by others.
-	handedAt map[string]time.Time
-	// headroom remembers whose each server's headroom is.
-	headroom map[string]string
-	// sums is what the boxes that are heard have to do, as of sumsAt.
-	sums   map[string]fleet.Load
-	sumsAt time.Time
-	// urgency counts what must be told at once, and urgent ends the pause before the next
-	// message to each peer.
-	urgency uint64
-	urgent  waiting.Signal
-	// relink is woken when other boxes may have to be told.
+	// snapshotTurnAt is when another box was last due to receive the configuration, from this box
+	// or, in a large fleet, from others.
+	snapshotTurnAt map[string]time.Time
+	// headroomOwners caches the owner of each server's headroom.
+	headroomOwners map[string]string
+	// totals is the load of this box and of all boxes that report to it, as of totalsAt.
+	totals   map[string]fleet.Load
+	totalsAt time.Time
+	// urgentCount counts urgent changes. urgent ends the pause before the next message to each
+	// peer.
+	urgentCount uint64
+	urgent      waiting.Signal
+	// relink is signalled when the set of boxes to send to may have changed.
 	relink waiting.Signal
 	loops  sync.WaitGroup
 	server *frame.Server
 }
 
-// New makes a share that knows no peers.
+// New creates a Share without peers.
 func New(cfg Config) *Share {
 	if cfg.Dial == nil {
-		dialer := net.Dialer{Timeout: ioLimit}
+		dialer := net.Dialer{Timeout: ioTimeout}
 		cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
@@ -154,15 +155,15 @@
 		cfg.Quarantine = quarantine.New(quarantine.Config{})
 	}
 	s := &Share{
-		cfg: cfg, started: boottime.Now(), peers: map[string]*peer{}, telling: map[string]*telling{}, heard: map[string]*word{},
-		known: map[string]*standing{}, avoided: map[string]time.Time{}, handedAt: map[string]time.Time{},
-		headroom: map[string]string{}, coldOwners: map[string]string{}, answers: map[string]bool{}, outward: newBoard(), inward: newBoard(),
+		cfg: cfg, started: boottime.Now(), peers: map[string]*peer{}, links: map[string]*peerLink{}, reports: map[string]*report{},
+		states: map[string]*peerState{}, avoided: map[string]time.Time{}, snapshotTurnAt: map[string]time.Time{},
+		headroomOwners: map[string]string{}, coldOwners: map[string]string{}, everReported: map[string]bool{}, followerRoster: newLocalRoster(), fullRoster: newLocalRoster(),
 	}
 	s.server = frame.NewServer(cfg.Logger, s.serve)
 	return s
 }
 
-// self describes this box to package delegate.
+// self describes this box for package delegate.
 func (s *Share) self() delegate.Box {
 	return delegate.Box{Name: s.cfg.Box, Zone: s.cfg.Zone, Cores: s.cfg.Cores}
 }
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -1,4 +1,4 @@
-// The messages between boxes, and how they go over a connection.
+// The messages between boxes, and their encoding on a connection.
 
 package loadshare
 
@@ -13,61 +13,62 @@
 	"github.com/cometlock/cometlock/internal/registry"
 )
 
-// maxMessageBytes bounds a message: about 20 bytes a server, 50 a box in a roster, and for
-// a box that lacks it the configuration, which the log bounds to a quarter of this.
+// maxMessageBytes bounds a message: about 20 bytes for each server, 50 for each box in a roster,
+// and the configuration for a box that needs it, which the log bounds to a quarter of this.
 const maxMessageBytes = 1 << 20
 
-// message tells a box's work, and that of the boxes that it speaks for to the receiver.
+// message reports the load of the sender, and of the boxes that it reports for to the receiver.
 type message struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+	_msgpack struct{} `msgpack:",as_array"` // field names would be half of the message
 
-	Box  string `msgpack:"b"`
-	Life string `msgpack:"i"`
-	// Sent is the sender's time, counted from its start. Echo is the last time that
-	// it has from the receiver, in the life EchoLife.
-	Sent     time.Duration               `msgpack:"s"`
-	Echo     time.Duration               `msgpack:"e,omitempty"`
-	EchoLife string                      `msgpack:"f,omitempty"`
-	Loads    []fleet.Load                `msgpack:"l"`
-	Named    map[string][]registry.Heard `msgpack:"n"`
-	// Address is where the sender is reached, in the first message of a connection, Roll
-	// the number of listed boxes by a list that it read itself.
-	Address string `msgpack:"a,omitempty"`
-	Roll    int    `msgpack:"r,omitempty"`
-	// Lacks says that the sender has no configuration and cannot read the log, and
-	// Snapshot is for a receiver that said so.
-	Lacks    bool               `msgpack:"q,omitempty"`
-	Snapshot *registry.Snapshot `msgpack:"c,omitempty"`
-	// Hub is the hub that the sender follows; empty when it follows none. Chosen says that
-	// the sender tells the receiver by its own choice and wants to be told in turn.
-	Hub    string `msgpack:"h,omitempty"`
-	Chosen bool   `msgpack:"w,omitempty"`
-	// Urgent says that the receiver's followers must know at once.
+	Box         string `msgpack:"b"`
+	Incarnation string `msgpack:"i"`
+	// SentAt is the sender's time, counted from its start. Echo is the latest SentAt that it
+	// received from the receiver, in the receiver's incarnation EchoIncarnation.
+	SentAt          time.Duration               `msgpack:"s"`
+	Echo            time.Duration               `msgpack:"e,omitempty"`
+	EchoIncarnation string                      `msgpack:"f,omitempty"`
+	Loads           []fleet.Load                `msgpack:"l"`
+	NamedVersions   map[string][]registry.Heard `msgpack:"n"`
+	// Address is the address of the sender, in the first message of a connection. ListedCount is
+	// the number of listed boxes if the sender has read the list itself.
+	Address     string `msgpack:"a,omitempty"`
+	ListedCount int    `msgpack:"r,omitempty"`
+	// NeedsSnapshot means that the sender has no configuration and cannot read the log. Snapshot is
+	// for a receiver that reported this.
+	NeedsSnapshot bool               `msgpack:"q,omitempty"`
+	Snapshot      *registry.Snapshot `msgpack:"c,omitempty"`
+	// Hub is the hub that the sender follows; empty if it follows none. WantsReports means that the
+	// sender selected the receiver itself, rather than replying to it, and wants its reports in
+	// return.
+	Hub          string `msgpack:"h,omitempty"`
+	WantsReports bool   `msgpack:"w,omitempty"`
+	// Urgent means that the receiver must pass the change on to its followers at once.
 	Urgent bool `msgpack:"u,omitempty"`
-	// Far is the work at servers of other zones, where it is told apart; FarKept says that
-	// the last one still holds.
-	Far     []fleet.Load `msgpack:"o,omitempty"`
-	FarKept bool         `msgpack:"k,omitempty"`
-	// Roster tells which boxes the sender hears, and Ack which of the receiver's rosters
-	// the sender has, AckAll whether that was one for followers.
-	Roster *rosterWord `msgpack:"t,omitempty"`
-	Ack    uint64      `msgpack:"g,omitempty"`
-	AckAll bool        `msgpack:"d,omitempty"`
-	// EchoHeld is how long before this message the one that Echo names had come: the sender
-	// said this no sooner than so long after that time.
-	EchoHeld time.Duration `msgpack:"j,omitempty"`
-	// Suspects tells what changed of the requests that end servers, and leads to generation
-	// SuspectsNext of the sender's; SuspectsAck is the last of the receiver's that the sender
-	// has.
-	Suspects     []quarantine.Word `msgpack:"x,omitempty"`
-	SuspectsNext uint64            `msgpack:"y,omitempty"`
-	SuspectsAck  uint64            `msgpack:"z,omitempty"`
+	// OtherZoneLoads is the load at servers of other zones, if it is sent separately.
+	// OtherZoneUnchanged means that the last one is still valid.
+	OtherZoneLoads     []fleet.Load `msgpack:"o,omitempty"`
+	OtherZoneUnchanged bool         `msgpack:"k,omitempty"`
+	// Roster lists the boxes that the sender reports for. RosterAck is the generation of the
+	// receiver's roster that the sender has, and RosterAckFull whether that was a roster for
+	// followers.
+	Roster        *rosterUpdate `msgpack:"t,omitempty"`
+	RosterAck     uint64        `msgpack:"g,omitempty"`
+	RosterAckFull bool          `msgpack:"d,omitempty"`
+	// EchoHeldFor is how long before this message the one echoed in Echo was received. This message
+	// was sent no earlier than that long after Echo.
+	EchoHeldFor time.Duration `msgpack:"j,omitempty"`
+	// Suspects lists the changes of the requests that crash servers, up to the sender's generation
+	// SuspectsGeneration. SuspectsAck is the last generation of the receiver that the sender has.
+	Suspects           []quarantine.Word `msgpack:"x,omitempty"`
+	SuspectsGeneration uint64            `msgpack:"y,omitempty"`
+	SuspectsAck        uint64            `msgpack:"z,omitempty"`
 }
 
-func (s *Share) send(connection net.Conn, m message) error {
-	return frame.Write(connection, &m, ioLimit)
+func (s *Share) writeMessage(connection net.Conn, m message) error {
+	return frame.Write(connection, &m, ioTimeout)
 }
 
-func receive(reader io.Reader) (m message, err error) {
+func readMessage(reader io.Reader) (m message, err error) {
 	return m, frame.Read(reader, &m, maxMessageBytes)
 }
--- /dev/null
+++ b/internal/loadshare/peerstate_test.go
@@ -0,0 +1,343 @@
+// Package retire frees and fetches kept parts by the states that a box has of the others, so each
+// state must be true of its box. The reports behind it pass through hubs, are delayed in broken
+// links, and may come from boxes that have restarted since. These tests run random histories of
+// boxes and compare each state with what its box knew.
+
+package loadshare_test
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strconv"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"github.com/cometlock/cometlock/internal/fleet"
+	"github.com/cometlock/cometlock/internal/loadshare"
+	"github.com/cometlock/cometlock/internal/quarantine"
+	"github.com/cometlock/cometlock/internal/registry"
+	"github.com/cometlock/cometlock/internal/retire"
+	"github.com/cometlock/cometlock/internal/sharedlog"
+)
+
+const (
+	historyLength = 20 * time.Second
+	historyStep   = 50 * time.Millisecond
+	model         = "m"
+	// maxReportAge is the maximum age of a report for package retire.
+	maxReportAge = 1500 * time.Millisecond
+)
+
+// span is a period in which an incarnation of a box knew a version.
+type span struct {
+	incarnation int
+	from, to    time.Time // to is zero until the period ends
+	version     int
+}
+
+// simBox is one box of a history.
+type simBox struct {
+	name, zone  string
+	cores       float64
+	share       *loadshare.Share
+	suspects    *quarantine.Set
+	stop        context.CancelFunc
+	stopped     sync.WaitGroup
+	incarnation int
+
+	mu    sync.Mutex
+	spans []span
+}
+
+// learn records that the box knows a version from now on, if that is a newer one.
+func (a *simBox) learn(version int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	last := &a.spans[len(a.spans)-1]
+	if version <= last.version {
+		return
+	}
+	now := time.Now()
+	last.to = now
+	a.spans = append(a.spans, span{incarnation: last.incarnation, from: now, version: version})
+}
+
+// version returns the version that the box knows now.
+func (a *simBox) version() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.spans[len(a.spans)-1].version
+}
+
+func (a *simBox) namedVersions() map[string][]registry.Heard {
+	return map[string][]registry.Heard{model: {{Version: a.version(), Found: true}}}
+}
+
+// reportedAfter reports whether exactly this version was the newest one that the box knew at some
+// point after a given time.
+func (a *simBox) reportedAfter(version int, after time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return slices.ContainsFunc(a.spans, func(s span) bool { return s.version == version && (s.to.IsZero() || !s.to.Before(after)) })
+}
+
+// knewThroughout reports whether some incarnation of the box knew a version at since, and was still
+// running at until.
+func (a *simBox) knewThroughout(version int, since, until time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for i, s := range a.spans {
+		if s.version < version || i > 0 && a.spans[i-1].incarnation == s.incarnation && a.spans[i-1].version >= version {
+			continue // only the first span of an incarnation in which it knew the version
+		}
+		end := a.spans[i]
+		for _, later := range a.spans[i:] {
+			if later.incarnation == s.incarnation {
+				end = later
+			}
+		}
+		if !s.from.After(since) && (end.to.IsZero() || !end.to.Before(until)) {
+			return true
+		}
+	}
+	return false
+}
+
+// history is a random history of boxes that send each other reports.
+type history struct {
+	t             *testing.T
+	random        *rand.Rand
+	network       *network
+	simBoxes      []*simBox
+	newestVersion int
+	// contacts records when boxes counted themselves as in touch, by the rule of package retire,
+	// and the version that they knew.
+	contacts []contact
+}
+
+type contact struct {
+	at      time.Time
+	version int
+}
+
+func (h *history) boxNamed(name string) *simBox {
+	for _, a := range h.simBoxes {
+		if a.name == name {
+			return a
+		}
+	}
+	return nil
+}
+
+// start starts an incarnation of a box that knows a version.
+func (h *history) start(ctx context.Context, a *simBox, version int) {
+	a.incarnation++
+	now := time.Now()
+	a.mu.Lock()
+	if len(a.spans) > 0 {
+		a.spans[len(a.spans)-1].to = now
+	}
+	a.spans = append(a.spans, span{incarnation: a.incarnation, from: now, version: version})
+	a.mu.Unlock()
+	h.runLoops(ctx, a, fleet.New(fleet.Config{Logger: zerolog.Nop()}))
+}
+
+// mergeVersions merges the versions that another box knows, as package registry does.
+func (a *simBox) mergeVersions(versions map[string][]registry.Heard) {
+	for _, known := range versions[model] {
+		a.learn(known.Version)
+	}
+}
+
+// boxRecords is the list of boxes as the log holds it.
+func (h *history) boxRecords() []sharedlog.Record {
+	records := make([]sharedlog.Record, len(h.simBoxes))
+	for i, a := range h.simBoxes {
+		value, err := msgpack.Marshal(map[string]any{"a": a.name, "l": a.name, "z": a.zone, "v": a.name, "c": a.cores})
+		if err != nil {
+			h.t.Fatal(err)
+		}
+		records[i] = sharedlog.Record{Key: a.name, Value: value, Offset: int64(i)}
+	}
+	return records
+}
+
+// stop stops all boxes. Messages in transit are lost.
+func (h *history) stop(cancel context.CancelFunc) {
+	cancel()
+	h.network.heal()
+	for _, a := range h.simBoxes {
+		a.stopped.Wait()
+	}
+	time.Sleep(time.Second)
+	synctest.Wait()
+}
+
+// injectEvent causes a random event at one box or its links.
+func (h *history) injectEvent(ctx context.Context) {
+	a := h.simBoxes[h.random.IntN(len(h.simBoxes))]
+	switch h.random.IntN(12) {
+	case 0: // the box restarts, with or without the versions in the log
+		a.stop()
+		a.stopped.Wait()
+		h.start(ctx, a, h.random.IntN(2)*h.newestVersion)
+	case 1:
+		h.newestVersion++
+		a.learn(h.newestVersion)
+	case 2, 3:
+		a.learn(h.newestVersion)
+	case 4, 5: // the box is cut from some others, in one direction or both
+		for _, other := range h.simBoxes {
+			if other != a && h.random.IntN(2) == 0 {
+				h.network.setCut(a.name, other.name, true)
+				h.network.setCut(other.name, a.name, h.random.IntN(2) == 0)
+			}
+		}
+	case 6: // the zone of the box is cut off
+		for _, from := range h.simBoxes {
+			for _, to := range h.simBoxes {
+				if (from.zone == a.zone) != (to.zone == a.zone) {
+					h.network.setCut(from.name, to.name, true)
+				}
+			}
+		}
+	default: // all links of the box are restored
+		for _, other := range h.simBoxes {
+			h.network.setCut(a.name, other.name, false)
+			h.network.setCut(other.name, a.name, false)
+		}
+	}
+}
+
+// check returns a description of a state that is not true of its box; empty if there is none.
+func (h *history) check() string {
+	now := time.Now()
+	for _, a := range h.simBoxes {
+		peers := a.share.Peers()
+		seen := map[string]bool{}
+		for _, peer := range peers {
+			about := h.boxNamed(peer.Box)
+			switch {
+			case about == nil || about == a || seen[peer.Box]:
+				return fmt.Sprintf("%s has a state of %q, which is not another box or has a state already", a.name, peer.Box)
+			case !peer.At.IsZero() && !about.reportedAfter(peer.Weights[model], peer.At):
+				return fmt.Sprintf("%s has a report of %s with version %d from less than %v ago", a.name, peer.Box, peer.Weights[model], now.Sub(peer.At))
+			case !peer.At.IsZero() && peer.Weights[model] > 0 && !about.knewThroughout(peer.Weights[model], peer.Since[model], peer.At):
+				return fmt.Sprintf("%s assumes that %s had known version %d for %v, as of %v ago", a.name, peer.Box, peer.Weights[model], now.Sub(peer.Since[model]), now.Sub(peer.At))
+			}
+			seen[peer.Box] = true
+		}
+		if fault := h.checkRules(a, peers, now); fault != "" {
+			return fault
+		}
+	}
+	return ""
+}
+
+// checkRules checks what the states are used for: no box that counts itself as in touch may lack
+// weights that more than half of the boxes count as known for longer than the maximum age of a
+// report.
+func (h *history) checkRules(a *simBox, peers []retire.Peer, now time.Time) string {
+	own, agreeing := a.version(), 1
+	since := map[int][]time.Time{}
+	for _, peer := range peers {
+		if now.Sub(peer.At) > maxReportAge {
+			continue
+		}
+		if peer.Weights[model] <= own {
+			agreeing++
+		}
+		since[peer.Weights[model]] = append(since[peer.Weights[model]], peer.Since[model])
+	}
+	if 2*agreeing > len(h.simBoxes) {
+		h.contacts = append(h.contacts, contact{now, own})
+	}
+	for version, times := range since {
+		if len(times) < len(h.simBoxes)/2 || version > own {
+			continue
+		}
+		slices.SortFunc(times, time.Time.Compare)
+		majority := times[len(h.simBoxes)/2-1]
+		for _, in := range h.contacts {
+			if in.version < version && in.at.Add(-maxReportAge).After(majority) {
+				return fmt.Sprintf("%s assumes that more than half of the boxes have known version %d for %v, but a box that knew %d was in touch %v ago",
+					a.name, version, now.Sub(majority), in.version, now.Sub(in.at))
+			}
+		}
+	}
+	return ""
+}
+
+// play runs the history of a seed. It returns the first state that is not true of its box, and the
+// number of times that a box counted itself as in touch.
+func play(t *testing.T, seed uint64, zones []int) (fault string, counted int) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		h := &history{t: t, random: rand.New(rand.NewPCG(seed, 1)), network: newNetwork(), newestVersion: 1}
+		defer h.stop(cancel)
+		h.addBoxes(zones)
+		for _, a := range h.simBoxes {
+			h.start(ctx, a, h.newestVersion)
+		}
+		for end := time.Now().Add(historyLength); time.Now().Before(end) && fault == ""; time.Sleep(historyStep) {
+			if h.random.IntN(6) == 0 {
+				h.injectEvent(ctx)
+			}
+			fault = h.check()
+		}
+		counted = len(h.contacts)
+	})
+	return fault, counted
+}
+
+// seedsOf returns the seeds to run: the given number, or COMETLOCK_HISTORIES if it is set.
+func seedsOf(t *testing.T, count int) []uint64 {
+	t.Helper()
+	if text := os.Getenv("COMETLOCK_HISTORIES"); text != "" {
+		n, err := strconv.Atoi(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		count = n
+	}
+	seeds := make([]uint64, count)
+	for i := range seeds {
+		seeds[i] = uint64(i + 1)
+	}
+	return seeds
+}
+
+func TestPeerStatesAreTrueInRandomHistories(t *testing.T) {
+	tests := []struct {
+		name  string
+		zones []int
+		seeds int
+	}{
+		{"boxes that send to each other directly", []int{3, 2}, 3},
+		{"zones with hubs", []int{9, 8, 8}, 4},
+		{"small zones that share a hub", []int{9, 4, 4, 3}, 2},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			total := 0
+			for _, seed := range seedsOf(t, test.seeds) {
+				fault, counted := play(t, seed, test.zones)
+				if fault != "" {
+					t.Errorf("seed %d: %s", seed, fault)
+				}
+				total += counted
+			}
+			if total == 0 {
+				t.Error("no box was ever in touch, so nothing was tested")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/loadshare/receive.go
@@ -0,0 +1,203 @@
+// Receiving reports. Other boxes connect to this one and send their load, which is stored until the
+// next report. The load of a box that has not sent a report for several intervals is dropped:
+// otherwise calls would keep avoiding servers because of a box that may have crashed.
+
+package loadshare
+
+import (
+	"bufio"
+	"context"
+	"net"
+	"time"
+
+	"github.com/cometlock/cometlock/internal/boottime"
+	"github.com/cometlock/cometlock/internal/fleet"
+	"github.com/cometlock/cometlock/internal/waiting"
+)
+
+const (
+	// expireAfterIntervals is the number of send intervals without a message after which a peer's
+	// report expires and its load is dropped.
+	expireAfterIntervals = 6
+	// expiryCheckInterval is the interval between two checks for expired reports.
+	expiryCheckInterval = 240 * time.Millisecond
+	// readTimeout bounds the wait for a message.
+	readTimeout = 10 * time.Second
+)
+
+// report is the last message of another box.
+type report struct {
+	receivedAt time.Time
+	// incarnation and sentAt are echoed to the sender.
+	incarnation string
+	sentAt      time.Duration
+	// echoed is the latest SentAt of this box that the sender received. The report was sent after
+	// sentAfter. Both are zero when unknown.
+	echoed    time.Duration
+	sentAfter time.Time
+	// weights holds the newest versions that the sender knows, by model.
+	weights map[string]int
+	// needsSnapshot means that the sender has no configuration and cannot read the log. listedCount
+	// is the number of boxes in the list that it has read.
+	needsSnapshot bool
+	listedCount   int
+	// hub is the hub that the sender follows. wantsReports means that it wants to receive reports.
+	hub          string
+	wantsReports bool
+	// loads is the load that it reported, for servers of all zones.
+	loads map[string]fleet.Load
+	// roster is what it reported about other boxes. rosterAck is the generation of this box's
+	// roster that it has, and rosterAckFull whether that was the full one.
+	roster        remoteRoster
+	rosterAck     uint64
+	rosterAckFull bool
+	// suspectsGeneration is how far this incarnation of the sender has reported the requests that
+	// crash servers. suspectsAck is what it has of this box's.
+	suspectsGeneration uint64
+	suspectsAck        uint64
+}
+
+// LoopAccept receives the messages of other boxes until ctx ends.
+func (s *Share) LoopAccept(ctx context.Context, listener net.Listener) {
+	s.server.LoopAccept(ctx, listener)
+}
+
+// serve handles the messages of one connection.
+func (s *Share) serve(_ context.Context, connection net.Conn, reader *bufio.Reader) {
+	for {
+		if err := connection.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
+			return
+		}
+		m, err := readMessage(reader)
+		if err != nil {
+			return
+		}
+		if s.isStale(m) {
+			continue
+		}
+		s.handle(m)
+	}
+}
+
+// handle applies a message.
+func (s *Share) handle(m message) {
+	s.learnPeer(m)
+	if m.Snapshot != nil {
+		s.cfg.ApplySnapshot(*m.Snapshot)
+	}
+	s.cfg.Quarantine.Hear(m.Suspects) // before the message is acknowledged
+	s.cfg.MergeNamedVersions(m.NamedVersions, s.recordReport(m))
+	s.cfg.Fleet.SetRemote(m.Box, m.Loads)
+	if !m.OtherZoneUnchanged {
+		s.cfg.Fleet.SetRemote(otherZoneSource(m.Box), m.OtherZoneLoads)
+	}
+	if m.Urgent {
+		s.forwardUrgent(m)
+	}
+}
+
+// otherZoneSource is the source name for the load that a box reports separately, at servers of
+// other zones.
+func otherZoneSource(box string) string { return box + "/far" }
+
+// forwardUrgent sends the next messages at once. After a message of a follower they are urgent in
+// turn, so that other hubs pass the change on to their followers.
+func (s *Share) forwardUrgent(m message) {
+	if m.Hub == s.cfg.Box {
+		s.SendNow()
+		return
+	}
+	s.urgent.Broadcast()
+}
+
+// isStale reports whether a later message of the same incarnation has already arrived, on the
+// connection that replaced this one.
+func (s *Share) isStale(m message) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	last, found := s.reports[m.Box]
+	return found && last.incarnation == m.Incarnation && m.SentAt < last.sentAt
+}
+
+// recordReport stores the report of a box. It returns a time after which the message was sent, or
+// zero when that is unknown.
+func (s *Share) recordReport(m message) time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	last := s.reports[m.Box]
+	first := last == nil
+	if first {
+		last = &report{}
+		s.reports[m.Box] = last
+		s.everReported[m.Box] = true
+	}
+	last.receivedAt, last.incarnation, last.sentAt = boottime.Now(), m.Incarnation, m.SentAt
+	last.sentAfter, last.echoed, last.rosterAck, last.suspectsAck = time.Time{}, 0, 0, 0
+	if m.EchoIncarnation == s.cfg.Incarnation {
+		last.sentAfter, last.echoed = s.started.Add(m.Echo+m.EchoHeldFor), m.Echo
+		last.rosterAck, last.rosterAckFull, last.suspectsAck = m.RosterAck, m.RosterAckFull, m.SuspectsAck
+	}
+	last.suspectsGeneration = m.SuspectsGeneration
+	last.weights = make(map[string]int, len(m.NamedVersions))
+	for model, versions := range m.NamedVersions {
+		if len(versions) > 0 {
+			last.weights[model] = versions[len(versions)-1].Version
+		}
+	}
+	wantedReports := last.wantsReports
+	last.needsSnapshot, last.listedCount, last.hub, last.wantsReports = m.NeedsSnapshot, m.ListedCount, m.Hub, m.WantsReports
+	last.setLoads(m)
+	last.roster.apply(m.Roster, m.Incarnation, last.sentAfter)
+	if first || s.statesDue(last.receivedAt) {
+		s.updateStates(last.receivedAt)
+	}
+	if m.Address != "" {
+		s.noteInboundConnection(m.Box)
+	}
+	if first || wantedReports != last.wantsReports {
+		s.relink.Broadcast()
+	}
+	return last.sentAfter
+}
+
+// noteInboundConnection records that a box has connected to this one: it is running, and the link
+// to it is retried at once. Otherwise a hub that started first would send to the boxes that start
+// after it only after reconnectPause, and they would have left it by then. The caller holds mu.
+func (s *Share) noteInboundConnection(box string) {
+	delete(s.avoided, box)
+	s.candidatesAt = time.Time{}
+	if link := s.links[box]; link != nil {
+		link.inbound.Broadcast()
+	}
+}
+
+// LoopExpireReports drops the load of boxes that have stopped reporting, and updates the states of
+// all boxes, until ctx ends.
+func (s *Share) LoopExpireReports(ctx context.Context) {
+	for waiting.For(ctx, expiryCheckInterval) {
+		for _, box := range s.expireReports(expireAfterIntervals * s.maxSendInterval()) {
+			s.cfg.Fleet.SetRemote(box, nil)
+			s.cfg.Fleet.SetRemote(otherZoneSource(box), nil)
+		}
+	}
+}
+
+// expireReports deletes the reports that are older than maxAge, and returns the names of their
+// boxes.
+func (s *Share) expireReports(maxAge time.Duration) []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := boottime.Now()
+	var expired []string
+	for box, last := range s.reports {
+		if now.Sub(last.receivedAt) > maxAge {
+			expired = append(expired, box)
+			delete(s.reports, box)
+			delete(s.snapshotTurnAt, box)
+		}
+	}
+	if len(expired) > 0 || s.statesDue(now) {
+		s.updateStates(now)
+	}
+	return expired
+}
--- a/internal/loadshare/roster.go
+++ b/internal/loadshare/roster.go
@@ -1,14 +1,15 @@
-// Rosters: which boxes a box speaks for, each with its life and the weights that it knows.
+// Rosters: the boxes that a box reports for, each with its incarnation and the weight versions that
+// it knows.
 //
-// What more than half of the boxes must have said is decided by the words of boxes, each
-// by its name; a hub passes them on and adds none up. So however many ways a word comes, its
-// box counts once. To pass on 300 of them ten times a second would be most of what boxes
-// send, and hardly any changes from one time to the next. So a roster is told as what
-// changed since the one that the receiver has, and with it one age: all boxes on the roster
-// have said what stands there within that time. A box whose word is older than rosterFresh
-// leaves the roster, so that it does not make the others' words old.
+// Package retire counts boxes by name and needs more than half of them, so hubs forward the entry
+// of each box and never a count. A box counts once, however many paths its entry takes. Sending 300
+// entries ten times a second would be most of the traffic between boxes, although few of them
+// change. A roster is therefore sent as the changes since the generation that the receiver has,
+// with a single age: every box on the roster has sent its entry within that time. A box whose state
+// is older than maxRosterAge is removed from the roster, so that it does not raise the age of the
+// other entries.
 //
-// Plain data and arithmetic; the time is given.
+// This file has no I/O and no clock; callers pass the time.
 
 package loadshare
 
@@ -17,147 +18,150 @@
 	"time"
 )
 
-// rosterFresh is how old the word of a box may be that a hub passes on. When all is well a hub
-// knows its own boxes' words 0.25 s late and those of others 0.5 s late at most; the last step
-// adds 0.25 s, and package retire takes 1.5 s for fresh.
-const rosterFresh = 800 * time.Millisecond
+// maxRosterAge is the maximum age of a state that a hub forwards. Normally a hub has the states of
+// its own boxes after at most 0.25 s and those of other boxes after 0.5 s; the last hop adds
+// another 0.25 s, and package retire uses states of up to 1.5 s.
+const maxRosterAge = 800 * time.Millisecond
 
-// boxWord says what one box knows.
-type boxWord struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+// rosterEntry is the entry of one box.
+type rosterEntry struct {
+	_msgpack struct{} `msgpack:",as_array"` // field names would be half of the message
 
-	Box     string         `msgpack:"b"`
-	Life    string         `msgpack:"l"`
-	Weights map[string]int `msgpack:"w"`
-	// Gone says that the box is no longer on the roster.
-	Gone bool `msgpack:"g,omitempty"`
+	Box         string         `msgpack:"b"`
+	Incarnation string         `msgpack:"l"`
+	Weights     map[string]int `msgpack:"w"`
+	// Removed means that the box is no longer on the roster.
+	Removed bool `msgpack:"g,omitempty"`
 }
 
-func (w boxWord) same(other boxWord) bool {
-	return w.Life == other.Life && w.Gone == other.Gone && maps.Equal(w.Weights, other.Weights)
+func (e rosterEntry) equal(other rosterEntry) bool {
+	return e.Incarnation == other.Incarnation && e.Removed == other.Removed && maps.Equal(e.Weights, other.Weights)
 }
 
-// rosterWord tells a roster.
-type rosterWord struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
-
-	// All says that this is the roster for those who follow the sender.
-	All bool `msgpack:"a,omitempty"`
-	// Boxes holds what changed after Since, and leads to Next; Since is zero when it holds
-	// the whole roster.
-	Since uint64    `msgpack:"s,omitempty"`
-	Next  uint64    `msgpack:"n"`
-	Boxes []boxWord `msgpack:"b,omitempty"`
-	// Oldest is the age of the oldest word on the roster.
-	Oldest time.Duration `msgpack:"o"`
+// rosterUpdate is a roster, or the changes of one, as it is sent.
+type rosterUpdate struct {
+	_msgpack struct{} `msgpack:",as_array"` // field names would be half of the message
+
+	// Full means that this is the full roster, for followers of the sender.
+	Full bool `msgpack:"a,omitempty"`
+	// Entries holds the changes after generation Since, up to Generation. Since is zero when
+	// Entries holds the whole roster.
+	Since      uint64        `msgpack:"s,omitempty"`
+	Generation uint64        `msgpack:"n"`
+	Entries    []rosterEntry `msgpack:"b,omitempty"`
+	// MaxAge is the age of the oldest entry on the roster.
+	MaxAge time.Duration `msgpack:"o"`
 }
 
-// board is a roster as it is told.
-type board struct {
-	posted map[string]posted
-	// first is the generation from which on changes are known.
-	first uint64
-	// at is a moment after which all boxes on it have said so.
-	at time.Time
+// localRoster is a roster that this box sends.
+type localRoster struct {
+	entries map[string]versionedEntry
+	// firstGeneration is the earliest generation since which all changes are known.
+	firstGeneration uint64
+	// sentAfter is a time after which all boxes on the roster have sent their entry.
+	sentAfter time.Time
 }
 
-// posted is a box on the board, since a generation; one that is gone stays as such.
-type posted struct {
-	boxWord
-	since uint64
+// versionedEntry is an entry with the generation that last changed it. An entry that was removed is
+// kept as removed.
+type versionedEntry struct {
+	rosterEntry
+	generation uint64
 }
 
-func newBoard() board { return board{posted: map[string]posted{}} }
+func newLocalRoster() localRoster { return localRoster{entries: map[string]versionedEntry{}} }
 
-// mostGone bounds the boxes that are remembered as gone.
-const mostGone = 1024
+// maxRemoved bounds the removed entries that are kept.
+const maxRemoved = 1024
 
-// update takes over which boxes are on the board, all of which have said so after a moment,
-// and counts the generations on.
-func (b *board) update(words map[string]boxWord, at time.Time, generation *uint64) {
-	b.at = at
-	gone := 0
-	for name, before := range b.posted {
-		if _, there := words[name]; there {
+// update replaces the entries by the current ones, all of which were sent after sentAfter, and
+// increments the generation for each change.
+func (r *localRoster) update(current map[string]rosterEntry, sentAfter time.Time, generation *uint64) {
+	r.sentAfter = sentAfter
+	removed := 0
+	for name, before := range r.entries {
+		if _, present := current[name]; present {
 			continue
 		}
-		gone++
-		if !before.Gone {
+		removed++
+		if !before.Removed {
 			*generation++
-			b.posted[name] = posted{boxWord{Box: name, Gone: true}, *generation}
+			r.entries[name] = versionedEntry{rosterEntry{Box: name, Removed: true}, *generation}
 		}
 	}
-	for name, next := range words {
-		if before, found := b.posted[name]; !found || !before.same(next) {
+	for name, entry := range current {
+		if before, found := r.entries[name]; !found || !before.equal(entry) {
 			*generation++
-			b.posted[name] = posted{next, *generation}
+			r.entries[name] = versionedEntry{entry, *generation}
 		}
 	}
-	if gone > mostGone {
-		b.forgetGone(generation)
+	if removed > maxRemoved {
+		r.dropRemoved(generation)
 	}
 }
 
-// forgetGone forgets the boxes that are gone; whoever has an older roster is told all.
-func (b *board) forgetGone(generation *uint64) {
-	maps.DeleteFunc(b.posted, func(_ string, p posted) bool { return p.Gone })
+// dropRemoved deletes the removed entries. A receiver with an older generation gets the whole
+// roster.
+func (r *localRoster) dropRemoved(generation *uint64) {
+	maps.DeleteFunc(r.entries, func(_ string, entry versionedEntry) bool { return entry.Removed })
 	*generation++
-	b.first = *generation
+	r.firstGeneration = *generation
 }
 
-// tell writes down what changed since a generation that the receiver has, zero for none.
-func (b *board) tell(since, generation uint64, all bool, now time.Time) *rosterWord {
-	if len(b.posted) == 0 {
+// changesSince returns the changes since a generation that the receiver has, or the whole roster if
+// since is zero.
+func (r *localRoster) changesSince(since, generation uint64, full bool, now time.Time) *rosterUpdate {
+	if len(r.entries) == 0 {
 		return nil
 	}
-	if since < b.first {
+	if since < r.firstGeneration {
 		since = 0
 	}
-	told := &rosterWord{All: all, Since: since, Next: generation, Oldest: now.Sub(b.at)}
-	for _, box := range b.posted {
-		if box.since > since && (since > 0 || !box.Gone) {
-			told.Boxes = append(told.Boxes, box.boxWord)
+	update := &rosterUpdate{Full: full, Since: since, Generation: generation, MaxAge: now.Sub(r.sentAfter)}
+	for _, entry := range r.entries {
+		if entry.generation > since && (since > 0 || !entry.Removed) {
+			update.Entries = append(update.Entries, entry.rosterEntry)
 		}
 	}
-	return told
+	return update
 }
 
-// roster is another box's roster as it was told.
-type roster struct {
-	// life is that of the box that told it.
-	life  string
-	all   bool
-	next  uint64
-	boxes map[string]boxWord
-	// at is a moment after which all of its boxes have said what stands there; zero when
-	// none is known.
-	at time.Time
+// remoteRoster is the roster of another box.
+type remoteRoster struct {
+	// incarnation is that of the box that sent it.
+	incarnation string
+	full        bool
+	generation  uint64
+	entries     map[string]rosterEntry
+	// sentAfter is a time after which all of its boxes have sent their entry; zero when unknown.
+	sentAfter time.Time
 }
 
-// take takes over a word of a box in a life, which was said after asOf; zero when that is
-// not known. What does not follow what is known is left out, and the roster grows old.
-func (r *roster) take(told *rosterWord, life string, asOf time.Time) {
-	if told == nil {
-		*r = roster{}
+// apply applies an update that an incarnation of a box sent after sentAfter, which is zero when
+// unknown. An update that does not continue from the present generation is ignored, and the roster
+// ages.
+func (r *remoteRoster) apply(update *rosterUpdate, incarnation string, sentAfter time.Time) {
+	if update == nil {
+		*r = remoteRoster{}
 		return
 	}
-	follows := r.life == life && r.all == told.All && told.Since <= r.next && told.Next >= r.next
+	contiguous := r.incarnation == incarnation && r.full == update.Full && update.Since <= r.generation && update.Generation >= r.generation
 	switch {
-	case told.Since == 0:
-		*r = roster{life: life, all: told.All, boxes: make(map[string]boxWord, len(told.Boxes))}
-	case !follows:
+	case update.Since == 0:
+		*r = remoteRoster{incarnation: incarnation, full: update.Full, entries: make(map[string]rosterEntry, len(update.Entries))}
+	case !contiguous:
 		return
 	}
-	for _, box := range told.Boxes {
-		if box.Gone {
-			delete(r.boxes, box.Box)
+	for _, entry := range update.Entries {
+		if entry.Removed {
+			delete(r.entries, entry.Box)
 		} else {
-			r.boxes[box.Box] = box
+			r.entries[entry.Box] = entry
 		}
 	}
-	r.next = told.Next
-	r.at = time.Time{}
-	if !asOf.IsZero() {
-		r.at = asOf.Add(-told.Oldest)
+	r.generation = update.Generation
+	r.sentAfter = time.Time{}
+	if !sentAfter.IsZero() {
+		r.sentAfter = sentAfter.Add(-update.MaxAge)
 	}
 }
--- a/internal/loadshare/suspects_test.go
+++ b/internal/loadshare/suspects_test.go
@@ -1,6 +1,7 @@
-// A request that ends servers comes to any box, so all must know within contactTime under which
-// requests servers ended, whoever saw it, also when hubs die, boxes start anew and links are
-// cut meanwhile; and no end may count twice, however often and by how many ways it is told.
+// A request that crashes servers can arrive at any box, so all boxes must know within
+// maxPropagation under which requests servers crashed, whichever box saw it, even if hubs crash,
+// boxes restart and links are cut meanwhile. No crash may count twice, however often and by however
+// many paths it is reported.
 
 package loadshare_test
 
@@ -22,22 +23,22 @@
 // zonesOf25 are three zones with hubs.
 var zonesOf25 = []int{9, 8, 8}
 
-// contactTime is how soon boxes that reach each other must know.
-const contactTime = 3 * time.Second
+// maxPropagation is the time within which boxes that reach each other must know of a crash.
+const maxPropagation = 3 * time.Second
 
 func request(name string) quarantine.Request {
 	return fingerprint.Of(fingerprint.Request{Target: name})
 }
 
-// ended has a box see the end of a life of a server under a request.
-func (a *actor) ended(name string, life uint64) {
-	a.suspects.NoteEnd(quarantine.Ended{Request: request(name), Caller: 1, Life: life})
+// noteEnd makes a box record the crash of a server's incarnation under a request.
+func (a *simBox) noteEnd(name string, incarnation uint64) {
+	a.suspects.NoteEnd(quarantine.Ended{Request: request(name), Caller: 1, Life: incarnation})
 }
 
-// holding counts the boxes that hold a request.
-func (h *history) holding(name string) int {
+// countHolding returns the number of boxes that hold a request.
+func (h *history) countHolding(name string) int {
 	count := 0
-	for _, a := range h.actors {
+	for _, a := range h.simBoxes {
 		if _, held := a.suspects.HeldFor(request(name)); held {
 			count++
 		}
@@ -45,75 +46,75 @@
 	return count
 }
 
-func TestAllBoxesSoonHoldARequestThatEndsServers(t *testing.T) {
+func TestAllBoxesSoonHoldARequestThatCrashesServers(t *testing.T) {
 	tests := []struct {
-		name   string
-		within time.Duration
-		breaks func(h *history)
+		name        string
+		within      time.Duration
+		injectFault func(h *history)
 	}{
 		{"nothing else happens", 500 * time.Millisecond, func(*history) {}},
-		{"a hub dies at the moment", contactTime, func(h *history) { h.actor(h.actors[5].share.Hub()).stop() }},
-		{"links of many boxes are cut for two seconds", contactTime, func(h *history) {
-			for _, a := range h.actors[:12] {
-				h.fabric.setCut(a.name, h.actors[24].name, true)
-				h.fabric.setCut(h.actors[24].name, a.name, true)
+		{"a hub crashes at the same time", maxPropagation, func(h *history) { h.boxNamed(h.simBoxes[5].share.Hub()).stop() }},
+		{"links of many boxes are cut for two seconds", maxPropagation, func(h *history) {
+			for _, a := range h.simBoxes[:12] {
+				h.network.setCut(a.name, h.simBoxes[24].name, true)
+				h.network.setCut(h.simBoxes[24].name, a.name, true)
 			}
-			time.AfterFunc(2*time.Second, h.fabric.heal)
+			time.AfterFunc(2*time.Second, h.network.heal)
 		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			fleetOf(t, zonesOf25, func(g *WithT, h *history, _ []*fleet.Fleet) {
-				h.actors[7].ended("r", 1)
-				h.actors[14].ended("r", 2)
+			runFleet(t, zonesOf25, func(g *WithT, h *history, _ []*fleet.Fleet) {
+				h.simBoxes[7].noteEnd("r", 1)
+				h.simBoxes[14].noteEnd("r", 2)
 				time.Sleep(400 * time.Millisecond)
-				test.breaks(h)
-				h.actors[22].ended("r", 3)
+				test.injectFault(h)
+				h.simBoxes[22].noteEnd("r", 3)
 				time.Sleep(test.within)
-				g.Expect(h.holding("r")).To(BeNumerically(">=", len(h.actors)-1), "all that live")
+				g.Expect(h.countHolding("r")).To(BeNumerically(">=", len(h.simBoxes)-1), "all running boxes")
 			})
 		})
 	}
 }
 
-// A box that starts knows nothing, and a caller may come to it at once.
-func TestABoxThatStartsAnewLearnsWhichRequestsEndServers(t *testing.T) {
-	fleetOf(t, zonesOf25, func(g *WithT, h *history, _ []*fleet.Fleet) {
-		for life := range uint64(quarantine.EndsHeld) {
-			h.actors[3].ended("r", life)
+// A box that has just started knows no requests, and a caller may send it one at once.
+func TestARestartedBoxReceivesTheRequestsThatCrashServers(t *testing.T) {
+	runFleet(t, zonesOf25, func(g *WithT, h *history, _ []*fleet.Fleet) {
+		for incarnation := range uint64(quarantine.EndsHeld) {
+			h.simBoxes[3].noteEnd("r", incarnation)
 		}
 		time.Sleep(time.Second)
-		again := h.actors[20]
-		again.stop()
-		again.stopped.Wait()
+		restarted := h.simBoxes[20]
+		restarted.stop()
+		restarted.stopped.Wait()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		h.begin(ctx, again, 1)
-		_, held := again.suspects.HeldFor(request("r"))
+		h.start(ctx, restarted, 1)
+		_, held := restarted.suspects.HeldFor(request("r"))
 		g.Expect(held).To(BeFalse())
 		time.Sleep(time.Second)
-		_, held = again.suspects.HeldFor(request("r"))
+		_, held = restarted.suspects.HeldFor(request("r"))
 		g.Expect(held).To(BeTrue())
 	})
 }
 
-// A request that was served somewhere is believed everywhere.
-func TestARequestThatIsServedIsReleasedByAll(t *testing.T) {
-	fleetOf(t, zonesOf25, func(g *WithT, h *history, _ []*fleet.Fleet) {
-		for life := range uint64(quarantine.EndsHeld) {
-			h.actors[3].ended("r", life)
+// A request that one box served successfully is released by all of them.
+func TestARequestThatIsServedIsReleasedByAllBoxes(t *testing.T) {
+	runFleet(t, zonesOf25, func(g *WithT, h *history, _ []*fleet.Fleet) {
+		for incarnation := range uint64(quarantine.EndsHeld) {
+			h.simBoxes[3].noteEnd("r", incarnation)
 		}
 		time.Sleep(time.Second)
-		g.Expect(h.holding("r")).To(Equal(len(h.actors)))
-		h.actors[18].suspects.NoteServed(request("r"))
+		g.Expect(h.countHolding("r")).To(Equal(len(h.simBoxes)))
+		h.simBoxes[18].suspects.NoteServed(request("r"))
 		time.Sleep(time.Second)
-		g.Expect(h.holding("r")).To(BeZero())
+		g.Expect(h.countHolding("r")).To(BeZero())
 	})
 }
 
-// Boxes that are cut, healed and started anew at random come to the same counts, of which none
-// is above the servers that ended.
-func TestBoxesCountEndsAlikeAfterRandomHistories(t *testing.T) {
+// After random cuts and restarts all boxes reach the same counts, none of which exceeds the number
+// of servers that crashed.
+func TestAllBoxesCountTheSameCrashesAfterRandomHistories(t *testing.T) {
 	for _, seed := range seedsOf(t, 1) {
 		for _, zones := range [][]int{{3, 2}, zonesOf25} {
 			if fault := playEnds(t, seed, zones); fault != "" {
@@ -126,70 +127,72 @@
 func playEnds(t *testing.T, seed uint64, zones []int) (fault string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		h := &history{t: t, random: rand.New(rand.NewPCG(seed, 2)), fabric: newFabric(), named: 1}
-		defer h.finish(cancel)
-		h.place(zones)
-		for _, a := range h.actors {
-			h.begin(ctx, a, h.named)
+		h := &history{t: t, random: rand.New(rand.NewPCG(seed, 2)), network: newNetwork(), newestVersion: 1}
+		defer h.stop(cancel)
+		h.addBoxes(zones)
+		for _, a := range h.simBoxes {
+			h.start(ctx, a, h.newestVersion)
 		}
-		const requests, lives = 4, 6
+		const requests, incarnations = 4, 6
 		noted := map[string]map[uint64]bool{}
 		for end := time.Now().Add(historyLength); time.Now().Before(end); time.Sleep(historyStep) {
 			if h.random.IntN(6) == 0 {
-				h.step(ctx)
+				h.injectEvent(ctx)
 			}
 			if h.random.IntN(4) == 0 {
-				name, life := fmt.Sprint("r-", h.random.IntN(requests)), h.random.Uint64N(lives)
-				h.actors[h.random.IntN(len(h.actors))].ended(name, life)
+				name, incarnation := fmt.Sprint("r-", h.random.IntN(requests)), h.random.Uint64N(incarnations)
+				h.simBoxes[h.random.IntN(len(h.simBoxes))].noteEnd(name, incarnation)
 				if noted[name] == nil {
 					noted[name] = map[uint64]bool{}
 				}
-				noted[name][life] = true
+				noted[name][incarnation] = true
 			}
 		}
-		h.fabric.heal()
-		time.Sleep(2 * contactTime)
+		h.network.heal()
+		time.Sleep(2 * maxPropagation)
 		fault = h.compareEnds(noted)
 	})
 	return fault
 }
 
-// compareEnds gives a count that is not that of all other boxes, or more than there were ends.
+// compareEnds returns a description of a count that differs between boxes or exceeds the number of
+// crashes; empty if there is none.
 func (h *history) compareEnds(noted map[string]map[uint64]bool) string {
-	for name, lives := range noted {
-		first := h.actors[0].suspects.Ends(request(name))
-		for _, a := range h.actors {
+	for name, incarnations := range noted {
+		first := h.simBoxes[0].suspects.Ends(request(name))
+		for _, a := range h.simBoxes {
 			ends := a.suspects.Ends(request(name))
-			if ends != first || ends > len(lives) {
-				return fmt.Sprintf("%s counts %d ends under %s, %s counts %d, and there were %d", a.name, ends, name, h.actors[0].name, first, len(lives))
+			if ends != first || ends > len(incarnations) {
+				return fmt.Sprintf("%s counts %d crashes under %s, %s counts %d, and there were %d", a.name, ends, name, h.simBoxes[0].name, first, len(incarnations))
 			}
 		}
 	}
 	return ""
 }
 
-// What others have of a box is counted by its own changes, and these begin anew with each of
-// its lives. A word that others had of the life before must not pass for one of this life.
-func TestWhatABoxSeesRightAfterItStartedAnewIsTold(t *testing.T) {
+// What the others have of a box is identified by a generation of its changes, which restarts from
+// zero with each incarnation. A generation of the previous incarnation must not be taken for one of
+// the new incarnation.
+func TestCrashesSeenRightAfterARestartAreSent(t *testing.T) {
 	const step = 60 * time.Millisecond
 	for wait := time.Duration(0); wait < 300*time.Millisecond; wait += step {
-		fleetOf(t, []int{3, 2}, func(g *WithT, h *history, _ []*fleet.Fleet) {
-			again := h.actors[1]
-			for life := range uint64(8) {
-				again.ended("before", life) // eight changes, which the next life hears as one
+		runFleet(t, []int{3, 2}, func(g *WithT, h *history, _ []*fleet.Fleet) {
+			restarted := h.simBoxes[1]
+			for incarnation := range uint64(8) {
+				restarted.noteEnd("before", incarnation) // eight changes, which the next incarnation receives as one
 			}
 			time.Sleep(time.Second)
-			again.stop()
-			again.stopped.Wait()
+			restarted.stop()
+			restarted.stopped.Wait()
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			h.begin(ctx, again, 1)
+			h.start(ctx, restarted, 1)
 			time.Sleep(wait)
-			for life := range uint64(quarantine.EndsHeld) {
-				again.ended("r", life)
+			for incarnation := range uint64(quarantine.EndsHeld) {
+				restarted.noteEnd("r", incarnation)
 			}
-			time.Sleep(contactTime)
-			g.Expect(h.holding("r")).To(Equal(len(h.actors)), "%v after its start", wait)
+			time.Sleep(maxPropagation)
+			g.Expect(h.countHolding("r")).To(Equal(len(h.simBoxes)), "%v after its start", wait)
 		})
 	}
 }
--- a/internal/loadshare/suspended_test.go
+++ b/internal/loadshare/suspended_test.go
@@ -11,15 +11,15 @@
 	"github.com/cometlock/cometlock/internal/suspendtest"
 )
 
-// Whether more than half of the boxes know of newer weights is decided by words that are fresh.
-// Right after waking none is, however fresh they look by a clock that stood still.
-func TestNoWordIsFreshAfterASuspension(t *testing.T) {
-	fleetOf(t, []int{3, 2}, func(g *WithT, h *history, _ []*fleet.Fleet) {
+// Package retire counts only fresh reports. Right after the machine resumes none is fresh, although
+// all seem so by a clock that was stopped meanwhile.
+func TestNoReportIsFreshAfterASuspension(t *testing.T) {
+	runFleet(t, []int{3, 2}, func(g *WithT, h *history, _ []*fleet.Fleet) {
 		machine := suspendtest.New(t)
 		fresh := func() int {
 			count := 0
-			for _, peer := range h.actors[0].share.Peers() {
-				if boottime.Since(peer.At) <= wordFresh {
+			for _, peer := range h.simBoxes[0].share.Peers() {
+				if boottime.Since(peer.At) <= maxReportAge {
 					count++
 				}
 			}
--- a/internal/loadshare/withoutlog.go
+++ b/internal/loadshare/withoutlog.go
@@ -1,7 +1,7 @@
-// A box that starts while it cannot read the platform's log. It would know no other box
-// and have no configuration, and so refuse all calls. But its address may stand in the
-// log all the same, and then the others tell it of their work. So it gets to know them,
-// goes by their count of boxes, and is handed what they read of the log.
+// Start without the platform's log. A box that cannot read the log when it starts knows no other
+// box and has no configuration, so it would reject all calls. But its address may already be in the
+// log, and then the other boxes send it their reports. From these it learns their addresses and the
+// number of listed boxes, and it receives a snapshot of what they read from the log.
 
 package loadshare
 
@@ -13,55 +13,56 @@
 	"github.com/cometlock/cometlock/internal/registry"
 )
 
-// handAgain is the time after which a box that still lacks the configuration is handed
-// it once more.
-const handAgain = time.Second
+// snapshotInterval is the time after which a box that still needs the configuration is due to
+// receive it again.
+const snapshotInterval = time.Second
 
-// handersAtATime is how many boxes hand over the configuration in each such time, on
-// average. Any of them may be cut off from the box that lacks it.
-const handersAtATime = 8
+// snapshotSenders is how many boxes send the configuration in each snapshotInterval, on average.
+// There are several because any of them may be cut off from the box that needs it.
+const snapshotSenders = 8
 
-// acquaint gets to know a box that told of its work, while the list cannot be read.
-func (s *Share) acquaint(m message) {
+// learnPeer adds a box that sent a report, while the list has not been read.
+func (s *Share) learnPeer(m message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.followed || s.peers[m.Box] != nil || m.Address == "" || m.Box == s.cfg.Box {
+	if s.listLoaded || s.peers[m.Box] != nil || m.Address == "" || m.Box == s.cfg.Box {
 		return
 	}
 	s.peers[m.Box] = &peer{address: m.Address}
 	s.relink.Broadcast()
 }
 
-// handOver gives what a box is handed with the next message: nil when it lacks nothing or
-// had its turn just now, when this box lacks the configuration too, or when others hand it
-// over. In a large fleet only some boxes do it at a time, chosen by chance since nobody
-// can tell them: what the log holds of a thousand servers is some hundred KB.
-func (s *Share) handOver(box string) *registry.Snapshot {
+// snapshotFor returns the snapshot to send to a box with the next message. It returns nil if the
+// box needs none or was due a moment ago, if this box has no configuration either, or if other
+// boxes send it. In a large fleet a few boxes, picked at random because nothing coordinates them,
+// send it at a time: the snapshot takes some hundred KB with a thousand servers.
+func (s *Share) snapshotFor(box string) *registry.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if last := s.heard[box]; last == nil || !last.lacks || boottime.Since(s.handedAt[box]) <= handAgain {
+	if last := s.reports[box]; last == nil || !last.needsSnapshot || boottime.Since(s.snapshotTurnAt[box]) <= snapshotInterval {
 		return nil
 	}
 	snapshot := s.cfg.Snapshot()
 	if snapshot == nil {
 		return nil
 	}
-	s.handedAt[box] = boottime.Now()
-	if !s.hubs() && rand.N(len(s.peers)+1) >= handersAtATime {
+	s.snapshotTurnAt[box] = boottime.Now()
+	if !s.usesHubs() && rand.N(len(s.peers)+1) >= snapshotSenders {
 		return nil
 	}
 	return snapshot
 }
 
-// rollOfOthers gives the number of boxes by those that have read the list, and this one
-// besides, since it may not be on it; zero while it hears of none. The caller holds mu.
-func (s *Share) rollOfOthers() int {
-	roll := 0
-	for _, last := range s.heard {
-		roll = max(roll, last.roll+1)
+// listedCountOfPeers returns the number of listed boxes as reported by boxes that have read the
+// list, plus one for this box, which may not be listed. It is zero while no such report has
+// arrived. The caller holds mu.
+func (s *Share) listedCountOfPeers() int {
+	count := 0
+	for _, last := range s.reports {
+		count = max(count, last.listedCount+1)
 	}
-	if roll == 1 {
-		return 0 // none of them has read the list either
+	if count == 1 {
+		return 0 // none of them has read the list
 	}
-	return roll
+	return count
 }
