--- a/internal/delegate/delegate_test.go
+++ b/internal/delegate/delegate_test.go
@@ -10,10 +10,10 @@
 	"github.com/cometlock/cometlock/internal/delegate"
 )
 
-// reading is a role with few boxes for each delegate.
-var reading = delegate.Config{Role: "reader", BoxesPerDelegate: 24}
+// readerRole is a role with few boxes for each delegate.
+var readerRole = delegate.Config{Role: "reader", BoxesPerDelegate: 24}
 
-// boxesIn makes boxes in zones of given sizes.
+// boxesIn returns boxes in zones of the given sizes.
 func boxesIn(sizes ...int) []delegate.Box {
 	var boxes []delegate.Box
 	for zone, size := range sizes {
@@ -24,28 +24,27 @@
 	return boxes
 }
 
-// without lists all boxes but one.
+// without returns all boxes except one.
 func without(boxes []delegate.Box, at int) []delegate.Box {
 	return append(append([]delegate.Box(nil), boxes[:at]...), boxes[at+1:]...)
 }
 
-// readers gives the boxes that read themselves, and checks that all others follow one of
-// them.
+// readers returns the boxes that are readers, and checks that all others follow one of them.
 func readers(g *WithT, boxes []delegate.Box) map[string]delegate.Box {
-	read, followed := readersOf(reading, boxes), map[string]bool{}
+	readersFound, followed := readersOf(readerRole, boxes), map[string]bool{}
 	for i, box := range boxes {
-		reader, follow := delegate.Choose(reading, box, without(boxes, i))
+		reader, follow := delegate.Choose(readerRole, box, without(boxes, i))
 		if follow {
 			followed[reader.Name] = true
 		}
 	}
 	for name := range followed {
-		g.Expect(read).To(HaveKey(name), "boxes follow one that reads")
+		g.Expect(readersFound).To(HaveKey(name), "boxes follow a reader")
 	}
-	return read
+	return readersFound
 }
 
-// readersOf gives the boxes that choose no other.
+// readersOf returns the boxes that are delegates themselves.
 func readersOf(cfg delegate.Config, boxes []delegate.Box) map[string]delegate.Box {
 	chosen := map[string]delegate.Box{}
 	for i, box := range boxes {
@@ -56,17 +55,17 @@
 	return chosen
 }
 
-func TestFewBoxesReadForAll(t *testing.T) {
+func TestTheNumberOfReadersFitsTheZones(t *testing.T) {
 	tests := []struct {
 		name  string
 		sizes []int
 		want  int
 	}{
 		{"one box", []int{1}, 1},
-		{"small zones have one reader together", []int{3, 3, 2, 1}, 1},
-		{"a zone of eight has its own", []int{8, 3, 2}, 2},
-		{"each large zone has its own", []int{20, 21, 20, 21}, 4},
-		{"many boxes have several", []int{50, 24}, 4},
+		{"small zones share one reader", []int{3, 3, 2, 1}, 1},
+		{"a zone of eight has its own reader", []int{8, 3, 2}, 2},
+		{"each large zone has its own reader", []int{20, 21, 20, 21}, 4},
+		{"many boxes have several readers", []int{50, 24}, 4},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -76,19 +75,19 @@
 	}
 }
 
-func TestABoxOfALargeZoneIsReadForInItsZone(t *testing.T) {
+func TestABoxOfALargeZoneFollowsAReaderOfItsZone(t *testing.T) {
 	g := NewWithT(t)
 	boxes := boxesIn(20, 20, 20)
 	for i, box := range boxes {
-		if reader, follow := delegate.Choose(reading, box, without(boxes, i)); follow {
+		if reader, follow := delegate.Choose(readerRole, box, without(boxes, i)); follow {
 			g.Expect(reader.Zone).To(Equal(box.Zone))
 		}
 	}
 }
 
-// When the reader goes, exactly one other box takes its place, and when another box goes
-// the reader stays.
-func TestTheReaderChangesOnlyWhenItGoes(t *testing.T) {
+// When the reader is removed, exactly one other box replaces it. When another box is removed, the
+// reader stays the same.
+func TestTheReaderChangesOnlyWhenItIsRemoved(t *testing.T) {
 	g := NewWithT(t)
 	boxes := boxesIn(3, 3, 2, 1)
 	before := readers(g, boxes)
@@ -101,9 +100,9 @@
 	}
 }
 
-// The small boxes of a zone have a quarter of the processor and a tenth of the link of the
+// The small boxes of a zone have a quarter of the CPU and a tenth of the network bandwidth of the
 // large ones.
-func TestLargeBoxesAreChosenWhileAnyIsThere(t *testing.T) {
+func TestLargeBoxesAreChosenWhileAnyIsAvailable(t *testing.T) {
 	g := NewWithT(t)
 	boxes := boxesIn(50)
 	for i := range boxes {
@@ -117,11 +116,11 @@
 		g.Expect(left).To(ContainElement(slices.Index(boxes, chosen)))
 		boxes[left[0]].Cores = 0.192
 	}
-	g.Expect(readersOf(hub, boxes)).To(HaveLen(1), "without a large one, one of the others")
+	g.Expect(readersOf(hub, boxes)).To(HaveLen(1), "without a large box, one of the others")
 }
 
-// A hub tells those of the other groups, each of which must be found by the same choice
-// that its own boxes make.
+// A hub sends to the hubs of the other groups, so it must find the same ones as the boxes of those
+// groups.
 func TestTheDelegatesOfOtherGroupsAreThoseTheyChoose(t *testing.T) {
 	g := NewWithT(t)
 	hub := delegate.Config{Role: "hub", BoxesPerDelegate: 64}
@@ -141,31 +140,32 @@
 	}
 }
 
-// Boxes that start are heard one after the other. When zones were told large from small by
-// the boxes that were heard, a box followed one of another zone until eight of its own were.
-func TestBoxesThatAreAwayCountForTheirZone(t *testing.T) {
+// The reports of starting boxes arrive one after the other. When only boxes that reported counted
+// towards the size of a zone, a box followed a delegate of another zone until eight boxes of its
+// own zone had reported.
+func TestUnavailableBoxesCountTowardsTheSizeOfTheirZone(t *testing.T) {
 	g := NewWithT(t)
 	boxes := boxesIn(16, 16)
 	for i := range boxes {
 		boxes[i].Unavailable = i != 0 && i != 3 && i != 20
 	}
-	chosen, follow := delegate.Choose(reading, boxes[0], boxes[1:])
+	chosen, follow := delegate.Choose(readerRole, boxes[0], boxes[1:])
 	if follow {
 		g.Expect(chosen.Name).To(Equal("box-0-3"))
 	}
-	for _, foreign := range delegate.OfOtherGroups(reading, "zone-0", boxes) {
+	for _, foreign := range delegate.OfOtherGroups(readerRole, "zone-0", boxes) {
 		g.Expect(foreign.Name).To(Equal("box-1-4"))
 	}
 	for i := range boxes {
 		boxes[i].Unavailable = i != 0
 	}
-	_, follow = delegate.Choose(reading, boxes[0], boxes[1:])
-	g.Expect(follow).To(BeFalse(), "whoever hears nobody is its own")
-	g.Expect(delegate.OfOtherGroups(reading, "zone-0", boxes)).To(BeEmpty())
+	_, follow = delegate.Choose(readerRole, boxes[0], boxes[1:])
+	g.Expect(follow).To(BeFalse(), "a box without available peers is its own delegate")
+	g.Expect(delegate.OfOtherGroups(readerRole, "zone-0", boxes)).To(BeEmpty())
 }
 
-// What the only delegate knows is known by one other box too, which needs not learn it first
-// when that one goes.
+// One other box keeps what the only delegate knows, so that it need not learn it first when it
+// replaces the delegate.
 func TestTheOnlyDelegateHasOneStandby(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -184,12 +184,12 @@
 			boxes := boxesIn(test.sizes...)
 			standbys := 0
 			for i, box := range boxes {
-				if delegate.IsStandby(reading, box, without(boxes, i)) {
+				if delegate.IsStandby(readerRole, box, without(boxes, i)) {
 					standbys++
-					for name, only := range readersOf(reading, boxes) {
+					for name, only := range readersOf(readerRole, boxes) {
 						g.Expect(name).NotTo(Equal(box.Name))
 						at := slices.Index(boxes, only)
-						g.Expect(readersOf(reading, without(boxes, at))).To(HaveKey(box.Name), "it is next")
+						g.Expect(readersOf(readerRole, without(boxes, at))).To(HaveKey(box.Name), "the standby is next")
 					}
 				}
 			}
@@ -198,8 +198,8 @@
 	}
 }
 
-// All boxes, whatever their own zone, must name the same owner of a zone, also of one that has
-// few boxes or none.
+// All boxes must choose the same owner of a zone, whatever their own zone is, and also if the zone
+// has few boxes or none.
 func TestTheDelegateOfAZoneIsTheSameForAll(t *testing.T) {
 	g := NewWithT(t)
 	var boxes []delegate.Box
@@ -210,8 +210,8 @@
 	}
 	cfg := delegate.Config{Role: "hub", BoxesPerDelegate: 64}
 	for _, zone := range []string{"a", "b", "c", "without boxes"} {
-		first, there := delegate.ForZone(cfg, zone, boxes)
-		g.Expect(there).To(BeTrue())
+		first, found := delegate.ForZone(cfg, zone, boxes)
+		g.Expect(found).To(BeTrue())
 		slices.Reverse(boxes)
 		again, _ := delegate.ForZone(cfg, zone, boxes)
 		g.Expect(again).To(Equal(first))
@@ -219,12 +219,12 @@
 	owner, _ := delegate.ForZone(cfg, "a", boxes)
 	g.Expect(owner.Zone).To(Equal("a"))
 	alone, _ := delegate.ForZone(cfg, "without boxes", boxes)
-	g.Expect(alone.Zone).To(Equal("c"), "small zones and those without boxes share one")
+	g.Expect(alone.Zone).To(Equal("c"), "small zones and zones without boxes share a delegate")
 	for i := range boxes {
 		boxes[i].Unavailable = boxes[i].Name == owner.Name
 	}
 	next, _ := delegate.ForZone(cfg, "a", boxes)
 	g.Expect(next.Name).NotTo(Equal(owner.Name))
-	_, there := delegate.ForZone(cfg, "a", nil)
-	g.Expect(there).To(BeFalse())
+	_, found := delegate.ForZone(cfg, "a", nil)
+	g.Expect(found).To(BeFalse())
 }
