--- a/internal/waiting/signal.go
+++ b/internal/waiting/signal.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Signal wakes all that wait for it. The zero value is ready to use.
+// Signal wakes all goroutines that wait for it. The zero value is ready to use.
 type Signal struct {
 	mu   sync.Mutex
 	wake chan struct{}
 }
 
-// Chan gives a channel that is closed by the next Broadcast.
+// Chan returns a channel that the next Broadcast closes.
 func (s *Signal) Chan() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,7 +22,7 @@
 	return s.wake
 }
 
-// Broadcast wakes all that wait now.
+// Broadcast wakes all goroutines that are waiting now.
 func (s *Signal) Broadcast() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,9 +32,9 @@
 	}
 }
 
-// ForOrSignal waits for a time, or until wake is closed or ctx ends when that comes first.
-func ForOrSignal(ctx context.Context, length time.Duration, wake <-chan struct{}) {
-	timer := time.NewTimer(length)
+// ForOrSignal waits for a duration, until wake is closed or until ctx ends, whichever comes first.
+func ForOrSignal(ctx context.Context, duration time.Duration, wake <-chan struct{}) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -1,6 +1,5 @@
-// Package waiting waits for a time, or for the end of a context when that comes
-// first. Loops use it for their pauses, so that none of them holds up the end of
-// the process.
+// Package waiting waits for a duration or for the end of a context. Loops use it for their pauses,
+// so that no pause delays the exit of the process.
 package waiting
 
 import (
@@ -8,13 +7,13 @@
 	"time"
 )
 
-// For waits for a time, and reports false when ctx ended before. A time that is not
-// positive has passed already.
-func For(ctx context.Context, length time.Duration) bool {
-	if length <= 0 {
+// For waits for a duration and returns false if ctx ended first. It does not wait if the duration
+// is not positive.
+func For(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(length)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
