--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,8 +1,8 @@
-// Package ring holds the bounded ring that joins two stages.
+// Package ring provides the bounded queue between two stages of a pipeline.
 //
-// Every queue between two duties of cometlock is bounded, because an unbounded
-// queue turns overload into latency that nobody chose. A full ring is a normal
-// answer: the caller of TryPush turns it into a refusal that says "not run".
+// Every queue between stages is bounded, because an unbounded queue turns overload into unbounded
+// latency. A full ring is an expected condition: the caller of TryPush then rejects the request and
+// reports that it was not run.
 package ring
 
 import (
@@ -10,7 +10,7 @@
 	"sync/atomic"
 )
 
-// Config sets up a Ring.
+// Config configures a Ring.
 type Config struct {
 	// Name identifies the ring in metrics and state dumps.
 	Name string
@@ -26,12 +26,12 @@
 	rejected atomic.Uint64
 }
 
-// New makes an empty ring.
+// New creates an empty ring.
 func New[T any](cfg Config) *Ring[T] {
 	return &Ring[T]{name: cfg.Name, items: make(chan T, max(cfg.Capacity, 1))}
 }
 
-// TryPush adds an item and reports whether there was room for it.
+// TryPush adds an item without waiting. It returns false if the ring is full.
 func (r *Ring[T]) TryPush(item T) bool {
 	select {
 	case r.items <- item:
@@ -42,7 +42,7 @@
 	}
 }
 
-// Push adds an item, waiting for room until ctx ends.
+// Push adds an item, and waits for space until ctx ends.
 func (r *Ring[T]) Push(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
@@ -52,7 +52,7 @@
 	}
 }
 
-// Pop takes the oldest item, waiting for one until ctx ends.
+// Pop removes and returns the oldest item, and waits for one until ctx ends.
 func (r *Ring[T]) Pop(ctx context.Context) (T, error) {
 	select {
 	case item := <-r.items:
@@ -63,7 +63,7 @@
 	}
 }
 
-// Items gives the receiving end, for a loop that selects over several rings.
+// Items returns the channel of items, for a loop that selects over several rings.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
 // State is the part of a state dump that describes one ring.
@@ -74,7 +74,7 @@
 	Rejected uint64 `json:"rejected"`
 }
 
-// State describes the ring as it is now.
+// State returns the current state of the ring.
 func (r *Ring[T]) State() State {
 	return State{Name: r.name, Depth: len(r.items), Capacity: cap(r.items), Rejected: r.rejected.Load()}
 }
