--- a/internal/loadshare/hubs_test.go
+++ b/internal/loadshare/hubs_test.go
@@ -38,12 +38,12 @@
 		h.addBoxes(zones)
 		prepare(h)
 		fleets := make([]*fleet.Fleet, len(h.simBoxes))
-		for i, a := range h.simBoxes {
+		for i, b := range h.simBoxes {
 			fleets[i] = fleet.New(fleet.Config{Logger: zerolog.Nop()})
 			fleets[i].Apply([]fleet.Update{{Key: "s", Offset: 1, Server: &fleet.Server{
 				Incarnation: "s", Service: "s", Zone: "zone-0", Slots: 4, Weights: map[string]int{model: 1},
 			}}})
-			h.startWithFleet(ctx, a, fleets[i])
+			h.startWithFleet(ctx, b, fleets[i])
 		}
 		time.Sleep(3 * time.Second)
 		test(NewWithT(t), h, fleets)
@@ -119,10 +119,10 @@
 				test.injectFault(h, hub)
 				time.Sleep(2500 * time.Millisecond)
 				var left []*fleet.Fleet
-				for i, a := range h.simBoxes {
-					if a != hub {
+				for i, b := range h.simBoxes {
+					if b != hub {
 						left = append(left, fleets[i])
-						g.Expect(a.share.Hub()).NotTo(Equal(hub.name))
+						g.Expect(b.share.Hub()).NotTo(Equal(hub.name))
 					}
 				}
 				hold := left[7].Choose(promptQuery())
@@ -135,21 +135,21 @@
 	}
 }
 
-// The states of all boxes reach all of them through the hubs, and all of them drop a box that has
+// Hubs pass on the state of each box to all other boxes, and all boxes drop the state of one that has
 // stopped.
 func TestHubsPassOnWhichBoxesAreRunning(t *testing.T) {
 	runFleet(t, zonesOf48, func(g *WithT, h *history, _ []*fleet.Fleet) {
-		for _, a := range h.simBoxes {
-			g.Expect(len(a.share.Peers())).To(Equal(47), a.name)
-			for _, peer := range a.share.Peers() {
-				g.Expect(time.Since(peer.At)).To(BeNumerically("<", maxReportAge), "%s of %s", a.name, peer.Box)
+		for _, b := range h.simBoxes {
+			g.Expect(len(b.share.Peers())).To(Equal(47), b.name)
+			for _, peer := range b.share.Peers() {
+				g.Expect(time.Since(peer.At)).To(BeNumerically("<", maxReportAge), "%s of %s", b.name, peer.Box)
 			}
 		}
 		h.simBoxes[20].stop()
 		time.Sleep(3 * time.Second)
-		for i, a := range h.simBoxes {
+		for i, b := range h.simBoxes {
 			if i != 20 {
-				g.Expect(len(a.share.Peers())).To(Equal(46), a.name)
+				g.Expect(len(b.share.Peers())).To(Equal(46), b.name)
 			}
 		}
 	})
@@ -169,38 +169,38 @@
 }
 
 // startWithFleet starts an incarnation of a box with the given fleet.
-func (h *history) startWithFleet(ctx context.Context, a *simBox, boxFleet *fleet.Fleet) {
-	a.incarnation++
-	a.spans = []span{{incarnation: a.incarnation, from: time.Now(), version: 1}}
-	h.runLoops(ctx, a, boxFleet)
+func (h *history) startWithFleet(ctx context.Context, b *simBox, boxFleet *fleet.Fleet) {
+	b.incarnation++
+	b.spans = []span{{incarnation: b.incarnation, from: time.Now(), version: 1}}
+	h.runLoops(ctx, b, boxFleet)
 }
 
 // runLoops starts the loops of a box.
-func (h *history) runLoops(ctx context.Context, a *simBox, boxFleet *fleet.Fleet) {
+func (h *history) runLoops(ctx context.Context, b *simBox, boxFleet *fleet.Fleet) {
 	// Each incarnation has its own Share, through which the changes of its quarantine are sent.
 	var share *loadshare.Share
-	a.suspects = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
+	b.suspects = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
 		if !change.Heard {
 			share.SendNow()
 		}
 	}})
 	share = loadshare.New(loadshare.Config{
-		Quarantine: a.suspects,
-		Fleet:      boxFleet, Logger: zerolog.Nop(), Box: a.name, Incarnation: fmt.Sprint(a.name, "/", a.incarnation), Zone: a.zone, Cores: a.cores, Address: a.name, ReaderAddress: a.name,
-		NamedVersions: a.namedVersions, MergeNamedVersions: func(versions map[string][]registry.Heard, _ time.Time) { a.mergeVersions(versions) },
-		NeedsSnapshot: func() bool { return false }, Snapshot: func() *registry.Snapshot { return nil }, Dial: h.network.dialFrom(a.name),
+		Quarantine: b.suspects,
+		Fleet:      boxFleet, Logger: zerolog.Nop(), Box: b.name, Incarnation: fmt.Sprint(b.name, "/", b.incarnation), Zone: b.zone, Cores: b.cores, Address: b.name, ReaderAddress: b.name,
+		NamedVersions: b.namedVersions, MergeNamedVersions: func(versions map[string][]registry.Heard, _ time.Time) { b.mergeVersions(versions) },
+		NeedsSnapshot: func() bool { return false }, Snapshot: func() *registry.Snapshot { return nil }, Dial: h.network.dialFrom(b.name),
 	})
-	a.share = share
-	a.share.ApplyBoxRecords(h.boxRecords())
-	ctx, a.stop = context.WithCancel(ctx)
-	listener := h.network.listen(a.name)
+	b.share = share
+	b.share.ApplyBoxRecords(h.boxRecords())
+	ctx, b.stop = context.WithCancel(ctx)
+	listener := h.network.listen(b.name)
 	var loops sync.WaitGroup
-	for _, loop := range []func(context.Context){a.share.LoopMaintainLinks, a.share.LoopExpireReports} {
+	for _, loop := range []func(context.Context){b.share.LoopMaintainLinks, b.share.LoopExpireReports} {
 		loops.Go(func() { loop(ctx) })
 	}
 	loops.Go(func() { share.LoopAccept(ctx, listener) })
 	// The loops start goroutines that Share.Wait waits for, so they end first, as in an entry box.
-	a.stopped.Go(func() {
+	b.stopped.Go(func() {
 		loops.Wait()
 		share.Wait()
 	})
--- a/internal/loadshare/peerstate_test.go
+++ b/internal/loadshare/peerstate_test.go
@@ -58,48 +58,48 @@
 }
 
 // learn records that the box knows a version from now on, if that is a newer one.
-func (a *simBox) learn(version int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	last := &a.spans[len(a.spans)-1]
+func (b *simBox) learn(version int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	last := &b.spans[len(b.spans)-1]
 	if version <= last.version {
 		return
 	}
 	now := time.Now()
 	last.to = now
-	a.spans = append(a.spans, span{incarnation: last.incarnation, from: now, version: version})
+	b.spans = append(b.spans, span{incarnation: last.incarnation, from: now, version: version})
 }
 
 // version returns the version that the box knows now.
-func (a *simBox) version() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.spans[len(a.spans)-1].version
+func (b *simBox) version() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.spans[len(b.spans)-1].version
 }
 
-func (a *simBox) namedVersions() map[string][]registry.Heard {
-	return map[string][]registry.Heard{model: {{Version: a.version(), Found: true}}}
+func (b *simBox) namedVersions() map[string][]registry.Heard {
+	return map[string][]registry.Heard{model: {{Version: b.version(), Found: true}}}
 }
 
 // reportedAfter reports whether exactly this version was the newest one that the box knew at some
 // point after a given time.
-func (a *simBox) reportedAfter(version int, after time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return slices.ContainsFunc(a.spans, func(s span) bool { return s.version == version && (s.to.IsZero() || !s.to.Before(after)) })
+func (b *simBox) reportedAfter(version int, after time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return slices.ContainsFunc(b.spans, func(s span) bool { return s.version == version && (s.to.IsZero() || !s.to.Before(after)) })
 }
 
 // knewThroughout reports whether some incarnation of the box knew a version at since, and was still
 // running at until.
-func (a *simBox) knewThroughout(version int, since, until time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for i, s := range a.spans {
-		if s.version < version || i > 0 && a.spans[i-1].incarnation == s.incarnation && a.spans[i-1].version >= version {
+func (b *simBox) knewThroughout(version int, since, until time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for i, s := range b.spans {
+		if s.version < version || i > 0 && b.spans[i-1].incarnation == s.incarnation && b.spans[i-1].version >= version {
 			continue // only the first span of an incarnation in which it knew the version
 		}
-		end := a.spans[i]
-		for _, later := range a.spans[i:] {
+		end := b.spans[i]
+		for _, later := range b.spans[i:] {
 			if later.incarnation == s.incarnation {
 				end = later
 			}
@@ -129,43 +129,43 @@
 }
 
 func (h *history) boxNamed(name string) *simBox {
-	for _, a := range h.simBoxes {
-		if a.name == name {
-			return a
+	for _, b := range h.simBoxes {
+		if b.name == name {
+			return b
 		}
 	}
 	return nil
 }
 
 // start starts an incarnation of a box that knows a version.
-func (h *history) start(ctx context.Context, a *simBox, version int) {
-	a.incarnation++
+func (h *history) start(ctx context.Context, b *simBox, version int) {
+	b.incarnation++
 	now := time.Now()
-	a.mu.Lock()
-	if len(a.spans) > 0 {
-		a.spans[len(a.spans)-1].to = now
+	b.mu.Lock()
+	if len(b.spans) > 0 {
+		b.spans[len(b.spans)-1].to = now
 	}
-	a.spans = append(a.spans, span{incarnation: a.incarnation, from: now, version: version})
-	a.mu.Unlock()
-	h.runLoops(ctx, a, fleet.New(fleet.Config{Logger: zerolog.Nop()}))
+	b.spans = append(b.spans, span{incarnation: b.incarnation, from: now, version: version})
+	b.mu.Unlock()
+	h.runLoops(ctx, b, fleet.New(fleet.Config{Logger: zerolog.Nop()}))
 }
 
 // mergeVersions merges the versions that another box knows, as package registry does.
-func (a *simBox) mergeVersions(versions map[string][]registry.Heard) {
+func (b *simBox) mergeVersions(versions map[string][]registry.Heard) {
 	for _, known := range versions[model] {
-		a.learn(known.Version)
+		b.learn(known.Version)
 	}
 }
 
 // boxRecords is the list of boxes as the log holds it.
 func (h *history) boxRecords() []sharedlog.Record {
 	records := make([]sharedlog.Record, len(h.simBoxes))
-	for i, a := range h.simBoxes {
-		value, err := msgpack.Marshal(map[string]any{"a": a.name, "l": a.name, "z": a.zone, "v": a.name, "c": a.cores})
+	for i, b := range h.simBoxes {
+		value, err := msgpack.Marshal(map[string]any{"a": b.name, "l": b.name, "z": b.zone, "v": b.name, "c": b.cores})
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		records[i] = sharedlog.Record{Key: a.name, Value: value, Offset: int64(i)}
+		records[i] = sharedlog.Record{Key: b.name, Value: value, Offset: int64(i)}
 	}
 	return records
 }
@@ -174,8 +174,8 @@
 func (h *history) stop(cancel context.CancelFunc) {
 	cancel()
 	h.network.heal()
-	for _, a := range h.simBoxes {
-		a.stopped.Wait()
+	for _, b := range h.simBoxes {
+		b.stopped.Wait()
 	}
 	time.Sleep(time.Second)
 	synctest.Wait()
@@ -183,36 +183,36 @@
 
 // injectEvent causes a random event at one box or its links.
 func (h *history) injectEvent(ctx context.Context) {
-	a := h.simBoxes[h.random.IntN(len(h.simBoxes))]
+	b := h.simBoxes[h.random.IntN(len(h.simBoxes))]
 	switch h.random.IntN(12) {
 	case 0: // the box restarts, with or without the versions in the log
-		a.stop()
-		a.stopped.Wait()
-		h.start(ctx, a, h.random.IntN(2)*h.newestVersion)
+		b.stop()
+		b.stopped.Wait()
+		h.start(ctx, b, h.random.IntN(2)*h.newestVersion)
 	case 1:
 		h.newestVersion++
-		a.learn(h.newestVersion)
+		b.learn(h.newestVersion)
 	case 2, 3:
-		a.learn(h.newestVersion)
+		b.learn(h.newestVersion)
 	case 4, 5: // the box is cut from some others, in one direction or both
 		for _, other := range h.simBoxes {
-			if other != a && h.random.IntN(2) == 0 {
-				h.network.setCut(a.name, other.name, true)
-				h.network.setCut(other.name, a.name, h.random.IntN(2) == 0)
+			if other != b && h.random.IntN(2) == 0 {
+				h.network.setCut(b.name, other.name, true)
+				h.network.setCut(other.name, b.name, h.random.IntN(2) == 0)
 			}
 		}
 	case 6: // the zone of the box is cut off
 		for _, from := range h.simBoxes {
 			for _, to := range h.simBoxes {
-				if (from.zone == a.zone) != (to.zone == a.zone) {
+				if (from.zone == b.zone) != (to.zone == b.zone) {
 					h.network.setCut(from.name, to.name, true)
 				}
 			}
 		}
 	default: // all links of the box are restored
 		for _, other := range h.simBoxes {
-			h.network.setCut(a.name, other.name, false)
-			h.network.setCut(other.name, a.name, false)
+			h.network.setCut(b.name, other.name, false)
+			h.network.setCut(other.name, b.name, false)
 		}
 	}
 }
@@ -220,22 +220,22 @@
 // check returns a description of a state that is not true of its box; empty if there is none.
 func (h *history) check() string {
 	now := time.Now()
-	for _, a := range h.simBoxes {
-		peers := a.share.Peers()
+	for _, b := range h.simBoxes {
+		peers := b.share.Peers()
 		seen := map[string]bool{}
 		for _, peer := range peers {
 			about := h.boxNamed(peer.Box)
 			switch {
-			case about == nil || about == a || seen[peer.Box]:
-				return fmt.Sprintf("%s has a state of %q, which is not another box or has a state already", a.name, peer.Box)
+			case about == nil || about == b || seen[peer.Box]:
+				return fmt.Sprintf("%s has a state of %q, which is not another box or has a state already", b.name, peer.Box)
 			case !peer.At.IsZero() && !about.reportedAfter(peer.Weights[model], peer.At):
-				return fmt.Sprintf("%s has a report of %s with version %d from less than %v ago", a.name, peer.Box, peer.Weights[model], now.Sub(peer.At))
+				return fmt.Sprintf("%s has a report of %s with version %d from less than %v ago", b.name, peer.Box, peer.Weights[model], now.Sub(peer.At))
 			case !peer.At.IsZero() && peer.Weights[model] > 0 && !about.knewThroughout(peer.Weights[model], peer.Since[model], peer.At):
-				return fmt.Sprintf("%s assumes that %s had known version %d for %v, as of %v ago", a.name, peer.Box, peer.Weights[model], now.Sub(peer.Since[model]), now.Sub(peer.At))
+				return fmt.Sprintf("%s assumes that %s had known version %d for %v, as of %v ago", b.name, peer.Box, peer.Weights[model], now.Sub(peer.Since[model]), now.Sub(peer.At))
 			}
 			seen[peer.Box] = true
 		}
-		if fault := h.checkRules(a, peers, now); fault != "" {
+		if fault := h.checkRules(b, peers, now); fault != "" {
 			return fault
 		}
 	}
@@ -245,8 +245,8 @@
 // checkRules checks what the states are used for: no box that counts itself as in touch may lack
 // weights that more than half of the boxes count as known for longer than the maximum age of a
 // report.
-func (h *history) checkRules(a *simBox, peers []retire.Peer, now time.Time) string {
-	own, agreeing := a.version(), 1
+func (h *history) checkRules(b *simBox, peers []retire.Peer, now time.Time) string {
+	own, agreeing := b.version(), 1
 	since := map[int][]time.Time{}
 	for _, peer := range peers {
 		if now.Sub(peer.At) > maxReportAge {
@@ -269,7 +269,7 @@
 		for _, in := range h.contacts {
 			if in.version < version && in.at.Add(-maxReportAge).After(majority) {
 				return fmt.Sprintf("%s assumes that more than half of the boxes have known version %d for %v, but a box that knew %d was in touch %v ago",
-					a.name, version, now.Sub(majority), in.version, now.Sub(in.at))
+					b.name, version, now.Sub(majority), in.version, now.Sub(in.at))
 			}
 		}
 	}
@@ -284,8 +284,8 @@
 		h := &history{t: t, random: rand.New(rand.NewPCG(seed, 1)), network: newNetwork(), newestVersion: 1}
 		defer h.stop(cancel)
 		h.addBoxes(zones)
-		for _, a := range h.simBoxes {
-			h.start(ctx, a, h.newestVersion)
+		for _, b := range h.simBoxes {
+			h.start(ctx, b, h.newestVersion)
 		}
 		for end := time.Now().Add(historyLength); time.Now().Before(end) && fault == ""; time.Sleep(historyStep) {
 			if h.random.IntN(6) == 0 {
--- a/internal/loadshare/suspects_test.go
+++ b/internal/loadshare/suspects_test.go
@@ -31,15 +31,15 @@
 }
 
 // noteEnd makes a box record the crash of a server's incarnation under a request.
-func (a *simBox) noteEnd(name string, incarnation uint64) {
-	a.suspects.NoteEnd(quarantine.Ended{Request: request(name), Caller: 1, Life: incarnation})
+func (b *simBox) noteEnd(name string, incarnation uint64) {
+	b.suspects.NoteEnd(quarantine.Ended{Request: request(name), Caller: 1, Life: incarnation})
 }
 
 // countHolding returns the number of boxes that hold a request.
 func (h *history) countHolding(name string) int {
 	count := 0
-	for _, a := range h.simBoxes {
-		if _, held := a.suspects.HeldFor(request(name)); held {
+	for _, b := range h.simBoxes {
+		if _, held := b.suspects.HeldFor(request(name)); held {
 			count++
 		}
 	}
@@ -55,9 +55,9 @@
 		{"nothing else happens", 500 * time.Millisecond, func(*history) {}},
 		{"a hub crashes at the same time", maxPropagation, func(h *history) { h.boxNamed(h.simBoxes[5].share.Hub()).stop() }},
 		{"links of many boxes are cut for two seconds", maxPropagation, func(h *history) {
-			for _, a := range h.simBoxes[:12] {
-				h.network.setCut(a.name, h.simBoxes[24].name, true)
-				h.network.setCut(h.simBoxes[24].name, a.name, true)
+			for _, b := range h.simBoxes[:12] {
+				h.network.setCut(b.name, h.simBoxes[24].name, true)
+				h.network.setCut(h.simBoxes[24].name, b.name, true)
 			}
 			time.AfterFunc(2*time.Second, h.network.heal)
 		}},
@@ -130,8 +130,8 @@
 		h := &history{t: t, random: rand.New(rand.NewPCG(seed, 2)), network: newNetwork(), newestVersion: 1}
 		defer h.stop(cancel)
 		h.addBoxes(zones)
-		for _, a := range h.simBoxes {
-			h.start(ctx, a, h.newestVersion)
+		for _, b := range h.simBoxes {
+			h.start(ctx, b, h.newestVersion)
 		}
 		const requests, incarnations = 4, 6
 		noted := map[string]map[uint64]bool{}
@@ -160,10 +160,10 @@
 func (h *history) compareEnds(noted map[string]map[uint64]bool) string {
 	for name, incarnations := range noted {
 		first := h.simBoxes[0].suspects.Ends(request(name))
-		for _, a := range h.simBoxes {
-			ends := a.suspects.Ends(request(name))
+		for _, b := range h.simBoxes {
+			ends := b.suspects.Ends(request(name))
 			if ends != first || ends > len(incarnations) {
-				return fmt.Sprintf("%s counts %d crashes under %s, %s counts %d, and there were %d", a.name, ends, name, h.simBoxes[0].name, first, len(incarnations))
+				return fmt.Sprintf("%s counts %d crashes under %s, %s counts %d, and there were %d", b.name, ends, name, h.simBoxes[0].name, first, len(incarnations))
 			}
 		}
 	}
