--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -173,7 +173,7 @@
 	})
 	engines := engine.NewClient(engine.ClientConfig{Advised: d.knowledge.Advise})
 	d.watcher = watch.New(watch.Config{Engines: engines, Knowledge: d.knowledge, Logger: d.logger})
-	d.follower = follow.New(follow.Config{Log: log, Logger: d.logger, Changed: d.configure})
+	d.follower = follow.New(follow.Config{Log: log, Logger: d.logger, OnChange: d.configure})
 	d.exchange = peer.New(d.peerConfig())
 
 	d.keeper = kept.New(kept.Config{
--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -77,7 +77,7 @@
 	giver    *weightorders.Giver
 	watcher  *storewatch.Watcher
 	share    *loadshare.Share
-	readers  *zonereader.Zone
+	readers  *zonereader.Member
 	places   *places.Places
 	// news is woken when this box learns anything of a stream that boxes which follow it are
 	// told.
@@ -163,9 +163,9 @@
 	})
 	b.parts = partindex.New(partindex.Config{News: &b.partNews, Off: b.settings.Off, FirstWait: b.firstWait()})
 	b.registry = registry.New(registry.Config{
-		Log: b.log, Decoder: b.cfg.Decoder, Fleet: b.fleet, Logger: b.logger, Changed: b.configure, News: &b.news,
-		Boxes: func(records []sharedlog.Record) { b.share.TakeBoxes(records) }, FirstWait: b.firstWait(),
-		Followed: func() bool { return b.readers.Following() != "" }, TellerLost: func() bool { return b.readers.TellerLost() },
+		Log: b.log, Decoder: b.cfg.Decoder, Fleet: b.fleet, Logger: b.logger, OnCatalog: b.configure, StreamsChanged: &b.news,
+		OnBoxes: func(records []sharedlog.Record) { b.share.TakeBoxes(records) }, FirstReadDelay: b.firstWait(),
+		HasReader: func() bool { return b.readers.Following() != "" }, ReaderLostLog: func() bool { return b.readers.ReaderLostLog() },
 	})
 }
 
@@ -175,7 +175,7 @@
 	b.lease = orderlease.New(orderlease.Config{Log: b.log, Logger: b.logger, Holder: b.name, Gap: b.settings.OrderGap, Idle: b.leavesOrders})
 	b.giver = weightorders.New(weightorders.Config{
 		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.name, Off: b.settings.Off, Paused: func() { b.share.TellNow() },
-		Models: b.registry.NamedModels, Wanted: func(model string) int { return b.registry.Weights(model).Version },
+		Models: b.registry.DeclaredModels, Wanted: func(model string) int { return b.registry.Weights(model).Version },
 	})
 	b.retire = retire.New(retire.Config{
 		Registry: b.registry, Peers: func() []retire.Peer { return b.share.Peers() }, Boxes: func() int { return b.share.Roll() },
@@ -183,11 +183,11 @@
 	b.watcher = storewatch.New(storewatch.Config{Stores: b.cfg.Stores, Index: b.parts, Logger: b.logger, MayFree: b.mayFree})
 	b.share = loadshare.New(loadshare.Config{
 		Log: b.log, Fleet: b.fleet, Logger: b.logger, Box: b.settings.Box, Life: shortName(b.name), Zone: b.settings.Zone, Address: b.PeerAddress(), Reader: b.ReaderAddress(), Places: b.PlacesAddress(),
-		Cores: b.settings.Cores, Off: b.settings.Off, Named: b.registry.Tell, Heard: b.registry.Hear, Snapshot: b.registry.Snapshot,
-		Lacks: b.registry.Lacks, Adopt: b.registry.Adopt, Quarantine: b.quarantine, MayCallCold: b.mayCallCold,
+		Cores: b.settings.Cores, Off: b.settings.Off, Named: b.registry.WeightsForPeers, Heard: b.registry.MergeWeights, Snapshot: b.registry.Snapshot,
+		Lacks: b.registry.NeedsSnapshot, Adopt: b.registry.Adopt, Quarantine: b.quarantine, MayCallCold: b.mayCallCold,
 	})
 	b.readers = zonereader.New(zonereader.Config{
-		Registry: b.registry, Parts: b.parts, Logger: b.logger, News: &b.news, PartNews: &b.partNews, Others: b.otherBoxes, Known: b.share.Known,
+		Registry: b.registry, Parts: b.parts, Logger: b.logger, StreamsChanged: &b.news, PartsChanged: &b.partNews, Others: b.otherBoxes, BoxesKnown: b.share.Known,
 		Off: b.settings.Off, Self: zonereader.Box{Box: b.self(), Address: b.ReaderAddress()},
 	})
 	b.places = places.New(places.Config{
@@ -205,7 +205,7 @@
 // gives orders. The one that would read next does all the same: a box that begins to follow
 // cannot tell how long ago the last record was written, and would wait out the whole gap from then
 // on before the next order.
-func (b *Box) leavesOrders() bool { return b.registry.Told() && !b.readers.Standby() }
+func (b *Box) leavesOrders() bool { return b.registry.UsesReader() && !b.readers.Standby() }
 
 // shortName is a life's name as it stands in each message between boxes.
 func shortName(life string) string { return strconv.FormatUint(xxhash.Sum64String(life), 36) }
--- a/internal/entrybox/upkeep.go
+++ b/internal/entrybox/upkeep.go
@@ -112,7 +112,7 @@
 		scope.Gauge("configuration_version").Update(float64(catalog.Version()))
 		scope.Gauge("operators_read_age_seconds").Update(boottime.Since(b.registry.OperatorReadAt()).Seconds())
 	}
-	for model, version := range b.registry.Named() {
+	for model, version := range b.registry.NewestVersions() {
 		named := scope.Tagged(map[string]string{"model": model})
 		named.Gauge("weights_named").Update(float64(version))
 		named.Gauge("runners_behind").Update(float64(len(b.fleet.Behind(model, version))))
--- a/internal/fakesharedlog/fakesharedlog.go
+++ b/internal/fakesharedlog/fakesharedlog.go
@@ -65,7 +65,7 @@
 func (l *Log) Read(ctx context.Context, stream sharedlog.Stream, from int64, wait time.Duration) (sharedlog.Page, error) {
 	read, err := l.log.Read(ctx, stream.String(), logservice.ReadOptions{From: from, Wait: wait})
 	if expired, ok := errors.AsType[*logservice.ExpiredError](err); ok {
-		return sharedlog.Page{}, &sharedlog.GoneError{First: expired.Earliest}
+		return sharedlog.Page{}, &sharedlog.RecordsExpiredError{First: expired.Earliest}
 	}
 	if err != nil {
 		return sharedlog.Page{}, sharedlog.ErrUnknown
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -32,7 +32,7 @@
 	CheckpointEvery int64
 	CheckpointAfter time.Duration
 	// Changed is called with each new configuration, in order.
-	Changed func(*config.Snapshot)
+	OnChange func(*config.Snapshot)
 }
 
 // Defaults of Config.
@@ -83,8 +83,8 @@
 	setDefault(&cfg.RetryDelay, DefaultRetryDelay)
 	setDefault(&cfg.CheckpointEvery, DefaultCheckpointEvery)
 	setDefault(&cfg.CheckpointAfter, DefaultCheckpointAfter)
-	if cfg.Changed == nil {
-		cfg.Changed = func(*config.Snapshot) {}
+	if cfg.OnChange == nil {
+		cfg.OnChange = func(*config.Snapshot) {}
 	}
 	return &Follower{
 		cfg: cfg, reader: configlog.NewReader(cfg.Log), state: configlog.Empty(), checkpointTime: time.Now(),
@@ -219,7 +219,7 @@
 	f.state, f.snapshot, f.source, f.since = state, snapshot, source, time.Now()
 	f.mu.Unlock()
 	f.cfg.Logger.Info().Int64("version", state.Version).Stringer("digest", state.Digest).Str("source", string(source)).Msg("config_in_force")
-	f.cfg.Changed(snapshot)
+	f.cfg.OnChange(snapshot)
 }
 
 func (f *Follower) setState(state configlog.State) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -84,9 +84,9 @@
 // Weights knows which versions of weights were named.
 type Weights interface {
 	// Weights gives the newest version named for a model.
-	Weights(model string) registry.NamedWeights
+	Weights(model string) registry.DeclaredWeights
 	// OutdatedSince gives the first version named after the given one, if any.
-	OutdatedSince(model string, version int) (registry.NamedWeights, bool)
+	OutdatedSince(model string, version int) (registry.DeclaredWeights, bool)
 }
 
 // Gateway serves routed calls.
--- a/internal/gateway/outdated.go
+++ b/internal/gateway/outdated.go
@@ -41,10 +41,10 @@
 		return 0, true
 	}
 	cost = outdatedPart * float64(objective) / float64(time.Millisecond)
-	if newer.Found() {
-		return cost, boottime.Since(newer.LearntAt) <= outdatedAtStart
+	if newer.Undated() {
+		return cost, boottime.Since(newer.LearnedAt) <= outdatedAtStart
 	}
-	age := boottime.Since(newer.NamedAfter)
+	age := boottime.Since(newer.DeclaredAfter)
 	return cost * min(1, float64(age)/float64(g.cfg.OutdatedAfter)), age <= g.cfg.OutdatedAfter-outdatedMargin
 }
 
@@ -56,8 +56,8 @@
 		return remaining
 	}
 	newer, outdated := g.cfg.Weights.OutdatedSince(x.facts.Prompt.Model, chosen.hold.Weights())
-	if !outdated || newer.Found() {
+	if !outdated || newer.Undated() {
 		return remaining
 	}
-	return min(remaining, g.cfg.OutdatedAfter-outdatedEnd-boottime.Since(newer.NamedAfter))
+	return min(remaining, g.cfg.OutdatedAfter-outdatedEnd-boottime.Since(newer.DeclaredAfter))
 }
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/outdated_test.go
@@ -15,17 +15,17 @@
 )
 
 // versions are versions of one model's weights, oldest first.
-type versions []registry.NamedWeights
+type versions []registry.DeclaredWeights
 
-func (v versions) Weights(string) registry.NamedWeights { return v[len(v)-1] }
+func (v versions) Weights(string) registry.DeclaredWeights { return v[len(v)-1] }
 
-func (v versions) OutdatedSince(_ string, version int) (registry.NamedWeights, bool) {
+func (v versions) OutdatedSince(_ string, version int) (registry.DeclaredWeights, bool) {
 	for _, named := range v {
 		if named.Version > version {
 			return named, true
 		}
 	}
-	return registry.NamedWeights{}, false
+	return registry.DeclaredWeights{}, false
 }
 
 const weightsLimit = 12 * time.Second
@@ -43,22 +43,22 @@
 		may  bool
 	}{
 		{"the newest", func(now time.Time) versions {
-			return versions{{Version: 1, LearntAt: now, NamedAfter: now.Add(-time.Hour)}}
+			return versions{{Version: 1, LearnedAt: now, DeclaredAfter: now.Add(-time.Hour)}}
 		}, true},
 		{"just outdated", func(now time.Time) versions {
-			return versions{{Version: 2, LearntAt: now, NamedAfter: now.Add(-9 * time.Second)}}
+			return versions{{Version: 2, LearnedAt: now, DeclaredAfter: now.Add(-9 * time.Second)}}
 		}, true},
 		{"nearly at the end of their time", func(now time.Time) versions {
-			return versions{{Version: 2, LearntAt: now, NamedAfter: now.Add(-11 * time.Second)}}
+			return versions{{Version: 2, LearnedAt: now, DeclaredAfter: now.Add(-11 * time.Second)}}
 		}, false},
 		{"outdated twice, the second time just now", func(now time.Time) versions {
-			return versions{{Version: 2, LearntAt: now, NamedAfter: now.Add(-11 * time.Second)}, {Version: 3, LearntAt: now, NamedAfter: now}}
+			return versions{{Version: 2, LearnedAt: now, DeclaredAfter: now.Add(-11 * time.Second)}, {Version: 3, LearnedAt: now, DeclaredAfter: now}}
 		}, false},
 		{"found outdated at the start", func(now time.Time) versions {
-			return versions{{Version: 2, LearntAt: now.Add(-time.Second)}}
+			return versions{{Version: 2, LearnedAt: now.Add(-time.Second)}}
 		}, true},
 		{"found outdated a while ago", func(now time.Time) versions {
-			return versions{{Version: 2, LearntAt: now.Add(-4 * time.Second)}}
+			return versions{{Version: 2, LearnedAt: now.Add(-4 * time.Second)}}
 		}, false},
 	}
 	for _, test := range tests {
@@ -77,7 +77,7 @@
 func TestACallAtOlderWeightsHasNoTimeBeyondTheirs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		gateway := newTestGateway(versions{{Version: 2, LearntAt: time.Now(), NamedAfter: time.Now().Add(-9 * time.Second)}})
+		gateway := newTestGateway(versions{{Version: 2, LearnedAt: time.Now(), DeclaredAfter: time.Now().Add(-9 * time.Second)}})
 		x := &exchange{deadline: time.Now().Add(10 * time.Second), facts: call.Facts{Prompt: &call.Prompt{Model: "m"}}}
 		hold := gateway.cfg.Fleet.Choose(fleet.Query{
 			Service: "s", Model: "m", Work: func(int) int { return 0 }, Outdated: func(int) (float64, bool) { return 0, true },
--- a/internal/loadshare/agreement_test.go
+++ b/internal/loadshare/agreement_test.go
@@ -77,8 +77,8 @@
 	return a.spans[len(a.spans)-1].version
 }
 
-func (a *actor) named() map[string][]registry.Heard {
-	return map[string][]registry.Heard{model: {{Version: a.version(), Found: true}}}
+func (a *actor) named() map[string][]registry.PeerWeights {
+	return map[string][]registry.PeerWeights{model: {{Version: a.version(), Undated: true}}}
 }
 
 // said reports whether the box said at some time after a moment that it knows just a
@@ -150,7 +150,7 @@
 }
 
 // hear takes over what another box knows, as package registry does.
-func (a *actor) hear(told map[string][]registry.Heard) {
+func (a *actor) hear(told map[string][]registry.PeerWeights) {
 	for _, heard := range told[model] {
 		a.knows(heard.Version)
 	}
--- a/internal/loadshare/box_test.go
+++ b/internal/loadshare/box_test.go
@@ -22,7 +22,7 @@
 type box struct {
 	fleet *fleet.Fleet
 	share *loadshare.Share
-	heard chan map[string][]registry.Heard
+	heard chan map[string][]registry.PeerWeights
 	// snapshot is what the box has of the log.
 	snapshot atomic.Pointer[registry.Snapshot]
 	stop     context.CancelFunc
@@ -30,20 +30,20 @@
 }
 
 // start runs a box until the end of the test, or until its stop is called.
-func start(t *testing.T, log *fakesharedlog.Log, name string, named map[string][]registry.Heard) *box {
+func start(t *testing.T, log *fakesharedlog.Log, name string, named map[string][]registry.PeerWeights) *box {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &box{fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), heard: make(chan map[string][]registry.Heard, 1000), address: listener.Addr().String()}
+	b := &box{fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), heard: make(chan map[string][]registry.PeerWeights, 1000), address: listener.Addr().String()}
 	b.fleet.Apply([]fleet.Update{{Key: "s", Offset: 1, Server: &fleet.Server{Incarnation: "s", Service: "s", Slots: 4}}})
 	b.share = loadshare.New(loadshare.Config{
 		Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), Box: name, Life: name, Address: b.address,
-		Named: func() map[string][]registry.Heard { return named }, Heard: func(named map[string][]registry.Heard, _ time.Time) { b.heard <- named },
+		Named: func() map[string][]registry.PeerWeights { return named }, Heard: func(named map[string][]registry.PeerWeights, _ time.Time) { b.heard <- named },
 		Lacks: func() bool { return b.snapshot.Load() == nil }, Snapshot: b.snapshot.Load, Adopt: func(s registry.Snapshot) { b.snapshot.Store(&s) },
 	})
-	list := registry.New(registry.Config{Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), Boxes: b.share.TakeBoxes})
+	list := registry.New(registry.Config{Log: log, Fleet: b.fleet, Logger: zerolog.Nop(), OnBoxes: b.share.TakeBoxes})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stop = cancel
 	for _, loop := range []func(context.Context){b.share.LoopAnnounce, b.share.LoopLink, b.share.LoopForget, list.LoopBoxes} {
--- a/internal/loadshare/boxes_test.go
+++ b/internal/loadshare/boxes_test.go
@@ -31,7 +31,7 @@
 			Log: log, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), Box: "a", Life: "a/2", Address: "127.0.0.1:1",
 			Lacks: func() bool { return true }, Snapshot: func() *registry.Snapshot { return nil }, Adopt: func(registry.Snapshot) {},
 		})
-		list := registry.New(registry.Config{Log: log, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), Boxes: share.TakeBoxes})
+		list := registry.New(registry.Config{Log: log, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), OnBoxes: share.TakeBoxes})
 		go share.LoopAnnounce(ctx)
 		go list.LoopBoxes(ctx)
 		test(NewWithT(t), log, share.Roll)
--- a/internal/loadshare/hubs_test.go
+++ b/internal/loadshare/hubs_test.go
@@ -187,7 +187,7 @@
 	share = loadshare.New(loadshare.Config{
 		Quarantine: a.suspects,
 		Fleet:      known, Logger: zerolog.Nop(), Box: a.name, Life: fmt.Sprint(a.name, "/", a.life), Zone: a.zone, Cores: a.cores, Address: a.name, Reader: a.name,
-		Named: a.named, Heard: func(told map[string][]registry.Heard, _ time.Time) { a.hear(told) },
+		Named: a.named, Heard: func(told map[string][]registry.PeerWeights, _ time.Time) { a.hear(told) },
 		Lacks: func() bool { return false }, Snapshot: func() *registry.Snapshot { return nil }, Dial: h.fabric.dialFrom(a.name),
 	})
 	a.share = share
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -60,8 +60,8 @@
 	// Named gives the weights that this box knows to be named, by model, the newest
 	// last, and Heard takes over what another box knew at asOf, or some time before
 	// now when asOf is zero.
-	Named func() map[string][]registry.Heard
-	Heard func(named map[string][]registry.Heard, asOf time.Time)
+	Named func() map[string][]registry.PeerWeights
+	Heard func(named map[string][]registry.PeerWeights, asOf time.Time)
 	// Lacks reports that this box has no configuration and cannot read the log. Snapshot
 	// gives what it read of the log, or nil while it has no configuration; Adopt takes
 	// over that of another box.
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -17,9 +17,9 @@
 func TestBoxesFindEachOtherAndForgetTheSilent(t *testing.T) {
 	g := NewWithT(t)
 	log := fakesharedlog.New()
-	told := map[string][]registry.Heard{"m": {{Version: 2, Age: 9 * time.Second}, {Version: 3, Age: time.Second, Found: true}}}
+	told := map[string][]registry.PeerWeights{"m": {{Version: 2, Age: 9 * time.Second}, {Version: 3, Age: time.Second, Undated: true}}}
 	a := start(t, log, "a", told)
-	b := start(t, log, "b", map[string][]registry.Heard{"m": {{Version: 2}}})
+	b := start(t, log, "b", map[string][]registry.PeerWeights{"m": {{Version: 2}}})
 	g.Eventually(a.knows, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	g.Eventually(b.knows, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	g.Expect(<-b.heard).To(Equal(told))
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -25,11 +25,11 @@
 	Life string `msgpack:"i"`
 	// Sent is the sender's time, counted from its start. Echo is the last time that
 	// it has from the receiver, in the life EchoLife.
-	Sent     time.Duration               `msgpack:"s"`
-	Echo     time.Duration               `msgpack:"e,omitempty"`
-	EchoLife string                      `msgpack:"f,omitempty"`
-	Loads    []fleet.Load                `msgpack:"l"`
-	Named    map[string][]registry.Heard `msgpack:"n"`
+	Sent     time.Duration                     `msgpack:"s"`
+	Echo     time.Duration                     `msgpack:"e,omitempty"`
+	EchoLife string                            `msgpack:"f,omitempty"`
+	Loads    []fleet.Load                      `msgpack:"l"`
+	Named    map[string][]registry.PeerWeights `msgpack:"n"`
 	// Address is where the sender is reached, in the first message of a connection, Roll
 	// the number of listed boxes by a list that it read itself.
 	Address string `msgpack:"a,omitempty"`
--- a/internal/loadshare/silent_test.go
+++ b/internal/loadshare/silent_test.go
@@ -130,7 +130,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		t.Cleanup(func() { _ = connection.Close() }) // kept open, as the old one is
 		data, err := msgpack.Marshal(map[string]any{
-			"b": "a", "i": life, "s": sent, "l": []fleet.Load{}, "n": map[string][]registry.Heard{},
+			"b": "a", "i": life, "s": sent, "l": []fleet.Load{}, "n": map[string][]registry.PeerWeights{},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = connection.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...))
--- a/internal/orderlease/orderlease.go
+++ b/internal/orderlease/orderlease.go
@@ -123,7 +123,7 @@
 	}
 	l.mu.Unlock()
 	page, err := l.cfg.Log.Read(ctx, sharedlog.Orders, from, hold)
-	if gone, ok := errors.AsType[*sharedlog.GoneError](err); ok {
+	if gone, ok := errors.AsType[*sharedlog.RecordsExpiredError](err); ok {
 		l.skip(gone.First)
 		return nil
 	}
--- a/internal/registry/differs_test.go
+++ b/internal/registry/differs_test.go
@@ -43,10 +43,10 @@
 }
 
 // tell has a box take over a word of another one on the servers' stream.
-func (w *world) tell(follower *world, change func(*registry.Word)) {
-	word, _ := w.registry.WordSince(sharedlog.Servers, follower.registry.Position(sharedlog.Servers))
+func (w *world) tell(follower *world, change func(*registry.StreamUpdate)) {
+	word, _ := w.registry.UpdateSince(sharedlog.Servers, follower.registry.Position(sharedlog.Servers))
 	change(&word)
-	follower.registry.TakeWord(word, time.Now())
+	follower.registry.ApplyUpdate(word, time.Now())
 }
 
 // A box that was not told of a server's going believed in the server until connections to
@@ -65,11 +65,11 @@
 		time.Sleep(time.Second)
 		follower, _ := w.another(ctx)
 		time.Sleep(10 * time.Millisecond)
-		w.tell(follower, func(*registry.Word) {})
+		w.tell(follower, func(*registry.StreamUpdate) {})
 		w.log.Put(sharedlog.Servers, "leaves", nil)
 		w.log.Put(sharedlog.Servers, "comes", []byte("ready"))
-		time.Sleep(registry.DefaultPace)
-		w.tell(follower, func(word *registry.Word) {
+		time.Sleep(registry.DefaultPollInterval)
+		w.tell(follower, func(word *registry.StreamUpdate) {
 			word.Records = slices.DeleteFunc(word.Records, func(r sharedlog.Record) bool { return r.Key == "leaves" })
 		})
 		g.Expect(follower.fleet.Known()).To(Equal(2), "it believes in the server that left")
@@ -88,7 +88,7 @@
 		follower, log := w.another(ctx)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			w.tell(follower, func(word *registry.Word) { word.Digest ^= 2 })
+			w.tell(follower, func(word *registry.StreamUpdate) { word.Digest ^= 2 })
 		}
 		g.Expect(log.calls.Load()).To(BeNumerically("<=", 3), "its start, and once for the difference")
 		g.Expect(follower.fleet.Known()).To(Equal(1))
--- a/internal/registry/digest.go
+++ b/internal/registry/digest.go
@@ -38,7 +38,7 @@
 
 // compare reports whether a word goes as far as what is known here, and if so, whether it
 // says otherwise.
-func (t *tail) compare(word Word) (asFar, differs bool) {
+func (t *tail) compare(word StreamUpdate) (asFar, differs bool) {
 	own := t.digest()
 	if word.Next != t.next || own == unsaid || word.Digest == unsaid {
 		return false, false
--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -50,13 +50,13 @@
 	}
 	words := []struct {
 		name  string
-		word  registry.Word
+		word  registry.StreamUpdate
 		zones []string
 	}{
-		{"all", registry.Word{Whole: true, Records: []sharedlog.Record{record("a", "{}", 2), record("b", "{}", 3)}, Next: 4}, []string{"a", "b"}},
-		{"one is taken back", registry.Word{Records: []sharedlog.Record{record("a", "", 5)}, Next: 6}, []string{"b"}},
-		{"an older word", registry.Word{Records: []sharedlog.Record{record("a", "{}", 2)}, Next: 4}, []string{"b"}},
-		{"all, without the other", registry.Word{Whole: true, Next: 9}, nil},
+		{"all", registry.StreamUpdate{Full: true, Records: []sharedlog.Record{record("a", "{}", 2), record("b", "{}", 3)}, Next: 4}, []string{"a", "b"}},
+		{"one is taken back", registry.StreamUpdate{Records: []sharedlog.Record{record("a", "", 5)}, Next: 6}, []string{"b"}},
+		{"an older word", registry.StreamUpdate{Records: []sharedlog.Record{record("a", "{}", 2)}, Next: 4}, []string{"b"}},
+		{"all, without the other", registry.StreamUpdate{Full: true, Next: 9}, nil},
 	}
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -64,7 +64,7 @@
 		w := start(ctx, down)
 		for _, next := range words {
 			next.word.Stream = sharedlog.Operator
-			w.registry.TakeWord(next.word, time.Now())
+			w.registry.ApplyUpdate(next.word, time.Now())
 			g.Expect(w.fleet.Evacuated()).To(Equal(next.zones), next.name)
 		}
 	})
--- a/internal/registry/outage_test.go
+++ b/internal/registry/outage_test.go
@@ -61,7 +61,7 @@
 				log := &silentLog{Log: fakesharedlog.New()}
 				r := registry.New(registry.Config{
 					Log: log, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(),
-					Followed: func() bool { return test.followed }, TellerLost: func() bool { return test.lost },
+					HasReader: func() bool { return test.followed }, ReaderLostLog: func() bool { return test.lost },
 				})
 				go r.LoopOperator(ctx)
 				go r.LoopServers(ctx)
@@ -90,10 +90,10 @@
 		calls int64
 	}{
 		{"nobody tells it", func(*registry.Registry) { time.Sleep(firstWait) }, 2},
-		{"it is to read itself", func(r *registry.Registry) { r.ReadItself() }, 2},
+		{"it is to read itself", func(r *registry.Registry) { r.ReadDirectly() }, 2},
 		{"it is told", func(r *registry.Registry) {
 			for _, stream := range []sharedlog.Stream{sharedlog.Operator, sharedlog.Servers} {
-				r.TakeWord(registry.Word{Stream: stream, Whole: true, Next: 1}, time.Now())
+				r.ApplyUpdate(registry.StreamUpdate{Stream: stream, Full: true, Next: 1}, time.Now())
 			}
 			time.Sleep(firstWait)
 		}, 0},
@@ -107,7 +107,7 @@
 				defer cancel()
 				log := &newestLog{Log: fakesharedlog.New()}
 				r := registry.New(registry.Config{
-					Log: log, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), FirstWait: firstWait,
+					Log: log, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), FirstReadDelay: firstWait,
 				})
 				go r.LoopOperator(ctx)
 				go r.LoopServers(ctx)
--- a/internal/registry/read.go
+++ b/internal/registry/read.go
@@ -57,7 +57,7 @@
 		}
 		next := r.readFrom(stream)
 		asked := boottime.Now()
-		page, whole, err := sharedlog.ReadOn(ctx, r.cfg.Log, stream, next, wait, limitAfter(failed, wasTold))
+		page, whole, err := sharedlog.ReadNext(ctx, r.cfg.Log, stream, next, wait, limitAfter(failed, wasTold))
 		if err != nil {
 			r.noteLost(ctx, stream, asked, err)
 			wait = 0
@@ -94,9 +94,9 @@
 func (r *Registry) pauseAfter(ctx context.Context, stream sharedlog.Stream, failed int, usual time.Duration) {
 	ended, back := r.readItself.Wait(), r.back.Wait()
 	switch {
-	case failed < 2 && !r.cfg.TellerLost() || !r.cfg.Followed():
+	case failed < 2 && !r.cfg.ReaderLostLog() || !r.cfg.HasReader():
 		waiting.For(ctx, usual/2+rand.N(usual))
-	case stream == sharedlog.Servers && r.Lost():
+	case stream == sharedlog.Servers && r.LogLost():
 		waiting.ForOr(ctx, longestServersPause, back)
 	default:
 		waiting.ForOr(ctx, leastFollowerPause+rand.N(spreadFollowerPause), ended)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -27,7 +27,7 @@
 // Declaration is one word of the operators; exactly one field is set.
 type Declaration struct {
 	Catalog *catalog.Catalog
-	Weights *WeightsNamed
+	Weights *WeightsDeclaration
 }
 
 // Decoder turns records into the product's types.
@@ -48,26 +48,26 @@
 	Fleet   *fleet.Fleet
 	Logger  zerolog.Logger
 	// Changed is told of each new catalog.
-	Changed func(*catalog.Catalog)
+	OnCatalog func(*catalog.Catalog)
 	// Boxes is told of what is new in the stream of entry boxes, a record without a value
 	// for one that has left, and of the first reading also when it names none; nil where
 	// nobody follows that stream.
-	Boxes func([]sharedlog.Record)
+	OnBoxes func([]sharedlog.Record)
 	// FirstWait is how long the operators' and the servers' streams are not read after the
 	// start, unless this box is to read for itself, so that a box that will be told need not
 	// read them at all.
-	FirstWait time.Duration
+	FirstReadDelay time.Duration
 	// Followed reports whether this box follows another one, which will tell it when the log
 	// is back, and TellerLost whether that one says that it cannot read the log either; nil
 	// means that it never does.
-	Followed   func() bool
-	TellerLost func() bool
+	HasReader     func() bool
+	ReaderLostLog func() bool
 	// Pace is the time between two looks at the servers' stream.
-	Pace time.Duration
+	PollInterval time.Duration
 	// Hold is the longest time that a read of the operators' stream waits for a record.
-	Hold time.Duration
+	LongPoll time.Duration
 	// News is woken when a stream says anything new.
-	News *waiting.Signal
+	StreamsChanged *waiting.Signal
 }
 
 // Defaults of Config.
@@ -75,11 +75,11 @@
 	// DefaultPace leaves more than half of the two seconds within which a leaving
 	// server must get nothing new. A held read would return with each heartbeat of
 	// each server, which is no cheaper than a loop.
-	DefaultPace = 600 * time.Millisecond
+	DefaultPollInterval = 600 * time.Millisecond
 	// DefaultHold is short enough that a connection that died without a word is
 	// found within the time that a configuration must be in force, by this box and by
 	// those that it tells.
-	DefaultHold = 800 * time.Millisecond
+	DefaultLongPoll = 800 * time.Millisecond
 	// boxesHold and boxesPause are the same two for the stream of boxes. It changes only
 	// when boxes start and stop, and no bound of time rests on it; those that do so together
 	// are read at once.
@@ -98,7 +98,7 @@
 
 	mu sync.Mutex
 	// weights holds the versions named for each model, the newest last.
-	weights map[string][]NamedWeights
+	weights map[string][]DeclaredWeights
 	lost    map[sharedlog.Stream]bool
 	tails   map[sharedlog.Stream]*tail
 	// serversReadAt is that of the servers' stream, for readers that must not wait for mu.
@@ -116,18 +116,18 @@
 
 // New makes a registry that knows nothing.
 func New(cfg Config) *Registry {
-	cfg.Pace = cmp.Or(cfg.Pace, DefaultPace)
-	cfg.Hold = cmp.Or(cfg.Hold, DefaultHold)
-	cfg.News = cmp.Or(cfg.News, &waiting.Signal{})
+	cfg.PollInterval = cmp.Or(cfg.PollInterval, DefaultPollInterval)
+	cfg.LongPoll = cmp.Or(cfg.LongPoll, DefaultLongPoll)
+	cfg.StreamsChanged = cmp.Or(cfg.StreamsChanged, &waiting.Signal{})
 	never := func() bool { return false }
-	if cfg.Followed == nil {
-		cfg.Followed = never
+	if cfg.HasReader == nil {
+		cfg.HasReader = never
 	}
-	if cfg.TellerLost == nil {
-		cfg.TellerLost = never
+	if cfg.ReaderLostLog == nil {
+		cfg.ReaderLostLog = never
 	}
 	return &Registry{
-		cfg: cfg, weights: map[string][]NamedWeights{}, lost: map[sharedlog.Stream]bool{}, news: cfg.News,
+		cfg: cfg, weights: map[string][]DeclaredWeights{}, lost: map[sharedlog.Stream]bool{}, news: cfg.StreamsChanged,
 		tails: map[sharedlog.Stream]*tail{},
 	}
 }
@@ -147,7 +147,7 @@
 	// ReadFresh is how long the reading of all that operators declared counts as
 	// recent: what a box is told may be operatorToldFor old, and then it takes a while
 	// to read for itself.
-	ReadFresh = operatorToldFor + nextReadTime
+	MaxReadAge = operatorToldFor + nextReadTime
 	// nextReadTime is what a read takes when the store is slow, held or not.
 	nextReadTime = time.Second
 )
@@ -183,13 +183,13 @@
 // LoopOperator follows the operators' stream until ctx ends.
 func (r *Registry) LoopOperator(ctx context.Context) {
 	r.awaitTeller(sharedlog.Operator)
-	r.loop(ctx, sharedlog.Operator, r.cfg.Hold, 0)
+	r.loop(ctx, sharedlog.Operator, r.cfg.LongPoll, 0)
 }
 
 // LoopServers follows the servers' stream until ctx ends.
 func (r *Registry) LoopServers(ctx context.Context) {
 	r.awaitTeller(sharedlog.Servers)
-	r.loop(ctx, sharedlog.Servers, 0, r.cfg.Pace)
+	r.loop(ctx, sharedlog.Servers, 0, r.cfg.PollInterval)
 }
 
 // LoopBoxes follows the stream of entry boxes until ctx ends.
@@ -203,7 +203,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.tail(stream); t.toldUntil.IsZero() && !r.reads {
-		t.toldUntil = boottime.Now().Add(r.cfg.FirstWait)
+		t.toldUntil = boottime.Now().Add(r.cfg.FirstReadDelay)
 	}
 }
 
@@ -239,14 +239,14 @@
 
 // takeBoxes passes on which boxes are new, have moved, or are gone.
 func (r *Registry) takeBoxes(news []entry) {
-	if r.cfg.Boxes == nil {
+	if r.cfg.OnBoxes == nil {
 		return
 	}
 	records := make([]sharedlog.Record, len(news))
 	for i, next := range news {
 		records[i] = next.record
 	}
-	r.cfg.Boxes(records)
+	r.cfg.OnBoxes(records)
 }
 
 // decode adds records to a reading, with what they say of servers. The registry may hold
@@ -308,8 +308,8 @@
 	}
 	r.catalog.Store(next)
 	r.cfg.Logger.Info().Int64("version", next.Version()).Int64("offset", offset).Msg("configuration_in_force")
-	if r.cfg.Changed != nil {
-		r.cfg.Changed(next)
+	if r.cfg.OnCatalog != nil {
+		r.cfg.OnCatalog(next)
 	}
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -35,7 +35,7 @@
 		made, err := catalog.New(catalog.Config{Version: int64(len(record.Value))})
 		return &registry.Declaration{Catalog: made}, err
 	default:
-		return &registry.Declaration{Weights: &registry.WeightsNamed{Model: record.Key, Version: len(record.Value)}}, nil
+		return &registry.Declaration{Weights: &registry.WeightsDeclaration{Model: record.Key, Version: len(record.Value)}}, nil
 	}
 }
 
@@ -172,7 +172,7 @@
 
 func (l forgetfulLog) Read(context.Context, sharedlog.Stream, int64, time.Duration) (sharedlog.Page, error) {
 	l.reads.Add(1)
-	return sharedlog.Page{}, &sharedlog.GoneError{First: 1000}
+	return sharedlog.Page{}, &sharedlog.RecordsExpiredError{First: 1000}
 }
 
 func TestALogThatKeepsNothingIsNotAskedAllTheTime(t *testing.T) {
@@ -208,8 +208,8 @@
 		time.Sleep(time.Second)
 		since, outdated := w.registry.OutdatedSince("m", 1)
 		g.Expect(outdated).To(BeTrue())
-		g.Expect(since.LearntAt).To(BeTemporally("~", second, 50*time.Millisecond), "since the first newer one, not the last")
-		g.Expect(since.NamedAfter).To(And(BeTemporally("<=", second), BeTemporally(">", second.Add(-registry.ReadFresh))))
+		g.Expect(since.LearnedAt).To(BeTemporally("~", second, 50*time.Millisecond), "since the first newer one, not the last")
+		g.Expect(since.DeclaredAfter).To(And(BeTemporally("<=", second), BeTemporally(">", second.Add(-registry.MaxReadAge))))
 		g.Expect(w.registry.Weights("m").Version).To(Equal(3))
 	})
 }
@@ -235,19 +235,19 @@
 		}, 5},
 		{"from another box, just now", func(w *world) {
 			time.Sleep(5 * time.Second)
-			w.registry.Hear(map[string][]registry.Heard{"m": {{Version: 2}}}, time.Now())
+			w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2}}}, time.Now())
 		}, 0},
 		{"from another box, after an outage", func(w *world) {
 			time.Sleep(5 * time.Second)
 			w.log.Faults().SetFaults(fakelog.Faults{Down: true})
 			time.Sleep(5 * time.Second)
-			w.registry.Hear(map[string][]registry.Heard{"m": {{Version: 2, Age: time.Second}}}, time.Now())
+			w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Second}}}, time.Now())
 		}, 1},
 		{"by a word that may be old, after an outage", func(w *world) {
 			time.Sleep(5 * time.Second)
 			w.log.Faults().SetFaults(fakelog.Faults{Down: true})
 			time.Sleep(5 * time.Second)
-			w.registry.Hear(map[string][]registry.Heard{"m": {{Version: 2, Age: time.Second}}}, time.Time{})
+			w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Second}}}, time.Time{})
 		}, 5},
 	}
 	for _, test := range tests {
@@ -258,9 +258,9 @@
 				time.Sleep(time.Second)
 				since, outdated := w.registry.OutdatedSince("m", 1)
 				g.Expect(outdated).To(BeTrue())
-				g.Expect(since.Found()).To(BeFalse())
+				g.Expect(since.Undated()).To(BeFalse())
 				oldest := time.Duration(test.oldest * float64(time.Second))
-				g.Expect(played.Sub(since.NamedAfter)).To(And(BeNumerically(">=", oldest), BeNumerically("<=", oldest+registry.ReadFresh)))
+				g.Expect(played.Sub(since.DeclaredAfter)).To(And(BeNumerically(">=", oldest), BeNumerically("<=", oldest+registry.MaxReadAge)))
 			})
 		})
 	}
@@ -272,7 +272,7 @@
 	named := func(log *fakesharedlog.Log) { log.Put(sharedlog.Operator, "m", []byte("vvv")) }
 	bubbleAfter(t, named, func(g *WithT, w *world) {
 		time.Sleep(time.Second)
-		w.registry.Hear(map[string][]registry.Heard{"m": {{Version: 2, Age: 9 * time.Second}, {Version: 3, Age: 2 * time.Second}}}, time.Now())
+		w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: 9 * time.Second}, {Version: 3, Age: 2 * time.Second}}}, time.Now())
 		tests := []struct {
 			version int
 			age     time.Duration
@@ -280,13 +280,13 @@
 		for _, test := range tests {
 			since, outdated := w.registry.OutdatedSince("m", test.version)
 			g.Expect(outdated).To(BeTrue())
-			g.Expect(since.Found()).To(BeFalse())
-			g.Expect(time.Since(since.NamedAfter)).To(BeNumerically(">=", test.age))
-			g.Expect(time.Since(since.NamedAfter)).To(BeNumerically("<", test.age+time.Second))
+			g.Expect(since.Undated()).To(BeFalse())
+			g.Expect(time.Since(since.DeclaredAfter)).To(BeNumerically(">=", test.age))
+			g.Expect(time.Since(since.DeclaredAfter)).To(BeNumerically("<", test.age+time.Second))
 		}
-		w.registry.Hear(map[string][]registry.Heard{"m": {{Version: 3, Age: time.Minute}}}, time.Now())
+		w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 3, Age: time.Minute}}}, time.Now())
 		since, _ := w.registry.OutdatedSince("m", 2)
-		g.Expect(time.Since(since.NamedAfter)).To(BeNumerically("<", 4*time.Second), "what is dated stays")
+		g.Expect(time.Since(since.DeclaredAfter)).To(BeNumerically("<", 4*time.Second), "what is dated stays")
 	})
 }
 
@@ -294,9 +294,9 @@
 	named := func(log *fakesharedlog.Log) { log.Put(sharedlog.Operator, "m", []byte("vv")) }
 	bubbleAfter(t, named, func(g *WithT, w *world) {
 		time.Sleep(time.Second)
-		w.registry.Hear(map[string][]registry.Heard{"m": {{Version: 2, Age: time.Minute, Found: true}}}, time.Now())
+		w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Minute, Undated: true}}}, time.Now())
 		since, _ := w.registry.OutdatedSince("m", 1)
-		g.Expect(since.Found()).To(BeTrue())
+		g.Expect(since.Undated()).To(BeTrue())
 	})
 }
 
@@ -313,7 +313,7 @@
 }
 
 // slowAnswer is shorter than any read is held.
-const slowAnswer = registry.DefaultHold/2 - 200*time.Millisecond
+const slowAnswer = registry.DefaultLongPoll/2 - 200*time.Millisecond
 
 // Only an answer that was held for its whole time proves that nothing was added
 // meanwhile.
@@ -349,17 +349,17 @@
 		}
 		time.Sleep(time.Second)
 		w.log.Put(sharedlog.Operator, "m", []byte("v"))
-		time.Sleep(2*registry.DefaultHold - 100*time.Millisecond)
+		time.Sleep(2*registry.DefaultLongPoll - 100*time.Millisecond)
 		w.log.Put(sharedlog.Operator, "m", []byte("vv"))
 		named := time.Now()
 		synctest.Wait()
 		for _, from := range all {
 			for _, to := range all {
-				to.Hear(from.Tell(), time.Now())
+				to.MergeWeights(from.WeightsForPeers(), time.Now())
 			}
 		}
 		for _, r := range all {
-			g.Expect(r.Weights("m").NamedAfter).To(BeTemporally("~", named, 1200*time.Millisecond))
+			g.Expect(r.Weights("m").DeclaredAfter).To(BeTemporally("~", named, 1200*time.Millisecond))
 		}
 	})
 }
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -13,7 +13,7 @@
 
 // Lacks reports that this box has no configuration and cannot read the log. One that has
 // just started and is about to read it lacks nothing.
-func (r *Registry) Lacks() bool {
+func (r *Registry) NeedsSnapshot() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Catalog() == nil && r.lost[sharedlog.Operator]
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -30,7 +30,7 @@
 		g.Expect(w.serves()).To(BeTrue())
 		since, outdated := w.registry.OutdatedSince("m", 2)
 		g.Expect(outdated).To(BeTrue())
-		g.Expect(since.Found()).To(BeTrue(), "nobody said how old the weights are")
+		g.Expect(since.Undated()).To(BeTrue(), "nobody said how old the weights are")
 		g.Expect(w.registry.OperatorReadAt().IsZero()).To(BeTrue(), "it has not read the log")
 		g.Expect(w.registry.Snapshot()).NotTo(BeNil())
 	})
@@ -62,16 +62,16 @@
 // asks for it only when it has found that it cannot read the log.
 func TestABoxThatIsAboutToReadTheLogLacksNothing(t *testing.T) {
 	bubble(t, func(g *WithT, w *world) {
-		g.Expect(w.registry.Lacks()).To(BeFalse())
+		g.Expect(w.registry.NeedsSnapshot()).To(BeFalse())
 		time.Sleep(10 * time.Second)
-		g.Expect(w.registry.Lacks()).To(BeFalse(), "there is no configuration yet, for nobody")
+		g.Expect(w.registry.NeedsSnapshot()).To(BeFalse(), "there is no configuration yet, for nobody")
 	})
 	before := registry.New(registry.Config{Log: fakesharedlog.New(), Decoder: decoder{}, Logger: zerolog.Nop()})
-	NewWithT(t).Expect(before.Lacks()).To(BeFalse(), "it has not asked the log yet")
+	NewWithT(t).Expect(before.NeedsSnapshot()).To(BeFalse(), "it has not asked the log yet")
 	bubbleAfter(t, down, func(g *WithT, w *world) {
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(w.registry.Lacks()).To(BeTrue())
+		g.Expect(w.registry.NeedsSnapshot()).To(BeTrue())
 		w.registry.Adopt(registry.Snapshot{Operator: []sharedlog.Record{{Key: "config", Value: []byte("v"), Offset: 1}}})
-		g.Expect(w.registry.Lacks()).To(BeFalse())
+		g.Expect(w.registry.NeedsSnapshot()).To(BeFalse())
 	})
 }
--- a/internal/registry/suspended_test.go
+++ b/internal/registry/suspended_test.go
@@ -16,10 +16,10 @@
 	bubble(t, func(g *WithT, w *world) {
 		machine := suspendtest.New(t)
 		time.Sleep(2 * time.Second)
-		g.Expect(w.registry.ServersAge()).To(BeNumerically("<", registry.ReadFresh))
+		g.Expect(w.registry.ServersAge()).To(BeNumerically("<", registry.MaxReadAge))
 		machine.Suspend(5 * time.Second)
 		g.Expect(w.registry.ServersAge()).To(BeNumerically(">=", 5*time.Second))
 		time.Sleep(2 * time.Second)
-		g.Expect(w.registry.ServersAge()).To(BeNumerically("<", registry.ReadFresh), "it was read again")
+		g.Expect(w.registry.ServersAge()).To(BeNumerically("<", registry.MaxReadAge), "it was read again")
 	})
 }
--- a/internal/registry/teller_test.go
+++ b/internal/registry/teller_test.go
@@ -37,7 +37,7 @@
 		time.Sleep(10 * time.Millisecond)
 		g.Expect(w.registry.Position(sharedlog.Servers)).To(Equal(known), "it has not read again itself")
 
-		teller.tell(w, func(word *registry.Word) { g.Expect(word.Records).NotTo(BeEmpty()) })
+		teller.tell(w, func(word *registry.StreamUpdate) { g.Expect(word.Records).NotTo(BeEmpty()) })
 		g.Expect(w.fleet.Known()).To(Equal(1))
 		hold := w.fleet.Choose(fleet.Query{Service: "s", Exclude: []string{"comes"}})
 		g.Expect(hold).To(BeNil(), "the server that left takes nothing")
--- a/internal/registry/told.go
+++ b/internal/registry/told.go
@@ -17,19 +17,19 @@
 )
 
 // Word is what a box knows of a stream.
-type Word struct {
+type StreamUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
 
 	Stream sharedlog.Stream `msgpack:"s"`
 	// Whole says that Records holds the newest record of all keys rather than what was
 	// added.
-	Whole   bool               `msgpack:"w,omitempty"`
+	Full    bool               `msgpack:"w,omitempty"`
 	Records []sharedlog.Record `msgpack:"r,omitempty"`
 	// Next is the offset after all that is known.
 	Next int64 `msgpack:"n"`
 	// Age is how long ago all records were known; Unread says that they never were.
-	Age    time.Duration `msgpack:"a"`
-	Unread bool          `msgpack:"u,omitempty"`
+	Age       time.Duration `msgpack:"a"`
+	NeverRead bool          `msgpack:"u,omitempty"`
 	// Digest shows whether two boxes that know as much know the same; see digest.go. It goes
 	// beside the word, since boxes of another version read only words with as many fields.
 	Digest uint64 `msgpack:"-"`
@@ -62,7 +62,7 @@
 }
 
 // Followed lists the streams that boxes tell each other of.
-func Followed() []sharedlog.Stream {
+func ForwardedStreams() []sharedlog.Stream {
 	return []sharedlog.Stream{sharedlog.Operator, sharedlog.Servers, sharedlog.Boxes}
 }
 
@@ -75,16 +75,16 @@
 
 // WordSince gives what this box knows of a stream past an offset, and whether that is
 // anything new.
-func (r *Registry) WordSince(stream sharedlog.Stream, from int64) (word Word, news bool) {
+func (r *Registry) UpdateSince(stream sharedlog.Stream, from int64) (word StreamUpdate, news bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tail(stream)
-	word = Word{Stream: stream, Next: t.next, Age: boottime.Since(t.readAt), Unread: t.readAt.IsZero(), Digest: t.digest()}
+	word = StreamUpdate{Stream: stream, Next: t.next, Age: boottime.Since(t.readAt), NeverRead: t.readAt.IsZero(), Digest: t.digest()}
 	switch {
 	case t.next < 0 || from >= t.next:
 		return word, false
 	case from < 0 || from < t.floor:
-		word.Whole, word.Records = true, t.records()
+		word.Full, word.Records = true, t.records()
 		return word, true
 	}
 	for _, known := range t.entries {
@@ -97,8 +97,8 @@
 
 // TakeWord takes over what another box knew at asOf, or later. It reports whether that is
 // recent enough to go by.
-func (r *Registry) TakeWord(word Word, asOf time.Time) bool {
-	if word.Unread || word.Next < 0 {
+func (r *Registry) ApplyUpdate(word StreamUpdate, asOf time.Time) bool {
+	if word.NeverRead || word.Next < 0 {
 		return false
 	}
 	readAt := asOf.Add(-word.Age)
@@ -106,9 +106,9 @@
 	if fresh {
 		r.noteBack(word.Stream, word.Next)
 	}
-	if word.Whole || len(word.Records) > 0 {
+	if word.Full || len(word.Records) > 0 {
 		r.logWord(word)
-		r.take(word.Stream, word.Records, reading{next: word.Next, whole: word.Whole})
+		r.take(word.Stream, word.Records, reading{next: word.Next, whole: word.Full})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,15 +125,15 @@
 
 // logWord tells what a word brings: all that is known, or what was added since the offset
 // that this box knew.
-func (r *Registry) logWord(word Word) {
-	r.cfg.Logger.Info().Stringer("stream", word.Stream).Bool("whole", word.Whole).Int("records", len(word.Records)).
+func (r *Registry) logWord(word StreamUpdate) {
+	r.cfg.Logger.Info().Stringer("stream", word.Stream).Bool("whole", word.Full).Int("records", len(word.Records)).
 		Int64("from", r.Position(word.Stream)).Int64("offset", word.Next).Dur("age", word.Age).Msg("told")
 }
 
 // noteCompared has this box read the stream whole when another one that knows as much knows
 // otherwise, and tells of it and of its end. A teller that stays wrong causes one such
 // reading. The caller holds mu.
-func (r *Registry) noteCompared(t *tail, word Word) {
+func (r *Registry) noteCompared(t *tail, word StreamUpdate) {
 	asFar, differs := t.compare(word)
 	if !asFar || differs == t.differs {
 		return
@@ -149,21 +149,21 @@
 }
 
 // Told reports whether this box goes by what another one reads of the operators' stream.
-func (r *Registry) Told() bool {
+func (r *Registry) UsesReader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return boottime.Now().Before(r.tail(sharedlog.Operator).toldUntil)
 }
 
 // Lost reports whether this box cannot read the operators' stream.
-func (r *Registry) Lost() bool {
+func (r *Registry) LogLost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lost[sharedlog.Operator]
 }
 
 // ReadItself has this box read the log for itself from now on, until it is told anew.
-func (r *Registry) ReadItself() {
+func (r *Registry) ReadDirectly() {
 	r.mu.Lock()
 	r.reads = true
 	for _, t := range r.tails {
--- a/internal/registry/turn_test.go
+++ b/internal/registry/turn_test.go
@@ -35,7 +35,7 @@
 	for range 3000 {
 		told := []int64{}
 		f := fleet.New(fleet.Config{Logger: zerolog.Nop()})
-		r := New(Config{Decoder: lengths{}, Fleet: f, Logger: zerolog.Nop(), Changed: func(c *catalog.Catalog) { told = append(told, c.Version()) }})
+		r := New(Config{Decoder: lengths{}, Fleet: f, Logger: zerolog.Nop(), OnCatalog: func(c *catalog.Catalog) { told = append(told, c.Version()) }})
 		var both sync.WaitGroup
 		both.Go(func() {
 			r.take(sharedlog.Operator, []sharedlog.Record{{Key: "config", Value: []byte("vvvv"), Offset: 9}}, reading{next: 10, whole: true})
--- a/internal/registry/view_test.go
+++ b/internal/registry/view_test.go
@@ -97,7 +97,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if from < h.first {
-		return sharedlog.Page{}, &sharedlog.GoneError{First: h.first}
+		return sharedlog.Page{}, &sharedlog.RecordsExpiredError{First: h.first}
 	}
 	return sharedlog.Page{Records: slices.Clone(h.records[from:]), Next: h.end(), End: h.end()}, nil
 }
@@ -184,16 +184,16 @@
 			teller = other // nil before it has started
 		}
 		if teller == b {
-			b.registry.ReadItself()
+			b.registry.ReadDirectly()
 			waiting.For(ctx, upTo(random, 900*time.Millisecond))
 			continue
 		}
 		asked, from := time.Now(), b.registry.Position(sharedlog.Servers)
 		waiting.For(ctx, upTo(random, 100*time.Millisecond))
-		word, _ := teller.registry.WordSince(sharedlog.Servers, from)
+		word, _ := teller.registry.UpdateSince(sharedlog.Servers, from)
 		waiting.For(ctx, upTo(random, 300*time.Millisecond))
 		if ctx.Err() == nil {
-			b.registry.TakeWord(word, asked)
+			b.registry.ApplyUpdate(word, asked)
 		}
 	}
 }
--- a/internal/retire/boxes_test.go
+++ b/internal/retire/boxes_test.go
@@ -25,7 +25,7 @@
 type decoder struct{}
 
 func (decoder) Declaration(record sharedlog.Record) (*registry.Declaration, error) {
-	return &registry.Declaration{Weights: &registry.WeightsNamed{Model: "m", Version: len(record.Value)}}, nil
+	return &registry.Declaration{Weights: &registry.WeightsDeclaration{Model: "m", Version: len(record.Value)}}, nil
 }
 
 func (decoder) Evacuation(sharedlog.Record) (evacuation.Change, bool) {
@@ -94,7 +94,7 @@
 
 // word is what a box told another.
 type word struct {
-	told  map[string][]registry.Heard
+	told  map[string][]registry.PeerWeights
 	named map[string]int
 	// asOf is the echo that came with it: it was said after that.
 	asOf time.Time
@@ -104,12 +104,12 @@
 const echoLag = 100 * time.Millisecond
 
 func (b *box) say() word {
-	return word{told: b.registry.Tell(), named: b.registry.Named(), asOf: time.Now().Add(-echoLag)}
+	return word{told: b.registry.WeightsForPeers(), named: b.registry.NewestVersions(), asOf: time.Now().Add(-echoLag)}
 }
 
 // hear takes in the word of another box, which may have been on its way for long.
 func (b *box) hear(from int, w word) {
-	b.registry.Hear(w.told, w.asOf)
+	b.registry.MergeWeights(w.told, w.asOf)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	since := time.Now()
--- a/internal/retire/retire.go
+++ b/internal/retire/retire.go
@@ -47,7 +47,7 @@
 	confirmFor = heardFresh + partindex.FetchLimit + confirmMargin
 	// freeMargin lies between a part's retirement and its freeing: a box may have
 	// learnt of the newer weights later by ReadFresh, and then fetch once more.
-	freeMargin = registry.ReadFresh + partindex.FetchLimit + lateMargin
+	freeMargin = registry.MaxReadAge + partindex.FetchLimit + lateMargin
 	// majorityFor is how long it counts since when more than half of the boxes have known
 	// of a version: it is asked for each part that might be freed, of which there are some
 	// thousands, and to look at 300 boxes each time would be most of a box's processor.
@@ -125,7 +125,7 @@
 // inTouch reports whether the box knows of all weights that were named until lately;
 // outdated says that another box knows of newer ones.
 func (p *Policy) inTouch(model string) (inTouch, outdated bool) {
-	if boottime.Since(p.cfg.Registry.OperatorReadAt()) <= registry.ReadFresh {
+	if boottime.Since(p.cfg.Registry.OperatorReadAt()) <= registry.MaxReadAge {
 		return true, false
 	}
 	newest := p.cfg.Registry.Weights(model).Version
@@ -150,7 +150,7 @@
 	if !outdated {
 		return false
 	}
-	return since.Found() || boottime.Since(since.NamedAfter) >= FetchedFor(partID)
+	return since.Undated() || boottime.Since(since.DeclaredAfter) >= FetchedFor(partID)
 }
 
 // MayFree reports whether a part may be freed.
@@ -159,7 +159,7 @@
 	if !outdated {
 		return false
 	}
-	return boottime.Since(since.LearntAt) > FreedAfter(partID) && p.confirmed(model, since.Version, retirement(partID)+confirmFor)
+	return boottime.Since(since.LearnedAt) > FreedAfter(partID) && p.confirmed(model, since.Version, retirement(partID)+confirmFor)
 }
 
 // confirmed reports whether more than half of the boxes have known of a version for
@@ -211,7 +211,7 @@
 
 // FetchedFor is for how long after newer weights were named a box that knows of them
 // fetches a part.
-func FetchedFor(partID string) time.Duration { return retirement(partID) + registry.ReadFresh }
+func FetchedFor(partID string) time.Duration { return retirement(partID) + registry.MaxReadAge }
 
 // FreedAfter is how long after a box learnt of newer weights it may free a part.
 func FreedAfter(partID string) time.Duration { return retirement(partID) + freeMargin }
--- a/internal/retire/retire_test.go
+++ b/internal/retire/retire_test.go
@@ -228,7 +228,7 @@
 // both at all moments of their held reads; the box that frees knows at once, and has
 // heard all others know at once.
 func TestTheSoonestFreeingWaitsForTheLastFetch(t *testing.T) {
-	for into := time.Duration(0); into < registry.DefaultHold+300*time.Millisecond; into += 200 * time.Millisecond {
+	for into := time.Duration(0); into < registry.DefaultLongPoll+300*time.Millisecond; into += 200 * time.Millisecond {
 		playing(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
 			knowing, cutOff := startBox(ctx, log), startBox(ctx, log)
 			time.Sleep(10*time.Second + into)
--- a/internal/sharedlog/measured.go
+++ b/internal/sharedlog/measured.go
@@ -81,7 +81,7 @@
 
 // endOf names what became of a call.
 func endOf(err error) string {
-	if _, gone := errors.AsType[*GoneError](err); gone {
+	if _, gone := errors.AsType[*RecordsExpiredError](err); gone {
 		return "expired"
 	}
 	switch {
--- a/internal/sharedlog/measured_test.go
+++ b/internal/sharedlog/measured_test.go
@@ -37,7 +37,7 @@
 		{"conflict", sharedlog.ErrConflict},
 		{"unknown", sharedlog.ErrUnknown},
 		{"unknown", errors.New("anything else")},
-		{"expired", &sharedlog.GoneError{}},
+		{"expired", &sharedlog.RecordsExpiredError{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/sharedlog/sharedlog.go
+++ b/internal/sharedlog/sharedlog.go
@@ -26,13 +26,13 @@
 )
 
 // GoneError says that the records asked for are no longer kept.
-type GoneError struct {
+type RecordsExpiredError struct {
 	// First is the offset of the first record that still is.
 	First int64
 }
 
 // Error implements error.
-func (e *GoneError) Error() string {
+func (e *RecordsExpiredError) Error() string {
 	return fmt.Sprintf("the log keeps records from offset %d on only", e.First)
 }
 
@@ -110,10 +110,10 @@
 // after records that are no longer kept, by the newest record of each key, and otherwise
 // what was added, waiting up to wait for the first record. limit bounds a read besides that
 // wait; a whole reading, of several pages, has newestLimit.
-func ReadOn(ctx context.Context, log Log, stream Stream, from int64, wait, limit time.Duration) (page Page, whole bool, err error) {
+func ReadNext(ctx context.Context, log Log, stream Stream, from int64, wait, limit time.Duration) (page Page, whole bool, err error) {
 	if from >= 0 {
 		page, err = readWithin(ctx, log, stream, from, wait, limit)
-		if _, gone := errors.AsType[*GoneError](err); !gone {
+		if _, gone := errors.AsType[*RecordsExpiredError](err); !gone {
 			return page, false, err
 		}
 	}
--- a/internal/zonereader/follow.go
+++ b/internal/zonereader/follow.go
@@ -48,9 +48,9 @@
 var errLost = merry.Sentinel("the reader cannot read the log")
 
 // LoopFollow follows whichever box reads for this one until ctx ends.
-func (z *Zone) LoopFollow(ctx context.Context) {
+func (z *Member) LoopFollow(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !z.cfg.Known() {
+		if !z.cfg.BoxesKnown() {
 			waiting.For(ctx, knownEvery) // who reads is not decided before the boxes are known
 			continue
 		}
@@ -67,7 +67,7 @@
 }
 
 // choose gives the box to follow now, of those that answer.
-func (z *Zone) choose() (Box, bool) {
+func (z *Member) choose() (Box, bool) {
 	if !z.cfg.Off.On(mechanism.ZoneReaders) {
 		return Box{}, false
 	}
@@ -87,7 +87,7 @@
 }
 
 // note notes whom this box follows; nobody has it read for itself.
-func (z *Zone) note(reader string) {
+func (z *Member) note(reader string) {
 	z.mu.Lock()
 	changed := reader != z.following || !z.decided
 	z.following, z.decided = reader, true
@@ -100,12 +100,12 @@
 		return
 	}
 	z.cfg.Logger.Info().Msg("reads_itself")
-	z.cfg.Registry.ReadItself()
+	z.cfg.Registry.ReadDirectly()
 	z.cfg.Parts.AskItself()
 }
 
 // avoid leaves a box that did not answer alone for a while.
-func (z *Zone) avoid(reader string, err error) {
+func (z *Member) avoid(reader string, err error) {
 	z.cfg.Logger.Warn().Str("reader", reader).Str("error", err.Error()).Msg("reader_lost")
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -118,7 +118,7 @@
 
 // follow asks one box until that fails, which it tells by an error, or until another is to
 // be followed.
-func (z *Zone) follow(ctx context.Context, reader Box) error {
+func (z *Member) follow(ctx context.Context, reader Box) error {
 	connection, err := z.cfg.Dial(ctx, reader.Address)
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 
 // ask asks once and takes over the answer. mended holds how many lists of each store box
 // the other box's words have taken in.
-func (z *Zone) ask(connection net.Conn, buffered *bufio.Reader, mended map[string]int) error {
+func (z *Member) ask(connection net.Conn, buffered *bufio.Reader, mended map[string]int) error {
 	asked := boottime.Now()
 	if err := frame.Write(connection, z.question(mended), ioLimit); err != nil {
 		return err
@@ -162,7 +162,7 @@
 		if i < len(told.Digests) {
 			word.Digest = told.Digests[i]
 		}
-		z.cfg.Registry.TakeWord(word, asOf)
+		z.cfg.Registry.ApplyUpdate(word, asOf)
 	}
 	for _, packed := range told.Stores {
 		word, err := packed.unpack()
@@ -177,7 +177,7 @@
 }
 
 // leaveLost reports whether a box is to be left because it cannot read the log.
-func (z *Zone) leaveLost(lost bool) bool {
+func (z *Member) leaveLost(lost bool) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.tellerLost = lost
@@ -192,9 +192,9 @@
 	return true
 }
 
-func (z *Zone) question(mended map[string]int) *question {
+func (z *Member) question(mended map[string]int) *question {
 	asked := question{Streams: map[sharedlog.Stream]int64{}, Stores: map[string]partindex.Position{}, Doubted: z.cfg.Parts.Doubted()}
-	for _, stream := range registry.Followed() {
+	for _, stream := range registry.ForwardedStreams() {
 		asked.Streams[stream] = z.cfg.Registry.Position(stream)
 	}
 	for address, position := range z.cfg.Parts.Positions() {
--- a/internal/zonereader/question_test.go
+++ b/internal/zonereader/question_test.go
@@ -39,8 +39,8 @@
 			parts.Apply(service.Store.Address, partindex.Report{Life: 1, Next: 1, AsOf: time.Now(), ClockMillis: 1, Changes: []partindex.Change{{Key: key, Tokens: 1000}}})
 		}
 	}
-	known := registry.New(registry.Config{Log: fakesharedlog.New(), Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), News: news})
-	z := New(Config{Registry: known, Parts: parts, Logger: zerolog.Nop(), News: news})
+	known := registry.New(registry.Config{Log: fakesharedlog.New(), Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), StreamsChanged: news})
+	z := New(Config{Registry: known, Parts: parts, Logger: zerolog.Nop(), StreamsChanged: news})
 	raw, err := msgpack.Marshal(&asked)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/zonereader/versions_test.go
+++ b/internal/zonereader/versions_test.go
@@ -44,9 +44,9 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	var told answer
 	g.Expect(safepack.Unmarshal(raw, &told)).To(Succeed())
-	g.Expect(told).To(Equal(answer{Streams: []registry.Word{{Stream: sharedlog.Servers, Records: records, Next: 5}}, Held: 1}))
+	g.Expect(told).To(Equal(answer{Streams: []registry.StreamUpdate{{Stream: sharedlog.Servers, Records: records, Next: 5}}, Held: 1}))
 
-	raw, err = msgpack.Marshal(&answer{Streams: []registry.Word{{Stream: sharedlog.Servers, Records: records, Next: 5, Digest: 7}}, Digests: []uint64{7}})
+	raw, err = msgpack.Marshal(&answer{Streams: []registry.StreamUpdate{{Stream: sharedlog.Servers, Records: records, Next: 5, Digest: 7}}, Digests: []uint64{7}})
 	g.Expect(err).NotTo(HaveOccurred())
 	var before answerBefore
 	g.Expect(safepack.Unmarshal(raw, &before)).To(Succeed())
@@ -63,7 +63,7 @@
 func TestAnAnswerSaysWhatItsBoxKnowsInAll(t *testing.T) {
 	g := NewWithT(t)
 	known := registry.New(registry.Config{Decoder: oneServer{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop()})
-	known.TakeWord(registry.Word{Stream: sharedlog.Servers, Whole: true, Records: []sharedlog.Record{{Key: "server", Value: []byte("ready"), Offset: 4}}, Next: 5}, time.Now())
+	known.ApplyUpdate(registry.StreamUpdate{Stream: sharedlog.Servers, Full: true, Records: []sharedlog.Record{{Key: "server", Value: []byte("ready"), Offset: 4}}, Next: 5}, time.Now())
 	z := New(Config{Registry: known, Parts: partindex.New(partindex.Config{}), Logger: zerolog.Nop()})
 	told, _, _ := z.look(question{Streams: map[sharedlog.Stream]int64{sharedlog.Servers: 5}})
 	g.Expect(told.Digests).To(HaveLen(len(told.Streams)))
--- a/internal/zonereader/zonereader.go
+++ b/internal/zonereader/zonereader.go
@@ -56,13 +56,13 @@
 	Logger   zerolog.Logger
 	// Self is this box, and Others gives those that may read for it. Known reports whether
 	// these are known at all; nil means that they always are.
-	Self   Box
-	Others func() []Box
-	Known  func() bool
+	Self       Box
+	Others     func() []Box
+	BoxesKnown func() bool
 	// News is woken when this box learns anything of a stream that others are told, PartNews
 	// when a store box says anything new; nil where it never is.
-	News     *waiting.Signal
-	PartNews *waiting.Signal
+	StreamsChanged *waiting.Signal
+	PartsChanged   *waiting.Signal
 	// Off holds mechanisms that are switched off.
 	Off mechanism.Off
 	// Dial connects to another box; nil stands for TCP.
@@ -70,7 +70,7 @@
 }
 
 // Zone is a box's part in who reads for whom.
-type Zone struct {
+type Member struct {
 	cfg Config
 
 	mu sync.Mutex
@@ -93,40 +93,40 @@
 }
 
 // New makes a zone in which this box reads for itself.
-func New(cfg Config) *Zone {
+func New(cfg Config) *Member {
 	if cfg.Dial == nil {
 		dialer := net.Dialer{Timeout: ioLimit}
 		cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
 	}
-	if cfg.PartNews == nil {
-		cfg.PartNews = &waiting.Signal{}
+	if cfg.PartsChanged == nil {
+		cfg.PartsChanged = &waiting.Signal{}
 	}
-	if cfg.Known == nil {
-		cfg.Known = func() bool { return true }
+	if cfg.BoxesKnown == nil {
+		cfg.BoxesKnown = func() bool { return true }
 	}
-	z := &Zone{cfg: cfg, avoided: map[string]time.Time{}}
+	z := &Member{cfg: cfg, avoided: map[string]time.Time{}}
 	z.server = frame.NewServer(cfg.Logger, z.serve)
 	return z
 }
 
 // Following names the box that this one follows; empty while it reads itself.
-func (z *Zone) Following() string {
+func (z *Member) Following() string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.following
 }
 
 // TellerLost reports whether the box that this one follows says that it cannot read the log.
-func (z *Zone) TellerLost() bool {
+func (z *Member) ReaderLostLog() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.following != "" && z.tellerLost
 }
 
 // Standby reports whether this box would be the next to read where one box reads for all.
-func (z *Zone) Standby() bool {
+func (z *Member) Standby() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.standby
@@ -142,7 +142,7 @@
 
 // answer tells it.
 type answer struct {
-	Streams []registry.Word `msgpack:"s"`
+	Streams []registry.StreamUpdate `msgpack:"s"`
 	// Digests are those of the words in Streams, in their order.
 	Digests []uint64     `msgpack:"d,omitempty"`
 	Stores  []packedWord `msgpack:"p"`
@@ -167,15 +167,15 @@
 )
 
 // LoopAccept answers other boxes until ctx ends.
-func (z *Zone) LoopAccept(ctx context.Context, listener net.Listener) {
+func (z *Member) LoopAccept(ctx context.Context, listener net.Listener) {
 	z.server.LoopAccept(ctx, listener)
 }
 
 // Wait waits until all answering has ended; LoopAccept must have returned.
-func (z *Zone) Wait() { z.server.Wait() }
+func (z *Member) Wait() { z.server.Wait() }
 
 // serve answers the questions of one box on one connection.
-func (z *Zone) serve(ctx context.Context, connection net.Conn, reader *bufio.Reader) {
+func (z *Member) serve(ctx context.Context, connection net.Conn, reader *bufio.Reader) {
 	z.countAsking(1)
 	defer z.countAsking(-1)
 	for ctx.Err() == nil {
@@ -205,7 +205,7 @@
 }
 
 // countAsking counts the boxes that ask this one.
-func (z *Zone) countAsking(more int) {
+func (z *Member) countAsking(more int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.asking += more
@@ -217,24 +217,24 @@
 const fewAsking = 12
 
 // tellsPartsAtOnce reports whether few boxes ask this one.
-func (z *Zone) tellsPartsAtOnce() bool {
+func (z *Member) tellsPartsAtOnce() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.asking <= fewAsking
 }
 
 // answer tells what this box knows as soon as that is news, or when the hold is over.
-func (z *Zone) answer(ctx context.Context, asked question) answer {
+func (z *Member) answer(ctx context.Context, asked question) answer {
 	cameAt := boottime.Now()
 	z.cfg.Parts.Doubt(asked.Doubted)
 	atOnce := z.tellsPartsAtOnce() || asked.lacksStores()
 	for {
-		wake, partsWake := z.cfg.News.Wait(), z.cfg.PartNews.Wait()
+		wake, partsWake := z.cfg.StreamsChanged.Wait(), z.cfg.PartsChanged.Wait()
 		if !atOnce {
 			partsWake = nil
 		}
 		told, streamNews, partNews := z.look(asked)
-		told.Held, told.Lost = boottime.Since(cameAt), z.cfg.Registry.Lost()
+		told.Held, told.Lost = boottime.Since(cameAt), z.cfg.Registry.LogLost()
 		if streamNews || atOnce && partNews || told.Held >= answerHold || ctx.Err() != nil {
 			return told
 		}
@@ -243,7 +243,7 @@
 }
 
 // waitForNews waits for a time, or for news of either kind.
-func (z *Zone) waitForNews(ctx context.Context, length time.Duration, wake, partsWake <-chan struct{}) {
+func (z *Member) waitForNews(ctx context.Context, length time.Duration, wake, partsWake <-chan struct{}) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
@@ -262,13 +262,13 @@
 
 // look writes down what this box knows past what a question says, and whether that is news of
 // a stream or of a store box.
-func (z *Zone) look(asked question) (told answer, streamNews, partNews bool) {
-	for _, stream := range registry.Followed() {
+func (z *Member) look(asked question) (told answer, streamNews, partNews bool) {
+	for _, stream := range registry.ForwardedStreams() {
 		from, named := asked.Streams[stream]
 		if !named {
 			from = sharedlog.FromNewest
 		}
-		word, isNews := z.cfg.Registry.WordSince(stream, from)
+		word, isNews := z.cfg.Registry.UpdateSince(stream, from)
 		told.Streams = append(told.Streams, word)
 		told.Digests = append(told.Digests, word.Digest)
 		streamNews = streamNews || isNews
--- a/internal/zonereader/zonereader_test.go
+++ b/internal/zonereader/zonereader_test.go
@@ -60,7 +60,7 @@
 
 // silence has all connections that rest go silent.
 func (l *countingLog) silence() {
-	for _, stream := range registry.Followed() {
+	for _, stream := range registry.ForwardedStreams() {
 		l.silent.Store(stream, true)
 	}
 }
@@ -99,7 +99,7 @@
 	log      *countingLog
 	fleet    *fleet.Fleet
 	registry *registry.Registry
-	zone     *zonereader.Zone
+	zone     *zonereader.Member
 	accepts  chan net.Conn
 	closed   chan struct{}
 	// silent boxes neither take questions nor answer any.
@@ -176,9 +176,9 @@
 	news := &waiting.Signal{}
 	b.log = &countingLog{Log: bs.log}
 	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop()})
-	b.registry = registry.New(registry.Config{Log: b.log, Decoder: decoder{}, Fleet: b.fleet, Logger: zerolog.Nop(), News: news})
+	b.registry = registry.New(registry.Config{Log: b.log, Decoder: decoder{}, Fleet: b.fleet, Logger: zerolog.Nop(), StreamsChanged: news})
 	b.zone = zonereader.New(zonereader.Config{
-		Registry: b.registry, Parts: partindex.New(partindex.Config{News: news}), Logger: zerolog.Nop(), Self: b.self, News: news, PartNews: news,
+		Registry: b.registry, Parts: partindex.New(partindex.Config{News: news}), Logger: zerolog.Nop(), Self: b.self, StreamsChanged: news, PartsChanged: news,
 		Others: func() []zonereader.Box { return bs.others(b) }, Dial: bs.dial,
 	})
 }
@@ -356,7 +356,7 @@
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
 			for _, b := range bs.list {
-				if b.zone.Following() != reader.self.Name || !b.registry.Told() {
+				if b.zone.Following() != reader.self.Name || !b.registry.UsesReader() {
 					continue // it has left the reader, and is told by one that reads
 				}
 				g.Expect(b.registry.OperatorReadAt()).To(BeTemporally("<=", cutAt))
