--- a/internal/registry/turn_test.go
+++ b/internal/registry/adopt_race_test.go
@@ -13,33 +13,33 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// lengths takes the length of a value for the version of the configuration.
-type lengths struct{}
+// lengthDecoder decodes the length of a value as the version of the configuration.
+type lengthDecoder struct{}
 
-func (lengths) Declaration(record sharedlog.Record) (*Declaration, error) {
-	made, err := catalog.New(catalog.Config{Version: int64(len(record.Value))})
-	return &Declaration{Catalog: made}, err
+func (lengthDecoder) Declaration(record sharedlog.Record) (*Declaration, error) {
+	c, err := catalog.New(catalog.Config{Version: int64(len(record.Value))})
+	return &Declaration{Catalog: c}, err
 }
 
-func (lengths) Evacuation(sharedlog.Record) (evacuation.Change, bool) {
+func (lengthDecoder) Evacuation(sharedlog.Record) (evacuation.Change, bool) {
 	return evacuation.Change{}, false
 }
 
-func (lengths) Server(record sharedlog.Record) (fleet.Update, error) {
+func (lengthDecoder) Server(record sharedlog.Record) (fleet.Update, error) {
 	return fleet.Update{Key: record.Key, Offset: record.Offset, Server: &fleet.Server{Incarnation: record.Key}}, nil
 }
 
-// What another box hands over may come in the same moment as the log's own word.
-func TestWhatIsAdoptedNeverReplacesWhatTheLogSaid(t *testing.T) {
+// Another box's snapshot may arrive at the same moment as the log's records.
+func TestAdoptNeverReplacesLogRecords(t *testing.T) {
 	g := NewWithT(t)
 	for range 3000 {
-		told := []int64{}
+		versions := []int64{}
 		f := fleet.New(fleet.Config{Logger: zerolog.Nop()})
-		r := New(Config{Decoder: lengths{}, Fleet: f, Logger: zerolog.Nop(), OnCatalog: func(c *catalog.Catalog) { told = append(told, c.Version()) }})
+		r := New(Config{Decoder: lengthDecoder{}, Fleet: f, Logger: zerolog.Nop(), OnCatalog: func(c *catalog.Catalog) { versions = append(versions, c.Version()) }})
 		var both sync.WaitGroup
 		both.Go(func() {
-			r.take(sharedlog.Operator, []sharedlog.Record{{Key: "config", Value: []byte("vvvv"), Offset: 9}}, reading{next: 10, whole: true})
-			r.take(sharedlog.Servers, nil, reading{next: 10, whole: true})
+			r.apply(sharedlog.Operator, []sharedlog.Record{{Key: "config", Value: []byte("vvvv"), Offset: 9}}, batch{next: 10, full: true})
+			r.apply(sharedlog.Servers, nil, batch{next: 10, full: true})
 		})
 		both.Go(func() {
 			r.Adopt(Snapshot{
@@ -49,19 +49,19 @@
 		})
 		both.Wait()
 		g.Expect(r.Catalog().Version()).To(BeEquivalentTo(4))
-		g.Expect(told[len(told)-1]).To(BeEquivalentTo(4))
+		g.Expect(versions[len(versions)-1]).To(BeEquivalentTo(4))
 		g.Expect(f.Known()).To(BeZero(), "the log does not list the server")
 		g.Expect(r.Snapshot().Operator[0].Offset).To(BeEquivalentTo(9))
 	}
 }
 
-// Servers that were read of the log are not added to, also while the configuration is
+// A snapshot adds no servers to those that were read from the log, even while the configuration is
 // still missing.
-func TestServersReadOfTheLogStayAsTheyAre(t *testing.T) {
+func TestAdoptKeepsServersReadFromLog(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet.New(fleet.Config{Logger: zerolog.Nop()})
-	r := New(Config{Decoder: lengths{}, Fleet: f, Logger: zerolog.Nop()})
-	r.take(sharedlog.Servers, nil, reading{next: 1, whole: true})
+	r := New(Config{Decoder: lengthDecoder{}, Fleet: f, Logger: zerolog.Nop()})
+	r.apply(sharedlog.Servers, nil, batch{next: 1, full: true})
 	r.Adopt(Snapshot{
 		Operator: []sharedlog.Record{{Key: "config", Value: []byte("vv"), Offset: 4}},
 		Servers:  []sharedlog.Record{{Key: "gone", Value: []byte("ready"), Offset: 2}},
--- a/internal/registry/digest.go
+++ b/internal/registry/digest.go
@@ -1,7 +1,7 @@
-// Digests of streams. Boxes that know a stream up to the same offset must know the same;
-// each word between boxes carries a number that shows whether they do. A server that one
-// box takes for gone and another does not gets calls from one of them only, which nothing
-// else tells before the server refuses connections.
+// Digests of a box's view of a stream. Two boxes that have applied a stream up to the same offset
+// must have the same view, and every update that a reader sends carries its digest so that the
+// follower can compare. Without this check, a server that one box has removed and another has not
+// gets calls from one of them only, which goes undetected until the server refuses connections.
 
 package registry
 
@@ -11,14 +11,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// unsaid stands for the digest of a stream of which more is known than up to an offset.
-const unsaid = 0
+// noDigest stands for the digest of a view that includes records past its offset.
+const noDigest = 0
 
-// mark stands for an entry in a digest: which servers there are and which of them leave,
-// and of other streams the newest record of each key. Keys that are gone have none.
-func (e entry) mark() uint64 {
+// hash is an entry's share of the digest. In the servers' stream it covers the server's incarnation
+// and whether the server is leaving, in other streams the newest record of the key. Deleted keys
+// and records that could not be decoded have the hash 0.
+func (e entry) hash() uint64 {
 	switch {
-	case len(e.record.Value) == 0 || e.unclear:
+	case len(e.record.Value) == 0 || e.undecodable:
 		return 0
 	case e.server != nil:
 		return xxhash.Sum64String(strconv.FormatBool(e.server.Leaving) + "/" + e.server.Incarnation)
@@ -27,21 +28,21 @@
 	}
 }
 
-// digest gives the number for what is known up to next. A whole reading may bring
-// records past it, which boxes that know as much need not know.
-func (t *tail) digest() uint64 {
-	if t.latest >= t.next {
-		return unsaid
+// digest returns the digest of the view up to next. A full read may return records past its own
+// offset, which other boxes at the same offset need not have; there is no digest then.
+func (s *streamState) digest() uint64 {
+	if s.latestOffset >= s.next {
+		return noDigest
 	}
-	return t.marks | 1 // never unsaid
+	return s.entriesHash | 1 // so that it never equals noDigest
 }
 
-// compare reports whether a word goes as far as what is known here, and if so, whether it
-// says otherwise.
-func (t *tail) compare(word StreamUpdate) (asFar, differs bool) {
-	own := t.digest()
-	if word.Next != t.next || own == unsaid || word.Digest == unsaid {
+// compare reports whether an update ends at the same offset as this view and can be compared with
+// it, and if so, whether the two views differ.
+func (s *streamState) compare(update StreamUpdate) (compared, differs bool) {
+	own := s.digest()
+	if update.Next != s.next || own == noDigest || update.Digest == noDigest {
 		return false, false
 	}
-	return true, own != word.Digest
+	return true, own != update.Digest
 }
--- a/internal/registry/outage_test.go
+++ b/internal/registry/outage_test.go
@@ -16,7 +16,7 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// silentLog counts its calls, and gives no answer while it is silent.
+// silentLog counts its calls, and does not respond while it is silent.
 type silentLog struct {
 	sharedlog.Log
 	silent atomic.Bool
@@ -32,24 +32,23 @@
 	return l.Log.Read(ctx, stream, from, wait)
 }
 
-// callEnds is when a call ends at the latest that had no answer as the log came back.
-const callEnds = time.Second
+// callDeadline is when a call ends at the latest that was in flight as the log came back.
+const callDeadline = time.Second
 
-// An outage of the log of 8 s had each of 295 boxes ask for both streams twice a second, also
-// those that follow another box, which all said that they could not read it either: up
-// to 9,000 calls. A box that follows one needs its own questions only in
-// case it alone is cut off, and nothing is bound to a time until the log has been back for
-// three seconds.
-func TestAFollowerAsksSeldomInAnOutage(t *testing.T) {
+// In an outage of the log of 8 s, each of 295 boxes read both streams twice a second, up to 9,000
+// calls. That included followers, whose readers all said that they could not read the log either. A
+// follower's own reads are needed only in case its reader alone is cut off, and no deadline applies
+// until the log has been back for 3 s.
+func TestFollowersReadSeldomInAnOutage(t *testing.T) {
 	tests := []struct {
-		name             string
-		followed, lost   bool
-		most             int64
-		knownWithin, off time.Duration
+		name                     string
+		hasReader, readerLostLog bool
+		maxCalls                 int64
+		knownWithin, outage      time.Duration
 	}{
-		{"a box that reads itself", false, false, 80, callEnds + 700*time.Millisecond, 8 * time.Second},
-		{"a follower", true, false, 16, callEnds + 1700*time.Millisecond, 8 * time.Second},
-		{"a follower whose reader is lost", true, true, 12, callEnds + 1700*time.Millisecond, 8 * time.Second},
+		{"a box that reads directly", false, false, 80, callDeadline + 700*time.Millisecond, 8 * time.Second},
+		{"a follower", true, false, 16, callDeadline + 1700*time.Millisecond, 8 * time.Second},
+		{"a follower whose reader cannot read the log", true, true, 12, callDeadline + 1700*time.Millisecond, 8 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -61,15 +60,15 @@
 				log := &silentLog{Log: fakesharedlog.New()}
 				r := registry.New(registry.Config{
 					Log: log, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(),
-					HasReader: func() bool { return test.followed }, ReaderLostLog: func() bool { return test.lost },
+					HasReader: func() bool { return test.hasReader }, ReaderLostLog: func() bool { return test.readerLostLog },
 				})
 				go r.LoopOperator(ctx)
 				go r.LoopServers(ctx)
 				time.Sleep(3 * time.Second)
 				log.silent.Store(true)
 				log.calls.Store(0)
-				time.Sleep(test.off)
-				g.Expect(log.calls.Load()).To(BeNumerically("<=", test.most))
+				time.Sleep(test.outage)
+				g.Expect(log.calls.Load()).To(BeNumerically("<=", test.maxCalls))
 				log.silent.Store(false)
 				back := time.Now()
 				time.Sleep(test.knownWithin)
@@ -80,22 +79,22 @@
 	}
 }
 
-// A box that starts waits to be told of the log, but not for long, and not at all when it is
-// to read for itself.
-func TestABoxThatStartsWaitsToBeTold(t *testing.T) {
-	const firstWait = 300 * time.Millisecond
+// A starting box waits for updates from a reader, but only for a short time, and not at all when it
+// has to read directly.
+func TestStartingBoxWaitsForItsReader(t *testing.T) {
+	const firstReadDelay = 300 * time.Millisecond
 	tests := []struct {
 		name  string
-		then  func(r *registry.Registry)
+		act   func(r *registry.Registry)
 		calls int64
 	}{
-		{"nobody tells it", func(*registry.Registry) { time.Sleep(firstWait) }, 2},
-		{"it is to read itself", func(r *registry.Registry) { r.ReadDirectly() }, 2},
-		{"it is told", func(r *registry.Registry) {
+		{"no update arrives", func(*registry.Registry) { time.Sleep(firstReadDelay) }, 2},
+		{"it has to read directly", func(r *registry.Registry) { r.ReadDirectly() }, 2},
+		{"updates arrive", func(r *registry.Registry) {
 			for _, stream := range []sharedlog.Stream{sharedlog.Operator, sharedlog.Servers} {
 				r.ApplyUpdate(registry.StreamUpdate{Stream: stream, Full: true, Next: 1}, time.Now())
 			}
-			time.Sleep(firstWait)
+			time.Sleep(firstReadDelay)
 		}, 0},
 	}
 	for _, test := range tests {
@@ -105,29 +104,29 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer synctest.Wait()
 				defer cancel()
-				log := &newestLog{Log: fakesharedlog.New()}
+				log := &fullReadLog{Log: fakesharedlog.New()}
 				r := registry.New(registry.Config{
-					Log: log, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), FirstReadDelay: firstWait,
+					Log: log, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), FirstReadDelay: firstReadDelay,
 				})
 				go r.LoopOperator(ctx)
 				go r.LoopServers(ctx)
-				time.Sleep(firstWait / 2)
-				g.Expect(log.readings.Load()).To(BeZero())
-				test.then(r)
+				time.Sleep(firstReadDelay / 2)
+				g.Expect(log.fullReads.Load()).To(BeZero())
+				test.act(r)
 				time.Sleep(10 * time.Millisecond)
-				g.Expect(log.readings.Load()).To(Equal(test.calls))
+				g.Expect(log.fullReads.Load()).To(Equal(test.calls))
 			})
 		})
 	}
 }
 
-// newestLog counts the readings of all keys.
-type newestLog struct {
+// fullReadLog counts full reads.
+type fullReadLog struct {
 	sharedlog.Log
-	readings atomic.Int64
+	fullReads atomic.Int64
 }
 
-func (l *newestLog) Newest(ctx context.Context, stream sharedlog.Stream) (sharedlog.Page, error) {
-	l.readings.Add(1)
+func (l *fullReadLog) Newest(ctx context.Context, stream sharedlog.Stream) (sharedlog.Page, error) {
+	l.fullReads.Add(1)
 	return l.Log.Newest(ctx, stream)
 }
--- a/internal/registry/read.go
+++ b/internal/registry/read.go
@@ -1,5 +1,5 @@
-// Reading a stream of the log: whole at first and after a gap, then what was added, and how
-// often after calls that failed.
+// Reading the log's streams: a full read at the start and after a gap, then incremental reads, with
+// the retry delays after failed calls.
 
 package registry
 
@@ -13,152 +13,150 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Timing of reads.
+// Timeouts and delays of reads.
 const (
-	// callLimit bounds a call besides the time that it is held; the store answers
-	// in 4 ms, and in 260 ms when it is slow.
-	callLimit = time.Second
-	// urgentLimit bounds a read by a box that was told until now, whose connection has
-	// rested and may have gone silent, and the one after a read that failed. What it was
-	// told is old by then: with callLimit no box of eight knew of a leaving server 1.9 s
-	// after its reader had stood still.
-	urgentLimit = 350 * time.Millisecond
-	// timerMargin is how much sooner than asked an answer may come and count as held:
-	// the timers of the platform's simulated machines fire a little off.
-	timerMargin = 60 * time.Millisecond
-	// shortestPause and longestPause bound the pause after a failed call.
-	shortestPause = 100 * time.Millisecond
-	longestPause  = 400 * time.Millisecond
-	// leastFollowerPause and spreadFollowerPause make up the pause after the second call in a
-	// row that failed of a box that follows another one: it will be told when the log is
-	// back, and asks in case that box alone is cut off from it. Nothing is bound to a time
-	// until the log has been back for three seconds; a call that was under way when it came
-	// back takes one of them. In an outage of 8 s, 295 boxes that each
-	// asked for two streams twice a second would make 9,000 calls.
-	leastFollowerPause  = time.Second
-	spreadFollowerPause = 600 * time.Millisecond
-	// longestServersPause is how long such a box does not ask for the servers' stream at most
-	// while the operators' is lost too.
-	longestServersPause = 4 * time.Second
+	// callTimeout bounds a call in addition to its long poll; the store answers in 4 ms, and in 260
+	// ms when it is slow.
+	callTimeout = time.Second
+	// urgentTimeout bounds the first read of a box that has relied on its reader until now, since
+	// its idle connection may be dead without a reset, and the read after a failed one. The box's
+	// view is already old by then: with callTimeout, none of eight boxes knew of a leaving server
+	// 1.9 s after their reader had frozen.
+	urgentTimeout = 350 * time.Millisecond
+	// timerTolerance is how much earlier than requested a response may arrive and still count as a
+	// completed long poll: the timers of the platform's simulated machines are slightly inaccurate.
+	timerTolerance = 60 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// minFollowerRetry and followerRetryJitter make up a follower's delay from the second failed
+	// call in a row on. Its reader reports when the log has recovered, and the follower calls the
+	// log only in case the reader alone is cut off from it. No deadline applies until the log has
+	// been back for 3 s, of which a call in flight when the log comes back takes one. In an outage
+	// of 8 s, 295 boxes that each read two streams twice a second would make 9,000 calls.
+	minFollowerRetry    = time.Second
+	followerRetryJitter = 600 * time.Millisecond
+	// maxServersRetry bounds the time for which a follower does not read the servers' stream while
+	// the operators' stream cannot be read either.
+	maxServersRetry = 4 * time.Second
 )
 
-// loop reads a stream: whole at first and after a gap, then what was added. A
-// read is held for hold, and pause lies between two reads. The read after one that
-// failed is not held, so that its answer says at once that the log is back and what
-// was missed; until then kept parts may not be fetched. Nor is the first one after another
-// box told of the stream; until then nothing is read.
-func (r *Registry) loop(ctx context.Context, stream sharedlog.Stream, hold, pause time.Duration) {
-	failed, failurePause := 0, shortestPause
-	wait := time.Duration(0) // the reading of all is not held
+// readLoop reads a stream until ctx ends: in full at first and after a gap, then incrementally. A
+// read is a long poll of about longPoll, and pause separates two reads. The read after a failed one
+// is not a long poll, so that its response shows at once that the log has recovered and what was
+// missed; until then kept parts may not be fetched. Neither is the first read after a time in which
+// the box relied on its reader and did not read.
+func (r *Registry) readLoop(ctx context.Context, stream sharedlog.Stream, longPoll, pause time.Duration) {
+	failed, retryDelay := 0, minRetryDelay
+	wait := time.Duration(0) // the first, full read is no long poll
 	for ctx.Err() == nil {
-		wasTold := r.waitWhileTold(ctx, stream)
-		if wasTold {
+		waited := r.waitWhileValid(ctx, stream)
+		if waited {
 			wait = 0
 		}
-		next := r.readFrom(stream)
-		asked := boottime.Now()
-		page, whole, err := sharedlog.ReadNext(ctx, r.cfg.Log, stream, next, wait, limitAfter(failed, wasTold))
+		next := r.nextRead(stream)
+		sentAt := boottime.Now()
+		page, full, err := sharedlog.ReadNext(ctx, r.cfg.Log, stream, next, wait, readTimeout(failed, waited))
 		if err != nil {
-			r.noteLost(ctx, stream, asked, err)
+			r.recordLogLost(ctx, stream, sentAt, err)
 			wait = 0
 			failed++
-			r.pauseAfter(ctx, stream, failed, failurePause)
-			failurePause = min(2*failurePause, longestPause)
+			r.waitBeforeRetry(ctx, stream, failed, retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
-		failed, failurePause = 0, shortestPause
-		r.noteBack(stream, page.Next)
-		expired := whole && next >= 0
+		failed, retryDelay = 0, minRetryDelay
+		r.recordLogBack(stream, page.Next)
+		expired := full && next >= 0
 		if expired {
 			r.cfg.Logger.Info().Stringer("stream", stream).Int64("from", next).Int64("offset", page.Next).Msg("records_expired")
 		}
-		if whole || len(page.Records) > 0 {
-			r.take(stream, page.Records, reading{next: page.Next, whole: whole, raw: !whole})
+		if full || len(page.Records) > 0 {
+			r.apply(stream, page.Records, batch{next: page.Next, full: full, uncompacted: !full})
 		}
-		if !whole && len(page.Records) == 0 {
-			asked = provenUpTo(asked, wait)
+		if !full && len(page.Records) == 0 {
+			sentAt = completeUpTo(sentAt, wait)
 		}
-		r.noteRead(stream, asked, page, whole)
-		wait = spreadHold(hold)
+		r.recordRead(stream, sentAt, page, full)
+		wait = jitterLongPoll(longPoll)
 		if expired {
-			waiting.For(ctx, shortestPause) // so that a log that keeps nothing is not asked all the time
+			waiting.For(ctx, minRetryDelay) // limits the call rate to a log that retains nothing
 		}
 		waiting.For(ctx, pause)
 	}
 }
 
-// pauseAfter lies after a number of calls in a row that failed. A box that follows another
-// one asks once more soon, since the connection may just have gone silent, and then seldom;
-// and as long as it can read neither stream, it asks for one of them. That none reads for
-// this box any more ends the pause.
-func (r *Registry) pauseAfter(ctx context.Context, stream sharedlog.Stream, failed int, usual time.Duration) {
-	ended, back := r.readItself.Wait(), r.back.Wait()
+// waitBeforeRetry waits after a number of failed calls in a row. A follower retries once soon,
+// since only its connection may be dead, and then seldom. While it can read neither stream it keeps
+// retrying just one of them. The wait of a follower ends early when it has to read directly.
+func (r *Registry) waitBeforeRetry(ctx context.Context, stream sharedlog.Stream, failed int, delay time.Duration) {
+	ended, back := r.readDirectly.Wait(), r.logBack.Wait()
 	switch {
 	case failed < 2 && !r.cfg.ReaderLostLog() || !r.cfg.HasReader():
-		waiting.For(ctx, usual/2+rand.N(usual))
+		waiting.For(ctx, delay/2+rand.N(delay))
 	case stream == sharedlog.Servers && r.LogLost():
-		waiting.ForOr(ctx, longestServersPause, back)
+		waiting.ForOr(ctx, maxServersRetry, back)
 	default:
-		waiting.ForOr(ctx, leastFollowerPause+rand.N(spreadFollowerPause), ended)
+		waiting.ForOr(ctx, minFollowerRetry+rand.N(followerRetryJitter), ended)
 	}
 }
 
-// readFrom gives the offset that the next reading begins at.
-func (r *Registry) readFrom(stream sharedlog.Stream) int64 {
+// nextRead returns the offset that the next read begins at.
+func (r *Registry) nextRead(stream sharedlog.Stream) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.tail(stream).readFrom()
+	return r.state(stream).nextRead()
 }
 
-// limitAfter gives the time for a read after some that failed. Every other one has the
-// usual time, for a log that is slower than the short one allows.
-func limitAfter(failed int, wasTold bool) time.Duration {
-	if failed%2 == 1 || failed == 0 && wasTold {
-		return urgentLimit
+// readTimeout returns the timeout of a read after some failed ones. Every other retry has the
+// longer timeout, for a log that is slower than the short one allows.
+func readTimeout(failed int, waited bool) time.Duration {
+	if failed%2 == 1 || failed == 0 && waited {
+		return urgentTimeout
 	}
-	return callLimit
+	return callTimeout
 }
 
-// spreadHold gives the time for which the next read is held: half of hold or more. Each
-// record ends the held reads of all boxes at once. Were the next ones held alike, they
-// would end at the same moments for long, and no box could date what is named between
-// two of them more closely than the others.
-func spreadHold(hold time.Duration) time.Duration {
-	if hold == 0 {
+// jitterLongPoll returns the time of the next long poll, a random time between half of longPoll and
+// all of it. Each record ends the long polls of all boxes at once. If the next ones were equally
+// long, they would go on ending at the same moments, and no box could date a weight version that is
+// declared between two of them more precisely than the others.
+func jitterLongPoll(longPoll time.Duration) time.Duration {
+	if longPoll == 0 {
 		return 0
 	}
-	return hold/2 + rand.N(hold/2)
+	return longPoll/2 + rand.N(longPoll/2)
 }
 
-// provenUpTo gives the moment up to which an answer without records, which has just come,
-// proves that there are none: that of the question or, when the log held the answer for
-// the whole time that it was asked to, the end of that time.
-func provenUpTo(asked time.Time, held time.Duration) time.Time {
-	if held > 0 && boottime.Since(asked) >= held-timerMargin {
-		return asked.Add(held - timerMargin)
+// completeUpTo returns the moment up to which an empty response that has just arrived proves that
+// there are no further records: the moment of the request or, when the log held the response for
+// the whole requested wait, the end of that wait.
+func completeUpTo(sentAt time.Time, wait time.Duration) time.Time {
+	if wait > 0 && boottime.Since(sentAt) >= wait-timerTolerance {
+		return sentAt.Add(wait - timerTolerance)
 	}
-	return asked
+	return sentAt
 }
 
-// noteRead notes up to where a stream was read and, if that was its end, that all of its
-// records up to a moment are known.
-func (r *Registry) noteRead(stream sharedlog.Stream, upTo time.Time, page sharedlog.Page, whole bool) {
+// recordRead records up to which offset a stream was read and, if that was its end, the moment up
+// to which all of its records are known.
+func (r *Registry) recordRead(stream sharedlog.Stream, upTo time.Time, page sharedlog.Page, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.tail(stream)
-	t.next = max(t.next, page.Next)
-	t.reread = t.reread && !whole
+	s := r.state(stream)
+	s.next = max(s.next, page.Next)
+	s.rereadAll = s.rereadAll && !full
 	if page.Next >= page.End {
-		r.knownUpTo(stream, upTo)
+		r.setReadAt(stream, upTo)
 	}
 }
 
-func (r *Registry) noteLost(ctx context.Context, stream sharedlog.Stream, asked time.Time, err error) {
+func (r *Registry) recordLogLost(ctx context.Context, stream sharedlog.Stream, sentAt time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	if stream == sharedlog.Servers {
-		r.cfg.Fleet.RegistryLost(asked)
+		r.cfg.Fleet.RegistryLost(sentAt)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,17 +166,17 @@
 	}
 }
 
-func (r *Registry) noteBack(stream sharedlog.Stream, next int64) {
+func (r *Registry) recordLogBack(stream sharedlog.Stream, next int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lost[stream] {
 		r.lost[stream] = false
-		r.cfg.Logger.Info().Stringer("stream", stream).Int64("offset", next).Msg("log_back")
+		r.cfg.Logger.Info().Stringer("stream", stream).Int64("offset", next).Msg("log_recovered")
 		switch stream {
 		case sharedlog.Servers:
 			r.cfg.Fleet.RegistryBack()
 		case sharedlog.Operator:
-			r.back.Send()
+			r.logBack.Send()
 		}
 	}
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,10 +1,9 @@
-// Package registry follows the streams of the platform's log that say what there
-// is: what operators declare, and what backend servers say of themselves.
+// Package registry maintains a box's view of the streams of the platform's log: what operators
+// declare, which backend servers there are, and which entry boxes.
 //
-// The newest records of all keys are read once; from then on only what was added.
-// When the log no longer keeps what comes next, the newest records are read again.
-// A record that cannot be decoded changes nothing: what was known stays in force.
-// Declarations go forward only.
+// The newest record of each key is read once, and after that only records that were added. When the
+// log no longer retains the next record, the newest records are read again. A record that cannot be
+// decoded changes nothing: the previous one stays in force. Declared versions never decrease.
 package registry
 
 import (
@@ -24,97 +23,96 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Declaration is one word of the operators; exactly one field is set.
+// Declaration is a decoded record of the operators' stream; exactly one field is set.
 type Declaration struct {
 	Catalog *catalog.Catalog
 	Weights *WeightsDeclaration
 }
 
-// Decoder turns records into the product's types.
+// Decoder decodes records into the product's types.
 type Decoder interface {
-	// Declaration gives nil for records of no interest.
+	// Declaration returns nil for records of other kinds.
 	Declaration(record sharedlog.Record) (*Declaration, error)
-	// Evacuation gives false for records that evacuate no zone and take none back. A record
-	// without a value takes back what its key said.
+	// Evacuation returns false for records that neither evacuate a zone nor end an evacuation. A
+	// record without a value ends the evacuation that its key names.
 	Evacuation(record sharedlog.Record) (evacuation.Change, bool)
-	// Server gives a server, or that it is gone.
+	// Server returns a server, or an update without one if the server has been removed.
 	Server(record sharedlog.Record) (fleet.Update, error)
 }
 
-// Config sets up a Registry.
+// Config configures a Registry.
 type Config struct {
 	Log     sharedlog.Log
 	Decoder Decoder
 	Fleet   *fleet.Fleet
 	Logger  zerolog.Logger
-	// Changed is told of each new catalog.
+	// OnCatalog is called with each new catalog.
 	OnCatalog func(*catalog.Catalog)
-	// Boxes is told of what is new in the stream of entry boxes, a record without a value
-	// for one that has left, and of the first reading also when it names none; nil where
-	// nobody follows that stream.
+	// OnBoxes is called with the new records of the entry boxes' stream, where a record without a
+	// value means that the box has left. It is also called after the first read if that lists no
+	// box. It is nil where the stream is not used.
 	OnBoxes func([]sharedlog.Record)
-	// FirstWait is how long the operators' and the servers' streams are not read after the
-	// start, unless this box is to read for itself, so that a box that will be told need not
-	// read them at all.
+	// FirstReadDelay is how long after the start the operators' and the servers' streams are not
+	// read, unless this box has to read directly. A box that gets them from a reader within that
+	// time need not read them at all.
 	FirstReadDelay time.Duration
-	// Followed reports whether this box follows another one, which will tell it when the log
-	// is back, and TellerLost whether that one says that it cannot read the log either; nil
-	// means that it never does.
+	// HasReader reports whether this box follows a reader, which will report when the log has
+	// recovered, and ReaderLostLog whether that reader says that it cannot read the log either.
+	// Where they are nil, both are false.
 	HasReader     func() bool
 	ReaderLostLog func() bool
-	// Pace is the time between two looks at the servers' stream.
+	// PollInterval is the time between two reads of the servers' stream.
 	PollInterval time.Duration
-	// Hold is the longest time that a read of the operators' stream waits for a record.
+	// LongPoll is the longest time that a read of the operators' stream waits for a record.
 	LongPoll time.Duration
-	// News is woken when a stream says anything new.
+	// StreamsChanged is signalled when a stream has changed.
 	StreamsChanged *waiting.Signal
 }
 
 // Defaults of Config.
 const (
-	// DefaultPace leaves more than half of the two seconds within which a leaving
-	// server must get nothing new. A held read would return with each heartbeat of
-	// each server, which is no cheaper than a loop.
+	// DefaultPollInterval leaves more than half of the 2 s within which a leaving server must stop
+	// getting new calls. A long poll would return on each heartbeat of each server, which costs no
+	// less than polling.
 	DefaultPollInterval = 600 * time.Millisecond
-	// DefaultHold is short enough that a connection that died without a word is
-	// found within the time that a configuration must be in force, by this box and by
-	// those that it tells.
+	// DefaultLongPoll is short enough for this box and its followers to detect a dead connection
+	// within the time by which a new configuration must be in force.
 	DefaultLongPoll = 800 * time.Millisecond
-	// boxesHold and boxesPause are the same two for the stream of boxes. It changes only
-	// when boxes start and stop, and no bound of time rests on it; those that do so together
-	// are read at once.
-	boxesHold  = 20 * time.Second
-	boxesPause = 500 * time.Millisecond
+	// boxesLongPoll and boxesPause are the same two for the stream of boxes. It changes only when
+	// boxes start and stop, and no deadline depends on it; the pause lets boxes that start or stop
+	// together be read at once.
+	boxesLongPoll = 20 * time.Second
+	boxesPause    = 500 * time.Millisecond
 )
 
-// Registry follows the streams.
+// Registry maintains the view of the streams.
 type Registry struct {
 	cfg     Config
 	catalog atomic.Pointer[catalog.Catalog]
 
-	// turn lets one take over records at a time, from the log or from another box, so
-	// that the later of two is judged by what the earlier left.
-	turn sync.Mutex
+	// applyMu serializes the application of records, which come from the log and from other boxes,
+	// so that each batch is compared with the result of the one before.
+	applyMu sync.Mutex
 
 	mu sync.Mutex
-	// weights holds the versions named for each model, the newest last.
+	// weights holds the versions declared for each model, the newest last.
 	weights map[string][]DeclaredWeights
 	lost    map[sharedlog.Stream]bool
-	tails   map[sharedlog.Stream]*tail
-	// serversReadAt is that of the servers' stream, for readers that must not wait for mu.
+	states  map[sharedlog.Stream]*streamState
+	// serversReadAt is the readAt of the servers' stream, for readers that must not wait for mu.
 	serversReadAt atomic.Pointer[time.Time]
 
-	// readItself ends the waiting for the word of another box, and reads says that it has
-	// ever been sent.
-	readItself waiting.Signal
-	reads      bool
-	// back is sent when the operators' stream can be read again.
-	back waiting.Signal
-	// news wakes those who wait to tell other boxes what was read.
-	news *waiting.Signal
+	// readDirectly is signalled when this box must read the log itself instead of waiting for its
+	// reader, and direct says that this has ever happened.
+	readDirectly waiting.Signal
+	direct       bool
+	// logBack is signalled when the operators' stream can be read again.
+	logBack waiting.Signal
+	// streamsChanged is signalled after changes, for those who wait to forward them to other boxes.
+	streamsChanged *waiting.Signal
 }
 
-// New makes a registry that knows nothing.
+// New returns a registry with an empty view.
 func New(cfg Config) *Registry {
 	cfg.PollInterval = cmp.Or(cfg.PollInterval, DefaultPollInterval)
 	cfg.LongPoll = cmp.Or(cfg.LongPoll, DefaultLongPoll)
@@ -127,40 +125,39 @@
 		cfg.ReaderLostLog = never
 	}
 	return &Registry{
-		cfg: cfg, weights: map[string][]DeclaredWeights{}, lost: map[sharedlog.Stream]bool{}, news: cfg.StreamsChanged,
-		tails: map[sharedlog.Stream]*tail{},
+		cfg: cfg, weights: map[string][]DeclaredWeights{}, lost: map[sharedlog.Stream]bool{}, streamsChanged: cfg.StreamsChanged,
+		states: map[sharedlog.Stream]*streamState{},
 	}
 }
 
-// tail gives what is known of a stream. The caller holds mu.
-func (r *Registry) tail(stream sharedlog.Stream) *tail {
-	if r.tails[stream] == nil {
-		r.tails[stream] = newTail()
+// state returns the state of a stream. The caller holds mu.
+func (r *Registry) state(stream sharedlog.Stream) *streamState {
+	if r.states[stream] == nil {
+		r.states[stream] = newStreamState()
 	}
-	return r.tails[stream]
+	return r.states[stream]
 }
 
-// Catalog gives the configuration in force, or nil before the first.
+// Catalog returns the configuration in force, or nil before the first.
 func (r *Registry) Catalog() *catalog.Catalog { return r.catalog.Load() }
 
 const (
-	// ReadFresh is how long the reading of all that operators declared counts as
-	// recent: what a box is told may be operatorToldFor old, and then it takes a while
-	// to read for itself.
-	MaxReadAge = operatorToldFor + nextReadTime
-	// nextReadTime is what a read takes when the store is slow, held or not.
-	nextReadTime = time.Second
+	// MaxReadAge is the age up to which the view of the operators' stream counts as recent: updates
+	// from a reader may be maxOperatorUpdateAge old, and then a direct read takes a while.
+	MaxReadAge = maxOperatorUpdateAge + slowReadTime
+	// slowReadTime is how long a read takes when the store is slow, long poll or not.
+	slowReadTime = time.Second
 )
 
-// OperatorReadAt is the last moment of which this box knows all that operators had
-// declared by then.
+// OperatorReadAt returns the latest moment up to which this box knows all records of the operators'
+// stream.
 func (r *Registry) OperatorReadAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.tail(sharedlog.Operator).readAt
+	return r.state(sharedlog.Operator).readAt
 }
 
-// ServersAge is how long ago this box knew all that the servers' stream then held.
+// ServersAge returns how long ago this box last knew all records of the servers' stream.
 func (r *Registry) ServersAge() time.Duration {
 	if readAt := r.serversReadAt.Load(); readAt != nil {
 		return boottime.Since(*readAt)
@@ -168,126 +165,126 @@
 	return boottime.Since(time.Time{})
 }
 
-// knownUpTo notes a moment up to which all records of a stream are known. The caller holds mu.
-func (r *Registry) knownUpTo(stream sharedlog.Stream, readAt time.Time) {
-	t := r.tail(stream)
-	if !readAt.After(t.readAt) {
+// setReadAt records a moment up to which all records of a stream are known. The caller holds mu.
+func (r *Registry) setReadAt(stream sharedlog.Stream, readAt time.Time) {
+	s := r.state(stream)
+	if !readAt.After(s.readAt) {
 		return
 	}
-	t.readAt = readAt
+	s.readAt = readAt
 	if stream == sharedlog.Servers {
 		r.serversReadAt.Store(&readAt)
 	}
 }
 
-// LoopOperator follows the operators' stream until ctx ends.
+// LoopOperator reads the operators' stream until ctx ends.
 func (r *Registry) LoopOperator(ctx context.Context) {
-	r.awaitTeller(sharedlog.Operator)
-	r.loop(ctx, sharedlog.Operator, r.cfg.LongPoll, 0)
+	r.deferFirstRead(sharedlog.Operator)
+	r.readLoop(ctx, sharedlog.Operator, r.cfg.LongPoll, 0)
 }
 
-// LoopServers follows the servers' stream until ctx ends.
+// LoopServers reads the servers' stream until ctx ends.
 func (r *Registry) LoopServers(ctx context.Context) {
-	r.awaitTeller(sharedlog.Servers)
-	r.loop(ctx, sharedlog.Servers, 0, r.cfg.PollInterval)
+	r.deferFirstRead(sharedlog.Servers)
+	r.readLoop(ctx, sharedlog.Servers, 0, r.cfg.PollInterval)
 }
 
-// LoopBoxes follows the stream of entry boxes until ctx ends.
+// LoopBoxes reads the stream of entry boxes until ctx ends.
 func (r *Registry) LoopBoxes(ctx context.Context) {
-	r.loop(ctx, sharedlog.Boxes, boxesHold, boxesPause)
+	r.readLoop(ctx, sharedlog.Boxes, boxesLongPoll, boxesPause)
 }
 
-// awaitTeller has a stream not read until another box may have told of it, for a while after
-// the start. Whoever is to read for itself ends that at once.
-func (r *Registry) awaitTeller(stream sharedlog.Stream) {
+// deferFirstRead delays the first read of a stream, so that a reader may send the stream before. A
+// box that has been made to read directly does not wait.
+func (r *Registry) deferFirstRead(stream sharedlog.Stream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t := r.tail(stream); t.toldUntil.IsZero() && !r.reads {
-		t.toldUntil = boottime.Now().Add(r.cfg.FirstReadDelay)
+	if s := r.state(stream); s.validUntil.IsZero() && !r.direct {
+		s.validUntil = boottime.Now().Add(r.cfg.FirstReadDelay)
 	}
 }
 
-// take takes over records that were read of a stream or told of it.
-func (r *Registry) take(stream sharedlog.Stream, records []sharedlog.Record, read reading) {
-	r.turn.Lock()
-	defer r.turn.Unlock()
-	r.takeInTurn(stream, records, read)
+// apply applies records of a stream, which were read from the log or came from another box.
+func (r *Registry) apply(stream sharedlog.Stream, records []sharedlog.Record, b batch) {
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
+	r.applyLocked(stream, records, b)
 }
 
-// takeInTurn passes on what records say that is new. The caller holds turn. What is new is
-// judged in one place, by the stream's tail: when the fleet judged by itself which of two
-// records was the later one, an old word could bring a server back that a whole reading had
-// not named.
-func (r *Registry) takeInTurn(stream sharedlog.Stream, records []sharedlog.Record, read reading) {
-	r.decode(stream, records, &read)
+// applyLocked applies a batch and passes on what has changed. The caller holds applyMu. Only the
+// stream's state decides what has changed: when the fleet compared records by itself, an old update
+// could bring back a server that a full read no longer listed.
+func (r *Registry) applyLocked(stream sharedlog.Stream, records []sharedlog.Record, b batch) {
+	r.decode(stream, records, &b)
 	r.mu.Lock()
-	news := r.tail(stream).take(read)
+	changed := r.state(stream).apply(b)
 	r.mu.Unlock()
-	if len(news) > 0 || read.whole {
-		r.news.Send()
+	if len(changed) > 0 || b.full {
+		r.streamsChanged.Send()
 	}
 	switch stream {
 	case sharedlog.Servers:
-		r.takeServers(news)
+		r.applyServers(changed)
 	case sharedlog.Boxes:
-		r.takeBoxes(news)
+		r.applyBoxes(changed)
 	default:
-		r.takeDeclarations(records)
-		r.takeEvacuations(news)
+		r.applyDeclarations(records)
+		r.applyEvacuations(changed)
 	}
 }
 
-// takeBoxes passes on which boxes are new, have moved, or are gone.
-func (r *Registry) takeBoxes(news []entry) {
+// applyBoxes passes on which boxes are new, have moved, or have left.
+func (r *Registry) applyBoxes(changed []entry) {
 	if r.cfg.OnBoxes == nil {
 		return
 	}
-	records := make([]sharedlog.Record, len(news))
-	for i, next := range news {
+	records := make([]sharedlog.Record, len(changed))
+	for i, next := range changed {
 		records[i] = next.record
 	}
 	r.cfg.OnBoxes(records)
 }
 
-// decode adds records to a reading, with what they say of servers. The registry may hold
-// entries of other writers: one that is not understood names no server that may be used.
-func (r *Registry) decode(stream sharedlog.Stream, records []sharedlog.Record, read *reading) {
-	read.records = make([]said, 0, len(records))
+// decode adds records to a batch, and decodes those of servers. Other writers may add records to
+// the registry: one that cannot be decoded names no server that may be used.
+func (r *Registry) decode(stream sharedlog.Stream, records []sharedlog.Record, b *batch) {
+	b.records = make([]decodedRecord, 0, len(records))
 	for _, record := range records {
-		next := said{record: record}
+		next := decodedRecord{record: record}
 		if stream == sharedlog.Servers {
 			update, err := r.cfg.Decoder.Server(record)
-			next.server, next.unclear = update.Server, err != nil
-			r.noteUnclear(record, err)
+			next.server, next.undecodable = update.Server, err != nil
+			r.logUndecodable(record, err)
 		}
-		read.records = append(read.records, next)
+		b.records = append(b.records, next)
 	}
 }
 
-// noteUnclear tells of an entry that is not understood, once as long as it stays so.
-func (r *Registry) noteUnclear(record sharedlog.Record, err error) {
+// logUndecodable logs a record that cannot be decoded, once until the key has a valid record again.
+func (r *Registry) logUndecodable(record sharedlog.Record, err error) {
 	if err == nil {
 		return
 	}
 	r.mu.Lock()
-	known := r.tail(sharedlog.Servers).entries[record.Key].unclear
+	known := r.state(sharedlog.Servers).entries[record.Key].undecodable
 	r.mu.Unlock()
 	if !known {
 		r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("server_not_understood")
 	}
 }
 
-// takeEvacuations passes on which zones are evacuated or taken back. It goes by what is new in
-// the stream rather than by records: a whole reading takes a zone back by not naming it.
-func (r *Registry) takeEvacuations(news []entry) {
-	for _, next := range news {
+// applyEvacuations passes on which zones are evacuated and which evacuations have ended. It uses
+// the changed entries rather than the records, since a full read ends an evacuation by not listing
+// it.
+func (r *Registry) applyEvacuations(changed []entry) {
+	for _, next := range changed {
 		if change, found := r.cfg.Decoder.Evacuation(next.record); found {
 			r.cfg.Fleet.Evacuate(change)
 		}
 	}
 }
 
-func (r *Registry) takeDeclarations(records []sharedlog.Record) {
+func (r *Registry) applyDeclarations(records []sharedlog.Record) {
 	for _, record := range records {
 		declaration, err := r.cfg.Decoder.Declaration(record)
 		switch {
@@ -295,15 +292,15 @@
 			r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("declaration_not_understood")
 		case declaration == nil:
 		case declaration.Catalog != nil:
-			r.takeCatalog(declaration.Catalog, record.Offset)
+			r.applyCatalog(declaration.Catalog, record.Offset)
 		case declaration.Weights != nil:
-			r.takeWeights(*declaration.Weights, record.Offset)
+			r.applyWeights(*declaration.Weights, record.Offset)
 		}
 	}
 }
 
-func (r *Registry) takeCatalog(next *catalog.Catalog, offset int64) {
-	if now := r.catalog.Load(); now != nil && next.Version() <= now.Version() {
+func (r *Registry) applyCatalog(next *catalog.Catalog, offset int64) {
+	if current := r.catalog.Load(); current != nil && next.Version() <= current.Version() {
 		return
 	}
 	r.catalog.Store(next)
@@ -313,13 +310,13 @@
 	}
 }
 
-func (r *Registry) takeServers(news []entry) {
-	if len(news) == 0 {
+func (r *Registry) applyServers(changed []entry) {
+	if len(changed) == 0 {
 		return
 	}
-	updates := make([]fleet.Update, len(news))
-	for i, next := range news {
-		updates[i] = fleet.Update{Key: next.record.Key, Offset: next.record.Offset, Server: next.server, Unclear: next.unclear}
+	updates := make([]fleet.Update, len(changed))
+	for i, next := range changed {
+		updates[i] = fleet.Update{Key: next.record.Key, Offset: next.record.Offset, Server: next.server, Unclear: next.undecodable}
 	}
 	r.cfg.Fleet.Apply(updates)
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -22,18 +22,18 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// decoder takes the length of a value for a version; "bad" is not understood.
+// decoder decodes the length of a value as a version, and rejects "bad".
 type decoder struct{}
 
 func (decoder) Declaration(record sharedlog.Record) (*registry.Declaration, error) {
 	switch {
 	case string(record.Value) == "bad":
-		return nil, errors.New("not understood")
+		return nil, errors.New("cannot be decoded")
 	case strings.HasPrefix(record.Key, "evacuate/"):
 		return nil, nil
 	case record.Key == "config":
-		made, err := catalog.New(catalog.Config{Version: int64(len(record.Value))})
-		return &registry.Declaration{Catalog: made}, err
+		c, err := catalog.New(catalog.Config{Version: int64(len(record.Value))})
+		return &registry.Declaration{Catalog: c}, err
 	default:
 		return &registry.Declaration{Weights: &registry.WeightsDeclaration{Model: record.Key, Version: len(record.Value)}}, nil
 	}
@@ -52,31 +52,31 @@
 	return update, nil
 }
 
-type world struct {
+type testBox struct {
 	log      *fakesharedlog.Log
 	fleet    *fleet.Fleet
 	registry *registry.Registry
 }
 
-func start(ctx context.Context, prepare func(*fakesharedlog.Log)) *world {
-	w := &world{log: fakesharedlog.New(), fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()})}
-	w.registry = registry.New(registry.Config{Log: w.log, Decoder: decoder{}, Fleet: w.fleet, Logger: zerolog.Nop()})
+func start(ctx context.Context, prepare func(*fakesharedlog.Log)) *testBox {
+	b := &testBox{log: fakesharedlog.New(), fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()})}
+	b.registry = registry.New(registry.Config{Log: b.log, Decoder: decoder{}, Fleet: b.fleet, Logger: zerolog.Nop()})
 	if prepare != nil {
-		prepare(w.log)
+		prepare(b.log)
 	}
-	go w.registry.LoopOperator(ctx)
-	go w.registry.LoopServers(ctx)
-	return w
+	go b.registry.LoopOperator(ctx)
+	go b.registry.LoopServers(ctx)
+	return b
 }
 
-// bubble runs a test on a started world with paused time.
-func bubble(t *testing.T, test func(g *WithT, w *world)) {
+// inBubble runs a test with fake time on a started box.
+func inBubble(t *testing.T, test func(g *WithT, b *testBox)) {
 	t.Helper()
-	bubbleAfter(t, nil, test)
+	inBubbleAfter(t, nil, test)
 }
 
-// bubbleAfter does so after the log has been prepared.
-func bubbleAfter(t *testing.T, prepare func(*fakesharedlog.Log), test func(g *WithT, w *world)) {
+// inBubbleAfter does the same after preparing the log.
+func inBubbleAfter(t *testing.T, prepare func(*fakesharedlog.Log), test func(g *WithT, b *testBox)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -86,96 +86,96 @@
 	})
 }
 
-func (w *world) version() int64 {
-	if c := w.registry.Catalog(); c != nil {
+func (b *testBox) version() int64 {
+	if c := b.registry.Catalog(); c != nil {
 		return c.Version()
 	}
 	return 0
 }
 
-func (w *world) serves() bool { return w.fleet.Choose(fleet.Query{Service: "s"}) != nil }
+func (b *testBox) hasServer() bool { return b.fleet.Choose(fleet.Query{Service: "s"}) != nil }
 
-func TestTheNewestConfigurationIsInForceAtOnceAndNeverGoesBack(t *testing.T) {
-	bubble(t, func(g *WithT, w *world) {
-		g.Expect(w.version()).To(BeZero())
+func TestNewestConfigurationTakesEffectAtOnceAndNeverReverts(t *testing.T) {
+	inBubble(t, func(g *WithT, b *testBox) {
+		g.Expect(b.version()).To(BeZero())
 		steps := []struct {
 			value string
 			want  int64
 		}{{"v", 1}, {"vvv", 3}, {"vv", 3}, {"bad", 3}, {"vvvv", 4}}
 		for _, step := range steps {
-			w.log.Put(sharedlog.Operator, "config", []byte(step.value))
+			b.log.Put(sharedlog.Operator, "config", []byte(step.value))
 			time.Sleep(10 * time.Millisecond)
-			g.Expect(w.version()).To(Equal(step.want))
+			g.Expect(b.version()).To(Equal(step.want))
 		}
 	})
 }
 
-func TestAnOutageLeavesWhatIsKnownInForce(t *testing.T) {
-	bubble(t, func(g *WithT, w *world) {
-		w.log.Put(sharedlog.Operator, "config", []byte("v"))
-		w.log.Put(sharedlog.Servers, "server", []byte("ready"))
+func TestOutageKeepsConfigurationAndServers(t *testing.T) {
+	inBubble(t, func(g *WithT, b *testBox) {
+		b.log.Put(sharedlog.Operator, "config", []byte("v"))
+		b.log.Put(sharedlog.Servers, "server", []byte("ready"))
 		time.Sleep(time.Second)
-		w.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		b.log.Faults().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(time.Minute)
-		g.Expect(w.version()).To(BeEquivalentTo(1))
-		g.Expect(w.serves()).To(BeTrue())
-		w.log.Put(sharedlog.Operator, "config", []byte("vv")) // and the log is back
+		g.Expect(b.version()).To(BeEquivalentTo(1))
+		g.Expect(b.hasServer()).To(BeTrue())
+		b.log.Put(sharedlog.Operator, "config", []byte("vv")) // the write also ends the outage
 		time.Sleep(time.Second)
-		g.Expect(w.version()).To(BeEquivalentTo(2))
+		g.Expect(b.version()).To(BeEquivalentTo(2))
 	})
 }
 
-// Whether kept parts may be fetched depends on how lately the operators' stream was
-// read, so the first read after an outage must not wait for a record.
+// Whether kept parts may be fetched depends on how recently the operators' stream was read, so the
+// first read after an outage must not be a long poll.
 func TestAfterAnOutageTheOperatorsStreamIsReadAtOnce(t *testing.T) {
-	bubble(t, func(g *WithT, w *world) {
-		w.log.Put(sharedlog.Operator, "config", []byte("v"))
+	inBubble(t, func(g *WithT, b *testBox) {
+		b.log.Put(sharedlog.Operator, "config", []byte("v"))
 		time.Sleep(time.Second)
-		w.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		b.log.Faults().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(10 * time.Second)
-		w.log.Faults().SetFaults(fakelog.Faults{})
+		b.log.Faults().SetFaults(fakelog.Faults{})
 		back := time.Now()
 		time.Sleep(time.Second)
-		g.Expect(w.registry.OperatorReadAt()).To(BeTemporally(">=", back))
+		g.Expect(b.registry.OperatorReadAt()).To(BeTemporally(">=", back))
 	})
 }
 
-func TestALeavingServerGetsNothingNewWithinASecond(t *testing.T) {
-	bubble(t, func(g *WithT, w *world) {
-		w.log.Put(sharedlog.Servers, "server", []byte("ready"))
+func TestLeavingServerGetsNoCallsAfterASecond(t *testing.T) {
+	inBubble(t, func(g *WithT, b *testBox) {
+		b.log.Put(sharedlog.Servers, "server", []byte("ready"))
 		time.Sleep(5 * time.Second)
-		g.Expect(w.serves()).To(BeTrue())
-		w.log.Put(sharedlog.Servers, "server", []byte("leaving"))
+		g.Expect(b.hasServer()).To(BeTrue())
+		b.log.Put(sharedlog.Servers, "server", []byte("leaving"))
 		time.Sleep(time.Second)
-		g.Expect(w.serves()).To(BeFalse())
+		g.Expect(b.hasServer()).To(BeFalse())
 	})
 }
 
-func TestExpiredRecordsAreReadAnew(t *testing.T) {
-	bubble(t, func(g *WithT, w *world) {
-		w.log.Put(sharedlog.Servers, "one", []byte("ready"))
+func TestExpiredRecordsCauseFullRead(t *testing.T) {
+	inBubble(t, func(g *WithT, b *testBox) {
+		b.log.Put(sharedlog.Servers, "one", []byte("ready"))
 		time.Sleep(time.Second)
-		w.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		b.log.Faults().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(time.Second)
-		w.log.Put(sharedlog.Servers, "one", nil)
-		w.log.Put(sharedlog.Servers, "two", []byte("ready"))
+		b.log.Put(sharedlog.Servers, "one", nil)
+		b.log.Put(sharedlog.Servers, "two", []byte("ready"))
 		time.Sleep(10 * time.Second)
-		g.Expect(w.fleet.Known()).To(Equal(1))
+		g.Expect(b.fleet.Known()).To(Equal(1))
 	})
 }
 
-// forgetfulLog keeps no record but the newest of each key, and counts its reads.
-type forgetfulLog struct {
+// expiringLog retains no record but the newest of each key, and counts its reads.
+type expiringLog struct {
 	sharedlog.Log
 	reads *atomic.Int64
 }
 
-func (l forgetfulLog) Read(context.Context, sharedlog.Stream, int64, time.Duration) (sharedlog.Page, error) {
+func (l expiringLog) Read(context.Context, sharedlog.Stream, int64, time.Duration) (sharedlog.Page, error) {
 	l.reads.Add(1)
 	return sharedlog.Page{}, &sharedlog.RecordsExpiredError{First: 1000}
 }
 
-func TestALogThatKeepsNothingIsNotAskedAllTheTime(t *testing.T) {
+func TestCallRateToALogThatRetainsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -184,7 +184,7 @@
 		log := fakesharedlog.New()
 		var reads atomic.Int64
 		r := registry.New(registry.Config{
-			Log: forgetfulLog{log, &reads}, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(),
+			Log: expiringLog{log, &reads}, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(),
 		})
 		go r.LoopOperator(ctx)
 		time.Sleep(time.Second)
@@ -195,129 +195,126 @@
 	})
 }
 
-func TestWeightsKnowSinceWhenTheyAreOutdated(t *testing.T) {
-	bubble(t, func(g *WithT, w *world) {
-		w.log.Put(sharedlog.Operator, "m", []byte("v"))
+func TestOutdatedSinceIsTheFirstNewerVersion(t *testing.T) {
+	inBubble(t, func(g *WithT, b *testBox) {
+		b.log.Put(sharedlog.Operator, "m", []byte("v"))
 		time.Sleep(5 * time.Second)
-		_, outdated := w.registry.OutdatedSince("m", 1)
+		_, outdated := b.registry.OutdatedSince("m", 1)
 		g.Expect(outdated).To(BeFalse())
-		w.log.Put(sharedlog.Operator, "m", []byte("vv"))
+		b.log.Put(sharedlog.Operator, "m", []byte("vv"))
 		second := time.Now()
 		time.Sleep(4 * time.Second)
-		w.log.Put(sharedlog.Operator, "m", []byte("vvv"))
+		b.log.Put(sharedlog.Operator, "m", []byte("vvv"))
 		time.Sleep(time.Second)
-		since, outdated := w.registry.OutdatedSince("m", 1)
+		since, outdated := b.registry.OutdatedSince("m", 1)
 		g.Expect(outdated).To(BeTrue())
 		g.Expect(since.LearnedAt).To(BeTemporally("~", second, 50*time.Millisecond), "since the first newer one, not the last")
 		g.Expect(since.DeclaredAfter).To(And(BeTemporally("<=", second), BeTemporally(">", second.Add(-registry.MaxReadAge))))
-		g.Expect(w.registry.Weights("m").Version).To(Equal(3))
+		g.Expect(b.registry.Weights("m").Version).To(Equal(3))
 	})
 }
 
-// However a box learns of weights, it does not take them for younger than they may be.
-func TestWeightsAreAsOldAsTheyMayBe(t *testing.T) {
+// However a box learns of a weight version, it must not assume a shorter age than is possible.
+func TestWeightsAgeIsAnUpperBound(t *testing.T) {
 	tests := []struct {
-		name string
-		play func(w *world)
-		// oldest is the longest time since the naming that the box must allow for, in
-		// seconds.
+		name    string
+		declare func(b *testBox)
+		// oldest is the longest time since the declaration that the box must allow for, in seconds.
 		oldest float64
 	}{
-		{"in touch", func(w *world) {
+		{"connected to the log", func(b *testBox) {
 			time.Sleep(5 * time.Second)
-			w.log.Put(sharedlog.Operator, "m", []byte("vv"))
+			b.log.Put(sharedlog.Operator, "m", []byte("vv"))
 		}, 0},
-		{"after an outage", func(w *world) {
+		{"after an outage", func(b *testBox) {
 			time.Sleep(5 * time.Second)
-			w.log.Faults().SetFaults(fakelog.Faults{Down: true})
+			b.log.Faults().SetFaults(fakelog.Faults{Down: true})
 			time.Sleep(5 * time.Second)
-			w.log.Put(sharedlog.Operator, "m", []byte("vv"))
+			b.log.Put(sharedlog.Operator, "m", []byte("vv"))
 		}, 5},
-		{"from another box, just now", func(w *world) {
+		{"from another box, just now", func(b *testBox) {
 			time.Sleep(5 * time.Second)
-			w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2}}}, time.Now())
+			b.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2}}}, time.Now())
 		}, 0},
-		{"from another box, after an outage", func(w *world) {
+		{"from another box, after an outage", func(b *testBox) {
 			time.Sleep(5 * time.Second)
-			w.log.Faults().SetFaults(fakelog.Faults{Down: true})
+			b.log.Faults().SetFaults(fakelog.Faults{Down: true})
 			time.Sleep(5 * time.Second)
-			w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Second}}}, time.Now())
+			b.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Second}}}, time.Now())
 		}, 1},
-		{"by a word that may be old, after an outage", func(w *world) {
+		{"by a message that may be old, after an outage", func(b *testBox) {
 			time.Sleep(5 * time.Second)
-			w.log.Faults().SetFaults(fakelog.Faults{Down: true})
+			b.log.Faults().SetFaults(fakelog.Faults{Down: true})
 			time.Sleep(5 * time.Second)
-			w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Second}}}, time.Time{})
+			b.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Second}}}, time.Time{})
 		}, 5},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			bubble(t, func(g *WithT, w *world) {
-				test.play(w)
-				played := time.Now()
+			inBubble(t, func(g *WithT, b *testBox) {
+				test.declare(b)
+				declared := time.Now()
 				time.Sleep(time.Second)
-				since, outdated := w.registry.OutdatedSince("m", 1)
+				since, outdated := b.registry.OutdatedSince("m", 1)
 				g.Expect(outdated).To(BeTrue())
 				g.Expect(since.Undated()).To(BeFalse())
 				oldest := time.Duration(test.oldest * float64(time.Second))
-				g.Expect(played.Sub(since.DeclaredAfter)).To(And(BeNumerically(">=", oldest), BeNumerically("<=", oldest+registry.MaxReadAge)))
+				g.Expect(declared.Sub(since.DeclaredAfter)).To(And(BeNumerically(">=", oldest), BeNumerically("<=", oldest+registry.MaxReadAge)))
 			})
 		})
 	}
 }
 
-// A box that has just started learns from another when versions were named, also of
-// one that it missed.
-func TestFoundWeightsAreDatedByAnotherBox(t *testing.T) {
-	named := func(log *fakesharedlog.Log) { log.Put(sharedlog.Operator, "m", []byte("vvv")) }
-	bubbleAfter(t, named, func(g *WithT, w *world) {
+// A box that has just started learns from another one when versions were declared, including a
+// version that it missed.
+func TestPeerDatesUndatedWeights(t *testing.T) {
+	declare := func(log *fakesharedlog.Log) { log.Put(sharedlog.Operator, "m", []byte("vvv")) }
+	inBubbleAfter(t, declare, func(g *WithT, b *testBox) {
 		time.Sleep(time.Second)
-		w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: 9 * time.Second}, {Version: 3, Age: 2 * time.Second}}}, time.Now())
+		b.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: 9 * time.Second}, {Version: 3, Age: 2 * time.Second}}}, time.Now())
 		tests := []struct {
 			version int
 			age     time.Duration
 		}{{1, 9 * time.Second}, {2, 2 * time.Second}}
 		for _, test := range tests {
-			since, outdated := w.registry.OutdatedSince("m", test.version)
+			since, outdated := b.registry.OutdatedSince("m", test.version)
 			g.Expect(outdated).To(BeTrue())
 			g.Expect(since.Undated()).To(BeFalse())
 			g.Expect(time.Since(since.DeclaredAfter)).To(BeNumerically(">=", test.age))
 			g.Expect(time.Since(since.DeclaredAfter)).To(BeNumerically("<", test.age+time.Second))
 		}
-		w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 3, Age: time.Minute}}}, time.Now())
-		since, _ := w.registry.OutdatedSince("m", 2)
-		g.Expect(time.Since(since.DeclaredAfter)).To(BeNumerically("<", 4*time.Second), "what is dated stays")
+		b.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 3, Age: time.Minute}}}, time.Now())
+		since, _ := b.registry.OutdatedSince("m", 2)
+		g.Expect(time.Since(since.DeclaredAfter)).To(BeNumerically("<", 4*time.Second), "a later bound is not replaced by an earlier one")
 	})
 }
 
-func TestABoxThatOnlyFoundAVersionDatesItForNobody(t *testing.T) {
-	named := func(log *fakesharedlog.Log) { log.Put(sharedlog.Operator, "m", []byte("vv")) }
-	bubbleAfter(t, named, func(g *WithT, w *world) {
+func TestUndatedPeerWeightsStayUndated(t *testing.T) {
+	declare := func(log *fakesharedlog.Log) { log.Put(sharedlog.Operator, "m", []byte("vv")) }
+	inBubbleAfter(t, declare, func(g *WithT, b *testBox) {
 		time.Sleep(time.Second)
-		w.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Minute, Undated: true}}}, time.Now())
-		since, _ := w.registry.OutdatedSince("m", 1)
+		b.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Minute, Undated: true}}}, time.Now())
+		since, _ := b.registry.OutdatedSince("m", 1)
 		g.Expect(since.Undated()).To(BeTrue())
 	})
 }
 
-// slowLog ends held reads early and is slow to bring the answer, as a log behind a
-// cut link may be.
+// slowLog ends long polls early and delays their response, as a log behind a broken link may.
 type slowLog struct {
 	sharedlog.Log
 }
 
 func (l slowLog) Read(ctx context.Context, stream sharedlog.Stream, from int64, _ time.Duration) (sharedlog.Page, error) {
 	page, err := l.Log.Read(ctx, stream, from, 0)
-	waiting.For(ctx, slowAnswer)
+	waiting.For(ctx, slowResponse)
 	return page, err
 }
 
-// slowAnswer is shorter than any read is held.
-const slowAnswer = registry.DefaultLongPoll/2 - 200*time.Millisecond
+// slowResponse is shorter than any long poll.
+const slowResponse = registry.DefaultLongPoll/2 - 200*time.Millisecond
 
-// Only an answer that was held for its whole time proves that nothing was added
-// meanwhile.
-func TestAnAnswerThatWasNotHeldProvesNothingAfterTheQuestion(t *testing.T) {
+// Only the response of a completed long poll proves that nothing was added meanwhile.
+func TestEarlyResponseProvesNothingAfterTheRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -328,30 +325,30 @@
 		})
 		began := time.Now()
 		go r.LoopOperator(ctx)
-		time.Sleep(slowAnswer + time.Millisecond)
-		g.Expect(r.OperatorReadAt()).To(BeTemporally("==", began), "the reading of all is not held")
-		time.Sleep(slowAnswer)
-		g.Expect(r.OperatorReadAt()).To(BeTemporally("==", began.Add(slowAnswer)), "asked then, and not held")
+		time.Sleep(slowResponse + time.Millisecond)
+		g.Expect(r.OperatorReadAt()).To(BeTemporally("==", began), "a full read is no long poll")
+		time.Sleep(slowResponse)
+		g.Expect(r.OperatorReadAt()).To(BeTemporally("==", began.Add(slowResponse)), "sent then, and not held for the whole long poll")
 	})
 }
 
-// A record ends the held reads of all boxes at once. Those that follow end apart, so that
-// some box has read shortly before the next record, and tells the others.
-func TestBoxesTogetherDateNewWeightsClosely(t *testing.T) {
-	bubble(t, func(g *WithT, w *world) {
+// A record ends the long polls of all boxes at once. The next ones end at different times, so that
+// some box has read shortly before the next record and can date it for the others.
+func TestBoxesTogetherDateWeightsPrecisely(t *testing.T) {
+	inBubble(t, func(g *WithT, b *testBox) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		all := []*registry.Registry{w.registry}
+		all := []*registry.Registry{b.registry}
 		for range 7 {
-			r := registry.New(registry.Config{Log: w.log, Decoder: decoder{}, Fleet: w.fleet, Logger: zerolog.Nop()})
+			r := registry.New(registry.Config{Log: b.log, Decoder: decoder{}, Fleet: b.fleet, Logger: zerolog.Nop()})
 			go r.LoopOperator(ctx)
 			all = append(all, r)
 		}
 		time.Sleep(time.Second)
-		w.log.Put(sharedlog.Operator, "m", []byte("v"))
+		b.log.Put(sharedlog.Operator, "m", []byte("v"))
 		time.Sleep(2*registry.DefaultLongPoll - 100*time.Millisecond)
-		w.log.Put(sharedlog.Operator, "m", []byte("vv"))
-		named := time.Now()
+		b.log.Put(sharedlog.Operator, "m", []byte("vv"))
+		declaredAt := time.Now()
 		synctest.Wait()
 		for _, from := range all {
 			for _, to := range all {
@@ -359,7 +356,7 @@
 			}
 		}
 		for _, r := range all {
-			g.Expect(r.Weights("m").DeclaredAfter).To(BeTemporally("~", named, 1200*time.Millisecond))
+			g.Expect(r.Weights("m").DeclaredAfter).To(BeTemporally("~", declaredAt, 1200*time.Millisecond))
 		}
 	})
 }
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -1,5 +1,5 @@
-// What a box read of the log, for one that starts while it cannot read the log. Such a
-// box would refuse all calls, though the servers may all be well.
+// Snapshots of the log for a box that starts while it cannot read the log. Without one, it would
+// refuse all calls though the servers may all be well.
 
 package registry
 
@@ -11,15 +11,15 @@
 	Servers  []sharedlog.Record `msgpack:"s"`
 }
 
-// Lacks reports that this box has no configuration and cannot read the log. One that has
-// just started and is about to read it lacks nothing.
+// NeedsSnapshot reports whether this box has no configuration and cannot read the log. A box that
+// has just started and has not read the log yet needs none.
 func (r *Registry) NeedsSnapshot() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Catalog() == nil && r.lost[sharedlog.Operator]
 }
 
-// Snapshot gives what this box read of the log, or nil while it has no configuration.
+// Snapshot returns what this box has read of the log, or nil while it has no configuration.
 func (r *Registry) Snapshot() *Snapshot {
 	if r.Catalog() == nil {
 		return nil
@@ -27,23 +27,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return &Snapshot{
-		Operator: r.tail(sharedlog.Operator).records(),
-		Servers:  r.tail(sharedlog.Servers).records(),
+		Operator: r.state(sharedlog.Operator).records(),
+		Servers:  r.state(sharedlog.Servers).records(),
 	}
 }
 
-// Adopt takes over what another box read of the log, if this one has no configuration.
-// Whatever the log says later goes before it, since records go forward by their
-// offsets; how old the weights are stays unknown.
+// Adopt applies another box's snapshot if this box has no configuration. Later records of the log
+// take precedence, since each key only moves to higher offsets. The age of the weight versions
+// stays unknown.
 func (r *Registry) Adopt(snapshot Snapshot) {
-	r.turn.Lock()
-	defer r.turn.Unlock()
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
 	if r.Catalog() != nil {
 		return
 	}
 	if r.Position(sharedlog.Servers) < 0 {
-		r.takeInTurn(sharedlog.Servers, snapshot.Servers, reading{next: sharedlog.FromNewest})
+		r.applyLocked(sharedlog.Servers, snapshot.Servers, batch{next: sharedlog.FromNewest})
 	}
-	r.takeInTurn(sharedlog.Operator, snapshot.Operator, reading{next: sharedlog.FromNewest})
-	r.cfg.Logger.Info().Int("servers", len(snapshot.Servers)).Bool("configuration", r.Catalog() != nil).Msg("adopted_from_box")
+	r.applyLocked(sharedlog.Operator, snapshot.Operator, batch{next: sharedlog.FromNewest})
+	r.cfg.Logger.Info().Int("servers", len(snapshot.Servers)).Bool("configuration", r.Catalog() != nil).Msg("snapshot_adopted")
 }
--- /dev/null
+++ b/internal/registry/state.go
@@ -0,0 +1,184 @@
+// The state of each stream, in the form in which it is forwarded to other boxes: the newest record
+// of each key, since when its content is unchanged, and up to which moment all records are known. A
+// backend server writes a record with each heartbeat, and hardly any of them changes anything, so
+// the volume that is forwarded is a few hundredths of what is read.
+
+package registry
+
+import (
+	"time"
+
+	"github.com/cometlock/cometlock/internal/fleet"
+	"github.com/cometlock/cometlock/internal/sharedlog"
+)
+
+// streamState is a box's view of one stream.
+type streamState struct {
+	// next is the offset that the next read begins at; sharedlog.FromNewest before the first one.
+	next int64
+	// readAt is a moment up to which all records are known.
+	readAt time.Time
+	// validUntil is until when the reader's last update is recent enough, so that this box need not
+	// read the stream itself.
+	validUntil time.Time
+	// entries holds the newest record of each key, including tombstones of deleted keys.
+	entries map[string]entry
+	// deltaFloor is the lowest offset from which all changes are known: a full read does not list
+	// the keys that were deleted before it. A box that got changes from an earlier offset went on
+	// sending calls to a deleted server until the server refused connections, 2.0 to 3.6 s after it
+	// had left.
+	deltaFloor int64
+	// entriesHash is the XOR of the entries' hashes, and latestOffset the highest offset among
+	// them.
+	entriesHash  uint64
+	latestOffset int64
+	// differs says that the last digest that could be compared was different, and rereadAll that
+	// the stream has to be read in full since then.
+	differs   bool
+	rereadAll bool
+}
+
+// nextRead returns the offset that the next read of the log begins at.
+func (s *streamState) nextRead() int64 {
+	if s.rereadAll {
+		return sharedlog.FromNewest
+	}
+	return s.next
+}
+
+// decodedRecord is a record and, in the servers' stream, the server that it describes. The server
+// is nil when the record deletes it, or when the record could not be decoded, as undecodable says.
+type decodedRecord struct {
+	record      sharedlog.Record
+	server      *fleet.Server
+	undecodable bool
+}
+
+// sameServer reports whether a record describes a server in the same way as an earlier record.
+func (d decodedRecord) sameServer(before decodedRecord) bool {
+	if d.undecodable || before.undecodable {
+		return d.undecodable == before.undecodable
+	}
+	return d.server != nil && before.server != nil && d.server.Same(before.server)
+}
+
+// entry is the newest record of a key.
+type entry struct {
+	decodedRecord
+	// changed is the offset of the first record with the same content as the newest one.
+	changed int64
+}
+
+// maxTombstones bounds the tombstones of a stream, its deleted keys that are still remembered.
+const maxTombstones = 2048
+
+func newStreamState() *streamState {
+	return &streamState{next: sharedlog.FromNewest, entries: map[string]entry{}, latestOffset: -1}
+}
+
+// put sets the newest record of a key.
+func (s *streamState) put(next entry) {
+	s.entriesHash ^= s.entries[next.record.Key].hash() ^ next.hash()
+	s.latestOffset = max(s.latestOffset, next.record.Offset)
+	s.entries[next.record.Key] = next
+}
+
+// batch is a set of records that was read from a stream or came from another box.
+type batch struct {
+	records []decodedRecord
+	// next is the offset after the records.
+	next int64
+	// full says that records lists all keys that were not deleted at next. Otherwise it holds all
+	// that was added to the current view.
+	full bool
+	// uncompacted says that records holds every record that was added, not just the newest of each
+	// key.
+	uncompacted bool
+}
+
+// apply applies a batch and returns the entries that have changed. The batch may be older than the
+// current view: a key only moves to higher offsets, and an unknown key with an offset below next
+// had been deleted by then.
+func (s *streamState) apply(b batch) (changes []entry) {
+	knownNext := s.next
+	for _, decoded := range b.records {
+		offset := decoded.record.Offset
+		before, found := s.entries[decoded.record.Key]
+		if offset < before.record.Offset || !found && offset < knownNext {
+			continue
+		}
+		next := entry{decodedRecord: decoded, changed: offset}
+		unchanged := next.sameServer(before.decodedRecord)
+		if unchanged && b.uncompacted {
+			next.changed = before.changed // no record between the two had other content
+		}
+		s.put(next)
+		if !unchanged {
+			changes = append(changes, next)
+		}
+	}
+	if b.full && b.next >= knownNext {
+		changes = append(changes, s.deleteUnlisted(b)...)
+		s.deltaFloor = b.next
+	}
+	s.next = max(s.next, b.next)
+	s.pruneTombstones()
+	return changes
+}
+
+// deleteUnlisted marks the keys as deleted that a full read does not list, and returns those that
+// were not deleted before. Their tombstones have the offset of the read, so that no older update
+// restores one. Entries from a snapshot adopted before the first read are deleted whatever their
+// offset.
+func (s *streamState) deleteUnlisted(b batch) (deleted []entry) {
+	listed := make(map[string]bool, len(b.records))
+	for _, decoded := range b.records {
+		listed[decoded.record.Key] = true
+	}
+	first := s.next < 0
+	for key, known := range s.entries {
+		last := b.next - 1
+		if first {
+			last = max(last, known.record.Offset)
+		}
+		if listed[key] || known.record.Offset > last {
+			continue
+		}
+		next := entry{decodedRecord: decodedRecord{record: sharedlog.Record{Key: key, Offset: last}}, changed: last}
+		s.put(next)
+		if len(known.record.Value) > 0 {
+			deleted = append(deleted, next)
+		}
+	}
+	return deleted
+}
+
+// pruneTombstones drops all tombstones once there are too many.
+func (s *streamState) pruneTombstones() {
+	tombstones := 0
+	for _, known := range s.entries {
+		if len(known.record.Value) == 0 {
+			tombstones++
+		}
+	}
+	if tombstones <= maxTombstones {
+		return
+	}
+	for key, known := range s.entries {
+		if len(known.record.Value) == 0 {
+			delete(s.entries, key)
+		}
+	}
+	s.deltaFloor = s.next
+}
+
+// records returns the newest records of all keys that are not deleted.
+func (s *streamState) records() []sharedlog.Record {
+	var records []sharedlog.Record
+	for _, known := range s.entries {
+		if len(known.record.Value) > 0 {
+			records = append(records, known.record)
+		}
+	}
+	return records
+}
--- a/internal/registry/suspended_test.go
+++ b/internal/registry/suspended_test.go
@@ -10,16 +10,16 @@
 	"github.com/cometlock/cometlock/internal/suspendtest"
 )
 
-// How old a box's knowledge of the servers and of the operators' word is decides what it may
-// still do by it, and other boxes are told it.
-func TestWhatWasReadIsOldAfterASuspension(t *testing.T) {
-	bubble(t, func(g *WithT, w *world) {
+// The age of a box's view decides what the box may still do on its basis, and it is sent to other
+// boxes, so it must include the time for which the machine was suspended.
+func TestViewAgesDuringSuspension(t *testing.T) {
+	inBubble(t, func(g *WithT, b *testBox) {
 		machine := suspendtest.New(t)
 		time.Sleep(2 * time.Second)
-		g.Expect(w.registry.ServersAge()).To(BeNumerically("<", registry.MaxReadAge))
+		g.Expect(b.registry.ServersAge()).To(BeNumerically("<", registry.MaxReadAge))
 		machine.Suspend(5 * time.Second)
-		g.Expect(w.registry.ServersAge()).To(BeNumerically(">=", 5*time.Second))
+		g.Expect(b.registry.ServersAge()).To(BeNumerically(">=", 5*time.Second))
 		time.Sleep(2 * time.Second)
-		g.Expect(w.registry.ServersAge()).To(BeNumerically("<", registry.MaxReadAge), "it was read again")
+		g.Expect(b.registry.ServersAge()).To(BeNumerically("<", registry.MaxReadAge), "it was read again")
 	})
 }
--- /dev/null
+++ b/internal/registry/updates.go
@@ -0,0 +1,189 @@
+// Updates between boxes: in each zone one box, the reader, reads the log and forwards what it read
+// to the other boxes, its followers, since each call of the log has a price. An update contains the
+// age of the reader's view, and the follower counts that age from before its request. However long
+// the update was in transit, it never counts as newer than it is. A box reads the log itself as
+// soon as the reader's updates are too old, so the platform's deadlines do not depend on the
+// reader.
+
+package registry
+
+import (
+	"context"
+	"time"
+
+	"github.com/cometlock/cometlock/internal/boottime"
+	"github.com/cometlock/cometlock/internal/sharedlog"
+	"github.com/cometlock/cometlock/internal/waiting"
+)
+
+// StreamUpdate is a box's view of a stream, or the changes since an offset.
+type StreamUpdate struct {
+	_msgpack struct{} `msgpack:",as_array"` // field names would double its size
+
+	Stream sharedlog.Stream `msgpack:"s"`
+	// Full says that Records holds the newest record of every key rather than the changes.
+	Full    bool               `msgpack:"w,omitempty"`
+	Records []sharedlog.Record `msgpack:"r,omitempty"`
+	// Next is the offset after all known records.
+	Next int64 `msgpack:"n"`
+	// Age is how long ago all records were known; NeverRead says that they never were.
+	Age       time.Duration `msgpack:"a"`
+	NeverRead bool          `msgpack:"u,omitempty"`
+	// Digest shows whether two boxes at the same offset have the same view; see digest.go. It is
+	// sent next to the update, since boxes of another version accept only updates with the same
+	// number of fields.
+	Digest uint64 `msgpack:"-"`
+}
+
+// The largest age of a reader's update up to which a follower does not read the stream itself. The
+// reader polls the servers' stream every 0.6 s and the operators' stream with long polls of up to
+// 0.8 s, and followers poll the reader every 0.4 s, so updates are at most 1.0 s and 1.2 s old
+// while all is well. A leaving server must get no new calls after 2 s, and a new configuration must
+// be in force by then. What is left covers a read on a dead connection (urgentTimeout), the delay
+// after it, and the read that succeeds.
+const (
+	maxServersUpdateAge  = 1300 * time.Millisecond
+	maxOperatorUpdateAge = 1400 * time.Millisecond
+	// maxBoxesUpdateAge exceeds the long poll of that stream with its response and its pause.
+	maxBoxesUpdateAge = 30 * time.Second
+)
+
+// maxUpdateAge returns how old an update of a stream may be.
+func maxUpdateAge(stream sharedlog.Stream) time.Duration {
+	switch stream {
+	case sharedlog.Servers:
+		return maxServersUpdateAge
+	case sharedlog.Boxes:
+		return maxBoxesUpdateAge
+	default:
+		return maxOperatorUpdateAge
+	}
+}
+
+// ForwardedStreams lists the streams that readers forward to their followers.
+func ForwardedStreams() []sharedlog.Stream {
+	return []sharedlog.Stream{sharedlog.Operator, sharedlog.Servers, sharedlog.Boxes}
+}
+
+// Position returns the offset after all records of a stream that this box knows.
+func (r *Registry) Position(stream sharedlog.Stream) int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.state(stream).next
+}
+
+// UpdateSince returns this box's changes of a stream since an offset, and whether there are any.
+func (r *Registry) UpdateSince(stream sharedlog.Stream, from int64) (update StreamUpdate, hasChanges bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.state(stream)
+	update = StreamUpdate{Stream: stream, Next: s.next, Age: boottime.Since(s.readAt), NeverRead: s.readAt.IsZero(), Digest: s.digest()}
+	switch {
+	case s.next < 0 || from >= s.next:
+		return update, false
+	case from < 0 || from < s.deltaFloor:
+		update.Full, update.Records = true, s.records()
+		return update, true
+	}
+	for _, known := range s.entries {
+		if known.changed >= from {
+			update.Records = append(update.Records, known.record)
+		}
+	}
+	return update, len(update.Records) > 0
+}
+
+// ApplyUpdate applies an update that another box sent, whose Age counts from asOf or later. It
+// reports whether the update is recent enough to rely on.
+func (r *Registry) ApplyUpdate(update StreamUpdate, asOf time.Time) bool {
+	if update.NeverRead || update.Next < 0 {
+		return false
+	}
+	readAt := asOf.Add(-update.Age)
+	fresh := boottime.Since(readAt) < maxUpdateAge(update.Stream)
+	if fresh {
+		r.recordLogBack(update.Stream, update.Next)
+	}
+	if update.Full || len(update.Records) > 0 {
+		r.logUpdate(update)
+		r.apply(update.Stream, update.Records, batch{next: update.Next, full: update.Full})
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.state(update.Stream)
+	if update.Next < s.next {
+		return fresh // this box already has a newer view and its time
+	}
+	s.next = update.Next
+	r.setReadAt(update.Stream, readAt)
+	s.validUntil = readAt.Add(maxUpdateAge(update.Stream))
+	r.checkDigest(s, update)
+	return fresh
+}
+
+// logUpdate logs what an update contains: a full view, or the changes since the offset that this
+// box had reached.
+func (r *Registry) logUpdate(update StreamUpdate) {
+	r.cfg.Logger.Info().Stringer("stream", update.Stream).Bool("whole", update.Full).Int("records", len(update.Records)).
+		Int64("from", r.Position(update.Stream)).Int64("offset", update.Next).Dur("age", update.Age).Msg("told")
+}
+
+// checkDigest makes this box read the stream in full when the reader has a different view at the
+// same offset, and logs when a difference begins and ends. A reader that stays wrong causes only
+// one such read. The caller holds mu.
+func (r *Registry) checkDigest(s *streamState, update StreamUpdate) {
+	compared, differs := s.compare(update)
+	if !compared || differs == s.differs {
+		return
+	}
+	s.differs = differs
+	if !differs {
+		r.cfg.Logger.Info().Stringer("stream", update.Stream).Int64("offset", update.Next).Msg("view_converged")
+		return
+	}
+	r.cfg.Logger.Warn().Stringer("stream", update.Stream).Int64("offset", update.Next).Msg("view_diverged")
+	s.rereadAll, s.validUntil = true, time.Time{}
+	r.readDirectly.Send()
+}
+
+// UsesReader reports whether this box relies on its reader for the operators' stream.
+func (r *Registry) UsesReader() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return boottime.Now().Before(r.state(sharedlog.Operator).validUntil)
+}
+
+// LogLost reports whether this box cannot read the operators' stream.
+func (r *Registry) LogLost() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lost[sharedlog.Operator]
+}
+
+// ReadDirectly makes this box read the log itself until the next recent update from a reader.
+func (r *Registry) ReadDirectly() {
+	r.mu.Lock()
+	r.direct = true
+	for _, s := range r.states {
+		s.validUntil = time.Time{}
+	}
+	r.mu.Unlock()
+	r.readDirectly.Send()
+}
+
+// waitWhileValid waits while the reader's updates of a stream are recent enough, and reports
+// whether it had to wait.
+func (r *Registry) waitWhileValid(ctx context.Context, stream sharedlog.Stream) (waited bool) {
+	for ctx.Err() == nil {
+		wake := r.readDirectly.Wait()
+		r.mu.Lock()
+		left := boottime.Until(r.state(stream).validUntil)
+		r.mu.Unlock()
+		if left <= 0 {
+			return waited
+		}
+		waited = true
+		waiting.ForOr(ctx, left, wake)
+	}
+	return waited
+}
--- a/internal/registry/weights.go
+++ b/internal/registry/weights.go
@@ -1,6 +1,6 @@
-// Which versions of weights were named, and when. A version was named after the last
-// moment up to which a box had read all that operators declared. Of one that it finds
-// when it starts it only knows that it may be old, until another box tells how old.
+// Which weight versions operators declared for each model, and when. A version was declared after
+// the last moment up to which a box knew all records of the operators' stream. A box that finds a
+// version at its start only knows that it may be old, until another box sends its age.
 
 package registry
 
@@ -12,145 +12,146 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// WeightsNamed says that a model is to be answered by a version of its weights.
+// WeightsDeclaration says which version of a model's weights is to serve it.
 type WeightsDeclaration struct {
 	Model   string
 	Version int
 }
 
-// NamedWeights is a version that was named for a model.
+// DeclaredWeights is a version that was declared for a model.
 type DeclaredWeights struct {
-	// Version is 0 where none was named.
+	// Version is 0 where none was declared.
 	Version int
-	// LearntAt is when this box learnt of it; it was named by then.
+	// LearnedAt is when this box learned of the version, which was declared by then.
 	LearnedAt time.Time
-	// NamedAfter is a moment by which it was not yet named, as late as is known; zero
-	// when nothing is known: the box found it when it started.
+	// DeclaredAfter is the latest moment at which the version is known not to have been declared
+	// yet. It is zero when there is none, since the box found the version at its start.
 	DeclaredAfter time.Time
 }
 
-// Found reports whether the version may have been named at any time.
-func (n DeclaredWeights) Undated() bool { return n.DeclaredAfter.IsZero() }
+// Undated reports whether the version may have been declared at any time in the past.
+func (w DeclaredWeights) Undated() bool { return w.DeclaredAfter.IsZero() }
 
-// Weights gives the newest version named for a model.
+// Weights returns the newest version declared for a model.
 func (r *Registry) Weights(model string) DeclaredWeights {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.newest(model)
+	return r.newestWeights(model)
 }
 
-func (r *Registry) newest(model string) DeclaredWeights {
-	if named := r.weights[model]; len(named) > 0 {
-		return named[len(named)-1]
+func (r *Registry) newestWeights(model string) DeclaredWeights {
+	if versions := r.weights[model]; len(versions) > 0 {
+		return versions[len(versions)-1]
 	}
 	return DeclaredWeights{}
 }
 
-// OutdatedSince gives the first version that was named after the given one, if any.
+// OutdatedSince returns the first version that was declared after the given one, if any.
 func (r *Registry) OutdatedSince(model string, version int) (DeclaredWeights, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, named := range r.weights[model] {
-		if named.Version > version {
-			return named, true
+	for _, declared := range r.weights[model] {
+		if declared.Version > version {
+			return declared, true
 		}
 	}
 	return DeclaredWeights{}, false
 }
 
-// Named gives the newest version named for each model.
+// NewestVersions returns the newest version declared for each model.
 func (r *Registry) NewestVersions() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	versions := make(map[string]int, len(r.weights))
 	for model := range r.weights {
-		versions[model] = r.newest(model).Version
+		versions[model] = r.newestWeights(model).Version
 	}
 	return versions
 }
 
-// Heard is a version that another box knows to be named.
+// PeerWeights is a declared version as boxes send it to each other.
 type PeerWeights struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+	_msgpack struct{} `msgpack:",as_array"` // field names would double its size
 
 	Version int `msgpack:"v"`
-	// Age is the longest time since it was named, and Found says that the box does
-	// not know one.
+	// Age is the longest possible time since the declaration, and Undated says that the sender has
+	// no such bound.
 	Age     time.Duration `msgpack:"a"`
 	Undated bool          `msgpack:"f,omitempty"`
 }
 
-// Tell gives what this box knows to be named, for other boxes.
+// WeightsForPeers returns the newest versions that this box knows to be declared, for other boxes.
 func (r *Registry) WeightsForPeers() map[string][]PeerWeights {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	told := make(map[string][]PeerWeights, len(r.weights))
+	exported := make(map[string][]PeerWeights, len(r.weights))
 	for model, versions := range r.weights {
-		for _, named := range versions[max(len(versions)-versionsTold, 0):] {
-			heard := PeerWeights{Version: named.Version, Undated: named.Undated()}
-			if !heard.Undated {
-				heard.Age = boottime.Since(named.DeclaredAfter)
+		for _, declared := range versions[max(len(versions)-maxVersionsSent, 0):] {
+			next := PeerWeights{Version: declared.Version, Undated: declared.Undated()}
+			if !next.Undated {
+				next.Age = boottime.Since(declared.DeclaredAfter)
 			}
-			told[model] = append(told[model], heard)
+			exported[model] = append(exported[model], next)
 		}
 	}
-	return told
+	return exported
 }
 
-// Hear takes over what another box knew to be named at asOf: versions that are new
-// here, and after when those were named that are known. A zero asOf means that the
-// word may be old, and its ages say nothing.
-func (r *Registry) MergeWeights(told map[string][]PeerWeights, asOf time.Time) {
-	for model, versions := range told {
-		for _, heard := range versions {
-			dated := !heard.Undated && !asOf.IsZero()
-			if dated && r.date(model, heard.Version, asOf.Add(-heard.Age)) {
+// MergeWeights adds the versions that another box knew to be declared at asOf, and narrows when
+// known ones were declared. A zero asOf means that the message may be old, so that its ages are not
+// used.
+func (r *Registry) MergeWeights(peer map[string][]PeerWeights, asOf time.Time) {
+	for model, versions := range peer {
+		for _, next := range versions {
+			dated := !next.Undated && !asOf.IsZero()
+			if dated && r.date(model, next.Version, asOf.Add(-next.Age)) {
 				continue
 			}
-			r.takeWeights(WeightsDeclaration{Model: model, Version: heard.Version}, heardOffset)
+			r.applyWeights(WeightsDeclaration{Model: model, Version: next.Version}, peerOffset)
 			if dated {
-				r.date(model, heard.Version, asOf.Add(-heard.Age))
+				r.date(model, next.Version, asOf.Add(-next.Age))
 			}
 		}
 	}
 }
 
-// date takes over that a version was named after a moment: one that is known, or that
-// this box missed before one that it found. It reports false when it is neither.
-func (r *Registry) date(model string, version int, namedAfter time.Time) bool {
+// date records that a version was declared after a moment. This has an effect for a known version,
+// and for one that this box missed before the version that it found at its start. It returns false
+// for any other version.
+func (r *Registry) date(model string, version int, declaredAfter time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	versions := slices.Clone(r.weights[model])
-	at, known := slices.BinarySearchFunc(versions, version, func(n DeclaredWeights, version int) int { return n.Version - version })
+	index, known := slices.BinarySearchFunc(versions, version, func(w DeclaredWeights, version int) int { return w.Version - version })
 	switch {
-	case known && !namedAfter.After(versions[at].DeclaredAfter):
+	case known && !declaredAfter.After(versions[index].DeclaredAfter):
 		return true
 	case known:
-		found := versions[at].Undated()
-		versions[at].DeclaredAfter = namedAfter
-		if found {
-			r.cfg.Logger.Info().Str("model", model).Int("weights", version).Dur("age", boottime.Since(namedAfter)).Msg("weights_dated")
+		undated := versions[index].Undated()
+		versions[index].DeclaredAfter = declaredAfter
+		if undated {
+			r.cfg.Logger.Info().Str("model", model).Int("weights", version).Dur("age", boottime.Since(declaredAfter)).Msg("weights_dated")
 		}
-	case at < len(versions) && versions[at].Undated():
-		versions = slices.Insert(versions, at, DeclaredWeights{Version: version, LearnedAt: boottime.Now(), DeclaredAfter: namedAfter})
+	case index < len(versions) && versions[index].Undated():
+		versions = slices.Insert(versions, index, DeclaredWeights{Version: version, LearnedAt: boottime.Now(), DeclaredAfter: declaredAfter})
 	default:
 		return false
 	}
-	r.weights[model] = versions[max(len(versions)-versionsKept, 0):]
+	r.weights[model] = versions[max(len(versions)-maxVersions, 0):]
 	return true
 }
 
-// versionsTold bounds the versions of a model that other boxes are told of; those
-// before are too old to answer.
-const versionsTold = 4
+// maxVersionsSent bounds the versions of a model that are sent to other boxes; earlier ones are too
+// old to serve a call.
+const maxVersionsSent = 4
 
-// versionsKept bounds the versions of a model that are remembered.
-const versionsKept = 16
+// maxVersions bounds the versions of a model that are remembered.
+const maxVersions = 16
 
-// heardOffset stands in logs for the offset of what another box told.
-const heardOffset = -1
+// peerOffset is logged in place of an offset for versions that another box sent.
+const peerOffset = -1
 
-// NamedModels lists the models for which a version was named.
+// DeclaredModels lists the models for which a version was declared.
 func (r *Registry) DeclaredModels() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,19 +162,19 @@
 	return models
 }
 
-// takeWeights takes over a version that is newer than those known. It was named after
-// the last moment up to which this box had read all that operators declared.
-func (r *Registry) takeWeights(named WeightsDeclaration, offset int64) {
+// applyWeights adds a version that is newer than the known ones. It was declared after the last
+// moment up to which this box knew all records of the operators' stream.
+func (r *Registry) applyWeights(declared WeightsDeclaration, offset int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if named.Version <= r.newest(named.Model).Version {
+	if declared.Version <= r.newestWeights(declared.Model).Version {
 		return
 	}
-	kept := r.weights[named.Model]
-	kept = kept[max(len(kept)-versionsKept+1, 0):]
-	next := DeclaredWeights{Version: named.Version, LearnedAt: boottime.Now(), DeclaredAfter: r.tail(sharedlog.Operator).readAt}
-	r.weights[named.Model] = append(slices.Clone(kept), next)
-	event := r.cfg.Logger.Info().Str("model", named.Model).Int("weights", named.Version).Int64("offset", offset).Bool("found", next.Undated())
+	versions := r.weights[declared.Model]
+	versions = versions[max(len(versions)-maxVersions+1, 0):]
+	next := DeclaredWeights{Version: declared.Version, LearnedAt: boottime.Now(), DeclaredAfter: r.state(sharedlog.Operator).readAt}
+	r.weights[declared.Model] = append(slices.Clone(versions), next)
+	event := r.cfg.Logger.Info().Str("model", declared.Model).Int("weights", declared.Version).Int64("offset", offset).Bool("found", next.Undated())
 	if !next.Undated() {
 		event.Dur("age_at_most", boottime.Since(next.DeclaredAfter))
 	}
