--- a/internal/zonereader/follow.go
+++ b/internal/zonereader/follow.go
@@ -1,5 +1,5 @@
-// Following: a box asks the one that reads for it, again and again, and takes over what it
-// is told. When that box does not answer, another is chosen at once.
+// The follower's side: a box polls its reader and applies the responses. When the reader does not
+// respond, the box chooses another one at once.
 
 package zonereader
 
@@ -23,183 +23,184 @@
 )
 
 const (
-	// chooseEvery is the time between two looks for a reader while there is none.
-	chooseEvery = 200 * time.Millisecond
-	// knownEvery is the time between two looks whether the boxes are known, which a box that
-	// starts reads first.
-	knownEvery = 20 * time.Millisecond
-	// askPause lies between an answer and the next question, so that an answer brings several
+	// chooseInterval is the time between two attempts to choose a reader while there is none.
+	chooseInterval = 200 * time.Millisecond
+	// boxesKnownInterval is the time between two checks whether the list of boxes is known, which
+	// is the first thing that a starting box reads.
+	boxesKnownInterval = 20 * time.Millisecond
+	// requestPause separates a response and the next request, so that a response contains several
 	// changes.
-	askPause = 100 * time.Millisecond
-	// answerLimit bounds the wait for an answer besides its hold. Longer than a packet
-	// that is lost twice.
-	answerLimit = 400 * time.Millisecond
-	// avoidFor is how long a box that did not answer is not followed.
-	avoidFor = 2 * time.Second
-	// avoidLostFor is the same for one that cannot read the log, and mostLost how many of
-	// these are left one after the other: then it is the log that is down, and no other
-	// box would do better. If a reader alone is cut off from the log, all boxes of its zone
-	// would else read for themselves.
-	avoidLostFor = 5 * time.Second
-	mostLost     = 2
+	requestPause = 100 * time.Millisecond
+	// responseTimeout bounds the wait for a response in addition to its long poll. It is longer
+	// than two retransmissions of a lost packet take.
+	responseTimeout = 400 * time.Millisecond
+	// avoidDuration is how long a box that did not respond is not followed.
+	avoidDuration = 2 * time.Second
+	// avoidLostDuration is the same for a reader that cannot read the log, and maxLostInRow how
+	// many such readers are left in a row: after these it is the log that is down, and no other
+	// reader would do better. Without leaving, a reader that alone is cut off from the log would
+	// make all boxes of its zone read directly.
+	avoidLostDuration = 5 * time.Second
+	maxLostInRow      = 2
 )
 
-// errLost says that the box that was followed cannot read the log.
-var errLost = merry.Sentinel("the reader cannot read the log")
+// errReaderLostLog says that the reader cannot read the log.
+var errReaderLostLog = merry.Sentinel("the reader cannot read the log")
 
-// LoopFollow follows whichever box reads for this one until ctx ends.
-func (z *Member) LoopFollow(ctx context.Context) {
+// LoopFollow follows the reader that is chosen for this box until ctx ends.
+func (m *Member) LoopFollow(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !z.cfg.BoxesKnown() {
-			waiting.For(ctx, knownEvery) // who reads is not decided before the boxes are known
+		if !m.cfg.BoxesKnown() {
+			waiting.For(ctx, boxesKnownInterval) // the choice of a reader depends on the list of boxes
 			continue
 		}
-		reader, follow := z.choose()
-		z.note(reader.Name)
+		reader, follow := m.choose()
+		m.setFollowing(reader.Name)
 		if !follow {
-			waiting.For(ctx, chooseEvery)
+			waiting.For(ctx, chooseInterval)
 			continue
 		}
-		if err := z.follow(ctx, reader); err != nil && ctx.Err() == nil {
-			z.avoid(reader.Name, err)
+		if err := m.follow(ctx, reader); err != nil && ctx.Err() == nil {
+			m.avoid(reader.Name, err)
 		}
 	}
 }
 
-// choose gives the box to follow now, of those that answer.
-func (z *Member) choose() (Box, bool) {
-	if !z.cfg.Off.On(mechanism.ZoneReaders) {
+// choose returns the reader to follow among the boxes that respond, or false if this box is to read
+// directly.
+func (m *Member) choose() (Box, bool) {
+	if !m.cfg.Off.On(mechanism.ZoneReaders) {
 		return Box{}, false
 	}
-	others := z.cfg.Others()
+	others := m.cfg.Others()
 	addresses := make(map[string]string, len(others))
 	boxes := make([]delegate.Box, len(others))
-	z.mu.Lock()
-	defer z.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := boottime.Now()
 	for i, box := range others {
 		boxes[i], addresses[box.Name] = box.Box, box.Address
-		boxes[i].Away = box.Away || now.Before(z.avoided[box.Name])
+		boxes[i].Away = box.Away || now.Before(m.avoided[box.Name])
 	}
-	z.standby = delegate.IsStandby(reading, z.cfg.Self.Box, boxes)
-	chosen, follow := delegate.Choose(reading, z.cfg.Self.Box, boxes)
+	m.standby = delegate.IsStandby(readerRole, m.cfg.Self.Box, boxes)
+	chosen, follow := delegate.Choose(readerRole, m.cfg.Self.Box, boxes)
 	return Box{chosen, addresses[chosen.Name]}, follow
 }
 
-// note notes whom this box follows; nobody has it read for itself.
-func (z *Member) note(reader string) {
-	z.mu.Lock()
-	changed := reader != z.following || !z.decided
-	z.following, z.decided = reader, true
-	z.mu.Unlock()
+// setFollowing records the reader that this box follows; without one, the box reads directly.
+func (m *Member) setFollowing(reader string) {
+	m.mu.Lock()
+	changed := reader != m.following || !m.roleLogged
+	m.following, m.roleLogged = reader, true
+	m.mu.Unlock()
 	if !changed {
 		return
 	}
 	if reader != "" {
-		z.cfg.Logger.Info().Str("reader", reader).Msg("reader_followed")
+		m.cfg.Logger.Info().Str("reader", reader).Msg("reader_followed")
 		return
 	}
-	z.cfg.Logger.Info().Msg("reads_itself")
-	z.cfg.Registry.ReadDirectly()
-	z.cfg.Parts.AskItself()
+	m.cfg.Logger.Info().Msg("direct_reading_started")
+	m.cfg.Registry.ReadDirectly()
+	m.cfg.Parts.AskItself()
 }
 
-// avoid leaves a box that did not answer alone for a while.
-func (z *Member) avoid(reader string, err error) {
-	z.cfg.Logger.Warn().Str("reader", reader).Str("error", err.Error()).Msg("reader_lost")
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	length := avoidFor
-	if errors.Is(err, errLost) {
-		length = avoidLostFor
-	}
-	z.avoided[reader] = boottime.Now().Add(length)
+// avoid excludes a reader that failed from the choice for a while.
+func (m *Member) avoid(reader string, err error) {
+	m.cfg.Logger.Warn().Str("reader", reader).Str("error", err.Error()).Msg("reader_lost")
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	length := avoidDuration
+	if errors.Is(err, errReaderLostLog) {
+		length = avoidLostDuration
+	}
+	m.avoided[reader] = boottime.Now().Add(length)
 }
 
-// follow asks one box until that fails, which it tells by an error, or until another is to
-// be followed.
-func (z *Member) follow(ctx context.Context, reader Box) error {
-	connection, err := z.cfg.Dial(ctx, reader.Address)
+// follow polls a reader until that fails, which it returns as an error, or until this box is to
+// follow another one.
+func (m *Member) follow(ctx context.Context, reader Box) error {
+	connection, err := m.cfg.Dial(ctx, reader.Address)
 	if err != nil {
 		return err
 	}
-	defer context.AfterFunc(ctx, func() { _ = connection.Close() })() // the stop of this box
+	defer context.AfterFunc(ctx, func() { _ = connection.Close() })() // when this box stops
 	defer connection.Close()
 	buffered := bufio.NewReader(connection)
-	mended := map[string]int{}
+	lists := map[string]int{}
 	for ctx.Err() == nil {
-		if err := z.ask(connection, buffered, mended); err != nil {
+		if err := m.poll(connection, buffered, lists); err != nil {
 			return err
 		}
-		waiting.For(ctx, askPause)
-		if chosen, follow := z.choose(); !follow || chosen.Name != reader.Name {
+		waiting.For(ctx, requestPause)
+		if chosen, follow := m.choose(); !follow || chosen.Name != reader.Name {
 			return nil
 		}
 	}
 	return nil
 }
 
-// ask asks once and takes over the answer. mended holds how many lists of each store box
-// the other box's words have taken in.
-func (z *Member) ask(connection net.Conn, buffered *bufio.Reader, mended map[string]int) error {
-	asked := boottime.Now()
-	if err := frame.Write(connection, z.question(mended), ioLimit); err != nil {
+// poll sends one request and applies the response. lists holds, for each store box, how many of its
+// lists the reader's updates have included.
+func (m *Member) poll(connection net.Conn, buffered *bufio.Reader, lists map[string]int) error {
+	sentAt := boottime.Now()
+	if err := frame.Write(connection, m.newRequest(lists), ioTimeout); err != nil {
 		return err
 	}
-	if err := connection.SetReadDeadline(time.Now().Add(answerHold + answerLimit)); err != nil {
+	if err := connection.SetReadDeadline(time.Now().Add(longPoll + responseTimeout)); err != nil {
 		return err
 	}
-	var told answer
-	if err := frame.Read(buffered, &told, maxAnswerBytes); err != nil {
+	var received response
+	if err := frame.Read(buffered, &received, maxResponseBytes); err != nil {
 		return err
 	}
-	if z.leaveLost(told.Lost) {
-		return errLost
+	if m.shouldLeave(received.LogLost) {
+		return errReaderLostLog
 	}
-	// The other box made its answer no sooner than this.
-	asOf := asked.Add(told.Held)
-	for i, word := range told.Streams {
-		if i < len(told.Digests) {
-			word.Digest = told.Digests[i]
+	// The reader made its response no earlier than this.
+	asOf := sentAt.Add(received.Held)
+	for i, update := range received.Streams {
+		if i < len(received.Digests) {
+			update.Digest = received.Digests[i]
 		}
-		z.cfg.Registry.ApplyUpdate(word, asOf)
+		m.cfg.Registry.ApplyUpdate(update, asOf)
 	}
-	for _, packed := range told.Stores {
-		word, err := packed.unpack()
+	for _, packed := range received.Stores {
+		update, err := packed.unpack()
 		if err != nil {
 			return err
 		}
-		if z.cfg.Parts.TakeWord(word, asOf) {
-			mended[word.Address] = word.Position.Mended
+		if m.cfg.Parts.TakeWord(update, asOf) {
+			lists[update.Address] = update.Position.Mended
 		}
 	}
 	return nil
 }
 
-// leaveLost reports whether a box is to be left because it cannot read the log.
-func (z *Member) leaveLost(lost bool) bool {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	z.tellerLost = lost
+// shouldLeave reports whether to leave a reader because it cannot read the log.
+func (m *Member) shouldLeave(lost bool) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.readerLostLog = lost
 	if !lost {
-		z.lostInRow = 0
+		m.lostInRow = 0
 		return false
 	}
-	if z.lostInRow >= mostLost {
+	if m.lostInRow >= maxLostInRow {
 		return false
 	}
-	z.lostInRow++
+	m.lostInRow++
 	return true
 }
 
-func (z *Member) question(mended map[string]int) *question {
-	asked := question{Streams: map[sharedlog.Stream]int64{}, Stores: map[string]partindex.Position{}, Doubted: z.cfg.Parts.Doubted()}
+func (m *Member) newRequest(lists map[string]int) *request {
+	next := request{Streams: map[sharedlog.Stream]int64{}, Stores: map[string]partindex.Position{}, Doubted: m.cfg.Parts.Doubted()}
 	for _, stream := range registry.ForwardedStreams() {
-		asked.Streams[stream] = z.cfg.Registry.Position(stream)
+		next.Streams[stream] = m.cfg.Registry.Position(stream)
 	}
-	for address, position := range z.cfg.Parts.Positions() {
-		position.Mended = mended[address]
-		asked.Stores[address] = position
+	for address, position := range m.cfg.Parts.Positions() {
+		position.Mended = lists[address]
+		next.Stores[address] = position
 	}
-	return &asked
+	return &next
 }
--- a/internal/zonereader/pack.go
+++ b/internal/zonereader/pack.go
@@ -1,5 +1,5 @@
-// Words on store boxes as they go between boxes: the parts in columns, since almost all of
-// them share a namespace. A part takes 17 bytes instead of 31.
+// The encoding of store box updates between boxes: the parts are stored in columns, since almost
+// all of them share a namespace. A part takes 17 bytes instead of 31.
 
 package zonereader
 
@@ -9,77 +9,77 @@
 	"github.com/cometlock/cometlock/internal/partindex"
 )
 
-// errMalformed says that a message does not hold what it should.
-var errMalformed = merry.Sentinel("a word on a store box is malformed")
+// errMalformed says that the columns of an update do not match.
+var errMalformed = merry.Sentinel("a store box update is malformed")
 
-// packedWord is a word with its parts in columns.
-type packedWord struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+// packedUpdate is an update with its parts in columns.
+type packedUpdate struct {
+	_msgpack struct{} `msgpack:",as_array"` // field names would double its size
 
-	// Word has no parts.
-	Word       partindex.Word `msgpack:"w"`
+	// Update has no parts.
+	Update     partindex.Word `msgpack:"w"`
 	Parts      packedParts    `msgpack:"p"`
 	Unfinished packedParts    `msgpack:"u"`
 }
 
-// packedParts are parts in columns. Part i has the ID IDs[i], Tokens[i] tokens, and the
-// namespace Namespaces[Of[i]].
+// packedParts holds parts in columns. Part i has the ID IDs[i], Tokens[i] tokens, and the namespace
+// Namespaces[NamespaceIndexes[i]].
 type packedParts struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+	_msgpack struct{} `msgpack:",as_array"` // field names would double its size
 
-	Namespaces []string `msgpack:"n"`
-	Of         []int    `msgpack:"f"`
-	IDs        []string `msgpack:"i"`
-	Tokens     []int    `msgpack:"t"`
+	Namespaces       []string `msgpack:"n"`
+	NamespaceIndexes []int    `msgpack:"f"`
+	IDs              []string `msgpack:"i"`
+	Tokens           []int    `msgpack:"t"`
 }
 
-func pack(word partindex.Word) packedWord {
-	packed := packedWord{Parts: packParts(word.Parts), Unfinished: packParts(word.Unfinished)}
-	word.Parts, word.Unfinished = nil, nil
-	packed.Word = word
+func pack(update partindex.Word) packedUpdate {
+	packed := packedUpdate{Parts: packParts(update.Parts), Unfinished: packParts(update.Unfinished)}
+	update.Parts, update.Unfinished = nil, nil
+	packed.Update = update
 	return packed
 }
 
 func packParts(parts []partindex.Part) packedParts {
 	var packed packedParts
-	places := map[string]int{}
+	indexes := map[string]int{}
 	for _, part := range parts {
-		place, found := places[part.Namespace]
+		index, found := indexes[part.Namespace]
 		if !found {
-			place = len(packed.Namespaces)
-			places[part.Namespace] = place
+			index = len(packed.Namespaces)
+			indexes[part.Namespace] = index
 			packed.Namespaces = append(packed.Namespaces, part.Namespace)
 		}
-		packed.Of = append(packed.Of, place)
+		packed.NamespaceIndexes = append(packed.NamespaceIndexes, index)
 		packed.IDs = append(packed.IDs, part.ID)
 		packed.Tokens = append(packed.Tokens, part.Tokens)
 	}
 	return packed
 }
 
-// unpack gives the word; an error when its columns do not fit each other.
-func (p packedWord) unpack() (partindex.Word, error) {
-	word := p.Word
+// unpack returns the update, or an error when its columns do not match.
+func (p packedUpdate) unpack() (partindex.Word, error) {
+	update := p.Update
 	var err error
-	if word.Parts, err = p.Parts.unpack(); err != nil {
+	if update.Parts, err = p.Parts.unpack(); err != nil {
 		return partindex.Word{}, err
 	}
-	if word.Unfinished, err = p.Unfinished.unpack(); err != nil {
+	if update.Unfinished, err = p.Unfinished.unpack(); err != nil {
 		return partindex.Word{}, err
 	}
-	return word, nil
+	return update, nil
 }
 
 func (p packedParts) unpack() ([]partindex.Part, error) {
-	if len(p.Of) != len(p.IDs) || len(p.Tokens) != len(p.IDs) {
+	if len(p.NamespaceIndexes) != len(p.IDs) || len(p.Tokens) != len(p.IDs) {
 		return nil, errMalformed
 	}
 	parts := make([]partindex.Part, len(p.IDs))
 	for i, id := range p.IDs {
-		if p.Of[i] < 0 || p.Of[i] >= len(p.Namespaces) {
+		if p.NamespaceIndexes[i] < 0 || p.NamespaceIndexes[i] >= len(p.Namespaces) {
 			return nil, errMalformed
 		}
-		parts[i] = partindex.Part{Namespace: p.Namespaces[p.Of[i]], ID: id, Tokens: p.Tokens[i]}
+		parts[i] = partindex.Part{Namespace: p.Namespaces[p.NamespaceIndexes[i]], ID: id, Tokens: p.Tokens[i]}
 	}
 	return parts, nil
 }
--- a/internal/zonereader/pack_test.go
+++ b/internal/zonereader/pack_test.go
@@ -17,29 +17,29 @@
 	"github.com/cometlock/cometlock/internal/safepack"
 )
 
-func TestAWordIsTheSameAfterItWasPacked(t *testing.T) {
-	words := []partindex.Word{
+func TestPackedUpdateRoundTrip(t *testing.T) {
+	updates := []partindex.Word{
 		{Address: "a"},
 		{Address: "a", Position: partindex.Position{Life: 1, Next: 2, Mended: 3}, Whole: true, Listed: true, Age: time.Second, Parts: []partindex.Part{
 			{Namespace: "m/1", ID: "x", Tokens: 5}, {Namespace: "m/2", ID: "y"}, {Namespace: "m/1", ID: "z", Tokens: 7},
 		}, Unfinished: []partindex.Part{{Namespace: "m/3", ID: "u", Tokens: 9}}},
 	}
-	for _, word := range words {
+	for _, update := range updates {
 		g := NewWithT(t)
-		raw, err := msgpack.Marshal(pack(word))
+		raw, err := msgpack.Marshal(pack(update))
 		g.Expect(err).NotTo(HaveOccurred())
-		var packed packedWord
+		var packed packedUpdate
 		g.Expect(safepack.Unmarshal(raw, &packed)).To(Succeed())
 		got, err := packed.unpack()
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(got.Parts).To(HaveLen(len(word.Parts)))
-		for i, part := range word.Parts {
+		g.Expect(got.Parts).To(HaveLen(len(update.Parts)))
+		for i, part := range update.Parts {
 			g.Expect(got.Parts[i]).To(Equal(part))
 		}
-		got.Parts, word.Parts = nil, nil
-		g.Expect(len(got.Unfinished)).To(Equal(len(word.Unfinished)))
-		got.Unfinished, word.Unfinished = nil, nil
-		g.Expect(got).To(Equal(word))
+		got.Parts, update.Parts = nil, nil
+		g.Expect(len(got.Unfinished)).To(Equal(len(update.Unfinished)))
+		got.Unfinished, update.Unfinished = nil, nil
+		g.Expect(got).To(Equal(update))
 	}
 }
 
@@ -50,26 +50,26 @@
 	}
 	f.Add(raw)
 	f.Fuzz(func(_ *testing.T, raw []byte) {
-		var packed packedWord
+		var packed packedUpdate
 		if safepack.Unmarshal(raw, &packed) == nil {
-			_, _ = packed.unpack() // it must not panic
+			_, _ = packed.unpack() // must not panic
 		}
 	})
 }
 
-// After a power failure all boxes of a zone ask their reader for all that the store boxes
-// keep. When that came in one answer of 400 KB to each of 50 boxes, many of them did not get
-// it in time and left the reader, and it used 105 MB of memory.
-func TestAllThatIsKeptComesInSeveralAnswers(t *testing.T) {
+// After a power failure all boxes of a zone request all parts of the store boxes from their reader.
+// When each of 50 boxes got them in one response of 400 KB, many did not receive it in time and
+// left the reader, which used 105 MB of memory.
+func TestAllPartsAreSentInSeveralResponses(t *testing.T) {
 	g := NewWithT(t)
 	const stores, partsEach = 40, 300
-	parts, follower := partindex.New(partindex.Config{}), partindex.New(partindex.Config{})
+	parts, followerParts := partindex.New(partindex.Config{}), partindex.New(partindex.Config{})
 	services := make([]catalog.Service, stores)
 	for i := range services {
 		services[i] = catalog.Service{Name: fmt.Sprint("store-", i), Store: &catalog.Store{Address: fmt.Sprint("10.0.0.", i, ":1"), CapacityTokens: 1 << 30}}
 	}
 	parts.Configure(services)
-	follower.Configure(services)
+	followerParts.Configure(services)
 	for _, service := range services {
 		report := partindex.Report{Life: 1, ClockMillis: 1, AsOf: time.Now()}
 		for part := range partsEach {
@@ -77,29 +77,29 @@
 		}
 		parts.Replace(service.Store.Address, report)
 	}
-	known := registry.New(registry.Config{Log: fakesharedlog.New(), Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop()})
-	teller := New(Config{Registry: known, Parts: parts, Logger: zerolog.Nop()})
-	asker := New(Config{Registry: known, Parts: follower, Logger: zerolog.Nop()})
-	answers := 0
-	for lacks := true; lacks; answers++ {
-		asked := asker.question(map[string]int{})
-		if lacks = asked.lacksStores(); !lacks {
+	streams := registry.New(registry.Config{Log: fakesharedlog.New(), Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop()})
+	reader := New(Config{Registry: streams, Parts: parts, Logger: zerolog.Nop()})
+	follower := New(Config{Registry: streams, Parts: followerParts, Logger: zerolog.Nop()})
+	responses := 0
+	for unknown := true; unknown; responses++ {
+		next := follower.newRequest(map[string]int{})
+		if unknown = next.hasUnknownStore(); !unknown {
 			break
 		}
-		told, _, news := teller.look(*asked)
-		g.Expect(news).To(BeTrue())
-		raw, err := msgpack.Marshal(&told)
+		sent, _, changed := reader.collect(*next)
+		g.Expect(changed).To(BeTrue())
+		raw, err := msgpack.Marshal(&sent)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(len(raw)).To(BeNumerically("<", 60<<10))
-		for _, packed := range told.Stores {
-			word, err := packed.unpack()
+		for _, packed := range sent.Stores {
+			update, err := packed.unpack()
 			g.Expect(err).NotTo(HaveOccurred())
-			follower.TakeWord(word, time.Now())
-			g.Expect(follower.Told(word.Address)).To(BeTrue(), "whatever comes later is waited for")
+			followerParts.TakeWord(update, time.Now())
+			g.Expect(followerParts.Told(update.Address)).To(BeTrue(), "the follower waits for the rest")
 		}
 	}
-	g.Expect(answers).To(BeNumerically("~", stores*partsEach/mostParts, 2))
-	for _, state := range follower.State() {
+	g.Expect(responses).To(BeNumerically("~", stores*partsEach/maxPartsPerResponse, 2))
+	for _, state := range followerParts.State() {
 		g.Expect(state.Parts).To(Equal(partsEach))
 	}
 }
--- a/internal/zonereader/question_test.go
+++ b/internal/zonereader/request_test.go
@@ -18,41 +18,41 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// BenchmarkQuestion is what one question of a follower costs its reader, without the
-// sockets: it is decoded, 18 store boxes and two streams are looked at, a few parts are
-// news, and the answer is encoded. docs/CAPACITY.md has the figure.
-func BenchmarkQuestion(b *testing.B) {
+// BenchmarkRequest measures what one request of a follower costs its reader, without the sockets:
+// it decodes the request, collects the changes of 18 store boxes and two streams, a few of them
+// with new parts, and encodes the response. docs/CAPACITY.md has the figure.
+func BenchmarkRequest(b *testing.B) {
 	const storeBoxes, newParts = 18, 12
-	news := &waiting.Signal{}
-	parts := partindex.New(partindex.Config{News: news})
+	changed := &waiting.Signal{}
+	parts := partindex.New(partindex.Config{News: changed})
 	var services []catalog.Service
 	for i := range storeBoxes {
 		services = append(services, catalog.Service{Name: fmt.Sprint("store-", i), Store: &catalog.Store{Address: fmt.Sprint("10.0.0.", i, ":1"), CapacityTokens: 1_000_000}})
 	}
 	parts.Configure(services)
-	asked := question{Stores: map[string]partindex.Position{}}
+	next := request{Stores: map[string]partindex.Position{}}
 	for i, service := range services {
 		parts.Replace(service.Store.Address, partindex.Report{Life: 1, AsOf: time.Now(), ClockMillis: 1})
-		asked.Stores[service.Store.Address] = partindex.Position{Life: 1, Mended: 1}
+		next.Stores[service.Store.Address] = partindex.Position{Life: 1, Mended: 1}
 		if i < newParts {
 			key := partindex.Key{Namespace: "model/1", ID: fmt.Sprint("part-", i)}
 			parts.Apply(service.Store.Address, partindex.Report{Life: 1, Next: 1, AsOf: time.Now(), ClockMillis: 1, Changes: []partindex.Change{{Key: key, Tokens: 1000}}})
 		}
 	}
-	known := registry.New(registry.Config{Log: fakesharedlog.New(), Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), StreamsChanged: news})
-	z := New(Config{Registry: known, Parts: parts, Logger: zerolog.Nop(), StreamsChanged: news})
-	raw, err := msgpack.Marshal(&asked)
+	streams := registry.New(registry.Config{Log: fakesharedlog.New(), Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), StreamsChanged: changed})
+	reader := New(Config{Registry: streams, Parts: parts, Logger: zerolog.Nop(), StreamsChanged: changed})
+	raw, err := msgpack.Marshal(&next)
 	if err != nil {
 		b.Fatal(err)
 	}
 	size := 0
 	for b.Loop() {
-		var decoded question
+		var decoded request
 		if err := safepack.Unmarshal(raw, &decoded); err != nil {
 			b.Fatal(err)
 		}
-		told := z.answer(context.Background(), decoded)
-		encoded, err := msgpack.Marshal(&told)
+		sent := reader.respond(context.Background(), decoded)
+		encoded, err := msgpack.Marshal(&sent)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/zonereader/versions_test.go
+++ b/internal/zonereader/versions_test.go
@@ -15,8 +15,8 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// wordBefore and answerBefore are what boxes of the version before digests write and read.
-type wordBefore struct {
+// oldUpdate and oldResponse are what boxes of the version before digests write and read.
+type oldUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Stream  sharedlog.Stream   `msgpack:"s"`
@@ -27,48 +27,48 @@
 	Unread  bool               `msgpack:"u,omitempty"`
 }
 
-type answerBefore struct {
-	Streams []wordBefore     `msgpack:"s"`
+type oldResponse struct {
+	Streams []oldUpdate      `msgpack:"s"`
 	Stores  []partindex.Word `msgpack:"p"`
 	Held    time.Duration    `msgpack:"h"`
 	Lost    bool             `msgpack:"l,omitempty"`
 }
 
-// While boxes are replaced by those of a newer version, each kind is told by the other. With
-// the digest as one more field of a word neither could read the other's answers ("number of
-// fields in array-encoded struct has changed"), and all of them read the log themselves.
-func TestBoxesBeforeAndAfterDigestsUnderstandEachOther(t *testing.T) {
+// During a rolling update, boxes of both versions send each other updates. With the digest as one
+// more field of an update, neither could decode the other's responses ("number of fields in
+// array-encoded struct has changed"), and all of them read the log directly.
+func TestResponsesAreCompatibleWithAndWithoutDigests(t *testing.T) {
 	g := NewWithT(t)
 	records := []sharedlog.Record{{Key: "server", Value: []byte("ready"), Offset: 4}}
-	raw, err := msgpack.Marshal(&answerBefore{Streams: []wordBefore{{Stream: sharedlog.Servers, Records: records, Next: 5}}, Held: 1})
+	raw, err := msgpack.Marshal(&oldResponse{Streams: []oldUpdate{{Stream: sharedlog.Servers, Records: records, Next: 5}}, Held: 1})
 	g.Expect(err).NotTo(HaveOccurred())
-	var told answer
-	g.Expect(safepack.Unmarshal(raw, &told)).To(Succeed())
-	g.Expect(told).To(Equal(answer{Streams: []registry.StreamUpdate{{Stream: sharedlog.Servers, Records: records, Next: 5}}, Held: 1}))
+	var received response
+	g.Expect(safepack.Unmarshal(raw, &received)).To(Succeed())
+	g.Expect(received).To(Equal(response{Streams: []registry.StreamUpdate{{Stream: sharedlog.Servers, Records: records, Next: 5}}, Held: 1}))
 
-	raw, err = msgpack.Marshal(&answer{Streams: []registry.StreamUpdate{{Stream: sharedlog.Servers, Records: records, Next: 5, Digest: 7}}, Digests: []uint64{7}})
+	raw, err = msgpack.Marshal(&response{Streams: []registry.StreamUpdate{{Stream: sharedlog.Servers, Records: records, Next: 5, Digest: 7}}, Digests: []uint64{7}})
 	g.Expect(err).NotTo(HaveOccurred())
-	var before answerBefore
-	g.Expect(safepack.Unmarshal(raw, &before)).To(Succeed())
-	g.Expect(before).To(Equal(answerBefore{Streams: []wordBefore{{Stream: sharedlog.Servers, Records: records, Next: 5}}}))
+	var old oldResponse
+	g.Expect(safepack.Unmarshal(raw, &old)).To(Succeed())
+	g.Expect(old).To(Equal(oldResponse{Streams: []oldUpdate{{Stream: sharedlog.Servers, Records: records, Next: 5}}}))
 }
 
-// oneServer decodes each record as a server that is there.
+// oneServer decodes each record as an existing server.
 type oneServer struct{ registry.Decoder }
 
 func (oneServer) Server(record sharedlog.Record) (fleet.Update, error) {
 	return fleet.Update{Key: record.Key, Offset: record.Offset, Server: &fleet.Server{Incarnation: record.Key}}, nil
 }
 
-func TestAnAnswerSaysWhatItsBoxKnowsInAll(t *testing.T) {
+func TestResponseContainsDigests(t *testing.T) {
 	g := NewWithT(t)
-	known := registry.New(registry.Config{Decoder: oneServer{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop()})
-	known.ApplyUpdate(registry.StreamUpdate{Stream: sharedlog.Servers, Full: true, Records: []sharedlog.Record{{Key: "server", Value: []byte("ready"), Offset: 4}}, Next: 5}, time.Now())
-	z := New(Config{Registry: known, Parts: partindex.New(partindex.Config{}), Logger: zerolog.Nop()})
-	told, _, _ := z.look(question{Streams: map[sharedlog.Stream]int64{sharedlog.Servers: 5}})
-	g.Expect(told.Digests).To(HaveLen(len(told.Streams)))
-	for i, word := range told.Streams {
-		g.Expect(told.Digests[i]).To(Equal(word.Digest))
-		g.Expect(word.Digest != 0).To(Equal(word.Stream == sharedlog.Servers))
+	streams := registry.New(registry.Config{Decoder: oneServer{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop()})
+	streams.ApplyUpdate(registry.StreamUpdate{Stream: sharedlog.Servers, Full: true, Records: []sharedlog.Record{{Key: "server", Value: []byte("ready"), Offset: 4}}, Next: 5}, time.Now())
+	reader := New(Config{Registry: streams, Parts: partindex.New(partindex.Config{}), Logger: zerolog.Nop()})
+	sent, _, _ := reader.collect(request{Streams: map[sharedlog.Stream]int64{sharedlog.Servers: 5}})
+	g.Expect(sent.Digests).To(HaveLen(len(sent.Streams)))
+	for i, update := range sent.Streams {
+		g.Expect(sent.Digests[i]).To(Equal(update.Digest))
+		g.Expect(update.Digest != 0).To(Equal(update.Stream == sharedlog.Servers))
 	}
 }
--- a/internal/zonereader/zonereader.go
+++ b/internal/zonereader/zonereader.go
@@ -1,19 +1,20 @@
-// Package zonereader has one box of a zone read the platform's log and ask the store boxes,
-// and tell the others what it learns.
+// Package zonereader elects one box of a zone, the reader, to read the platform's log and poll the
+// store boxes, and to forward what it learns to the other boxes, its followers.
 //
-// Each call of the log has a price and a store box answers a dozen askers, so what boxes
-// ask must not grow with their number. Who reads follows from which boxes there are
-// (package delegate): no lease, no message to agree. Boxes that know different ones may have
-// several readers for a while, which costs calls and nothing else. A box that is not told in
-// time reads for itself (packages registry and partindex say when), so a reader that dies,
-// freezes or is cut off delays what others know by a bounded time: at most 0.7 s until they
-// notice, or what their last word counts for, 1.6 s, if the reader itself is cut off from
-// the log.
+// Each call of the log has a price and a store box can serve only a dozen pollers, so the number of
+// calls must not grow with the number of boxes. Every box computes the reader from the list of
+// boxes by rendezvous hashing (package delegate), without a lease or any agreement. Boxes with
+// different lists may have several readers for a while, which costs calls and nothing else. A box
+// that gets no update in time reads directly (packages registry and partindex define when), so a
+// reader that crashes, freezes or is cut off delays its followers by a bounded time: at most 0.7 s
+// until they notice, or, if the reader itself is cut off from the log, 1.6 s, for which its last
+// update may be used.
 //
-// Ways weighed: a lease in the log (a call a second, and nobody reads while it changes
-// hands); gossip (each word passes several boxes, so its age is a multiple of one way, and
-// the bounds leave 2 s); each box telling every other (grows with the square). One reader
-// a zone, asked by the others, has one hop, and a question costs the reader 0.1 ms.
+// The alternatives are worse: a lease in the log costs a call a second, and no box reads while the
+// lease changes hands; with gossip an update passes several boxes, so its age is a multiple of one
+// hop, and the deadlines leave 2 s; with every box sending to every other the traffic grows with
+// the square of their number. With one reader for a zone, which its followers poll, there is one
+// hop, and a request costs the reader 0.1 ms.
 package zonereader
 
 import (
@@ -35,67 +36,66 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Box is an entry box, with where boxes that follow it ask it.
+// Box is an entry box, with the address at which it serves its followers.
 type Box struct {
 	delegate.Box
 	Address string
 }
 
-// boxesPerReader bounds the boxes of one reader: 64 of them ask 160 to 600 times a second
-// together, at 0.1 ms each, which a large box of the zone has. A store box answers twelve
-// askers, so there must not be more readers than that in a fleet of 360 boxes.
-const boxesPerReader = 64
+// maxBoxesPerReader bounds the boxes of one reader: 64 of them together send 160 to 600 requests a
+// second, at 0.1 ms each, which a large box of the zone can spare. A store box serves twelve
+// pollers, so there must not be more readers than that in a fleet of 360 boxes.
+const maxBoxesPerReader = 64
 
-// reading is what a reader does for the other boxes of its zone.
-var reading = delegate.Config{Role: "reader", BoxesEach: boxesPerReader}
+// readerRole configures the election of readers.
+var readerRole = delegate.Config{Role: "reader", BoxesEach: maxBoxesPerReader}
 
-// Config sets up a Zone.
+// Config configures a Member.
 type Config struct {
 	Registry *registry.Registry
 	Parts    *partindex.Index
 	Logger   zerolog.Logger
-	// Self is this box, and Others gives those that may read for it. Known reports whether
-	// these are known at all; nil means that they always are.
+	// Self is this box, and Others returns those that may be its reader. BoxesKnown reports whether
+	// the list of boxes is known yet; nil means that it always is.
 	Self       Box
 	Others     func() []Box
 	BoxesKnown func() bool
-	// News is woken when this box learns anything of a stream that others are told, PartNews
-	// when a store box says anything new; nil where it never is.
+	// StreamsChanged is signalled when a forwarded stream of this box has changed, PartsChanged
+	// when the state of a store box has; nil where it never does.
 	StreamsChanged *waiting.Signal
 	PartsChanged   *waiting.Signal
-	// Off holds mechanisms that are switched off.
+	// Off holds the mechanisms that are switched off.
 	Off mechanism.Off
-	// Dial connects to another box; nil stands for TCP.
+	// Dial connects to another box; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Zone is a box's part in who reads for whom.
+// Member is one box as a reader or follower of its zone.
 type Member struct {
 	cfg Config
 
 	mu sync.Mutex
-	// following names the box that this one follows; empty while it reads itself. decided
-	// says that either was chosen.
-	following string
-	decided   bool
-	// avoided holds boxes that did not answer, until when.
+	// following names the reader; it is empty while this box reads directly. roleLogged says that
+	// either has been chosen and logged.
+	following  string
+	roleLogged bool
+	// avoided holds the readers that failed, and until when they are not followed.
 	avoided map[string]time.Time
-	// lostInRow counts the boxes that were left one after the other since they cannot read
-	// the log.
+	// lostInRow counts the readers that were left in a row since they could not read the log.
 	lostInRow int
-	// tellerLost says that the box which is followed cannot read the log.
-	tellerLost bool
-	// standby says that this box would be the next to read where one box reads for all.
+	// readerLostLog says that the current reader cannot read the log.
+	readerLostLog bool
+	// standby says that this box would be the next reader where one box reads for all.
 	standby bool
-	// asking counts the boxes that ask this one.
-	asking int
-	server *frame.Server
+	// followers counts the boxes that are connected to this one.
+	followers int
+	server    *frame.Server
 }
 
-// New makes a zone in which this box reads for itself.
+// New returns a member that reads directly.
 func New(cfg Config) *Member {
 	if cfg.Dial == nil {
-		dialer := net.Dialer{Timeout: ioLimit}
+		dialer := net.Dialer{Timeout: ioTimeout}
 		cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
@@ -106,97 +106,99 @@
 	if cfg.BoxesKnown == nil {
 		cfg.BoxesKnown = func() bool { return true }
 	}
-	z := &Member{cfg: cfg, avoided: map[string]time.Time{}}
-	z.server = frame.NewServer(cfg.Logger, z.serve)
-	return z
+	m := &Member{cfg: cfg, avoided: map[string]time.Time{}}
+	m.server = frame.NewServer(cfg.Logger, m.serve)
+	return m
 }
 
-// Following names the box that this one follows; empty while it reads itself.
-func (z *Member) Following() string {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	return z.following
+// Following names the reader that this box follows; it is empty while this box reads directly.
+func (m *Member) Following() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.following
 }
 
-// TellerLost reports whether the box that this one follows says that it cannot read the log.
-func (z *Member) ReaderLostLog() bool {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	return z.following != "" && z.tellerLost
+// ReaderLostLog reports whether this box's reader says that it cannot read the log.
+func (m *Member) ReaderLostLog() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.following != "" && m.readerLostLog
 }
 
-// Standby reports whether this box would be the next to read where one box reads for all.
-func (z *Member) Standby() bool {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	return z.standby
+// Standby reports whether this box would be the next reader where one box reads for all.
+func (m *Member) Standby() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.standby
 }
 
-// question asks a box for what it knows past what the asker knows.
-type question struct {
+// request asks a reader for the changes since the follower's positions.
+type request struct {
 	Streams map[sharedlog.Stream]int64    `msgpack:"s"`
 	Stores  map[string]partindex.Position `msgpack:"p"`
-	// Doubted are the store boxes of which the asker has reason to doubt what it knows.
+	// Doubted lists the store boxes whose state the follower has reason to doubt.
 	Doubted []string `msgpack:"d,omitempty"`
 }
 
-// answer tells it.
-type answer struct {
+// response holds the changes since the positions of a request.
+type response struct {
 	Streams []registry.StreamUpdate `msgpack:"s"`
-	// Digests are those of the words in Streams, in their order.
-	Digests []uint64     `msgpack:"d,omitempty"`
-	Stores  []packedWord `msgpack:"p"`
-	// Held is how long after the question came the answer was made.
+	// Digests are those of the updates in Streams, in the same order.
+	Digests []uint64       `msgpack:"d,omitempty"`
+	Stores  []packedUpdate `msgpack:"p"`
+	// Held is the time from the arrival of the request to the making of the response.
 	Held time.Duration `msgpack:"h"`
-	// Lost says that the box cannot read the log.
-	Lost bool `msgpack:"l,omitempty"`
+	// LogLost says that the reader cannot read the log.
+	LogLost bool `msgpack:"l,omitempty"`
 }
 
 const (
-	// answerHold is how long a question waits for news. What is told ages by it and by
-	// askPause, so it is a part of what partindex and registry take for fresh.
-	answerHold = 300 * time.Millisecond
-	// maxQuestionBytes and maxAnswerBytes bound messages: 40 bytes a store box; 300 bytes
-	// a server and 60 a part, of which store boxes may keep some ten thousand.
-	maxQuestionBytes = 64 << 10
-	maxAnswerBytes   = 4 << 20
-	// questionLimit bounds the wait for the next question on a connection.
-	questionLimit = 10 * time.Second
-	// ioLimit bounds a write and a connect.
-	ioLimit = 300 * time.Millisecond
+	// longPoll is how long a request waits for changes. Updates age by it and by requestPause, so
+	// partindex and registry allow for it in the ages up to which they use an update.
+	longPoll = 300 * time.Millisecond
+	// maxRequestBytes and maxResponseBytes bound messages: 40 bytes for each store box in a
+	// request; 300 bytes for each server and 60 for each part, of which store boxes may keep some
+	// ten thousand, in a response.
+	maxRequestBytes  = 64 << 10
+	maxResponseBytes = 4 << 20
+	// idleTimeout bounds the wait for the next request on a connection.
+	idleTimeout = 10 * time.Second
+	// ioTimeout bounds a write and a connect.
+	ioTimeout = 300 * time.Millisecond
 )
 
-// LoopAccept answers other boxes until ctx ends.
-func (z *Member) LoopAccept(ctx context.Context, listener net.Listener) {
-	z.server.LoopAccept(ctx, listener)
+// LoopAccept serves followers until ctx ends.
+func (m *Member) LoopAccept(ctx context.Context, listener net.Listener) {
+	m.server.LoopAccept(ctx, listener)
 }
 
-// Wait waits until all answering has ended; LoopAccept must have returned.
-func (z *Member) Wait() { z.server.Wait() }
+// Wait waits until all connections have been served; LoopAccept must have returned.
+func (m *Member) Wait() { m.server.Wait() }
 
-// serve answers the questions of one box on one connection.
-func (z *Member) serve(ctx context.Context, connection net.Conn, reader *bufio.Reader) {
-	z.countAsking(1)
-	defer z.countAsking(-1)
+// serve answers the requests of one follower on one connection.
+func (m *Member) serve(ctx context.Context, connection net.Conn, reader *bufio.Reader) {
+	m.addFollowers(1)
+	defer m.addFollowers(-1)
 	for ctx.Err() == nil {
-		if err := connection.SetReadDeadline(time.Now().Add(questionLimit)); err != nil {
+		if err := connection.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return
 		}
-		var asked question
-		if err := frame.Read(reader, &asked, maxQuestionBytes); err != nil {
+		var received request
+		if err := frame.Read(reader, &received, maxRequestBytes); err != nil {
 			return
 		}
-		told := z.answer(ctx, asked)
-		if err := frame.Write(connection, &told, ioLimit); err != nil {
+		sent := m.respond(ctx, received)
+		if err := frame.Write(connection, &sent, ioTimeout); err != nil {
 			return
 		}
 	}
 }
 
-// lacksStores reports whether the asker knows nothing of a store box. After a power failure
-// all boxes start at once, and until they know what is kept all prompts are read anew.
-func (q question) lacksStores() bool {
-	for _, position := range q.Stores {
+// hasUnknownStore reports whether the follower knows nothing of a store box. After a power failure
+// all boxes start at once, and until they know which parts are kept, all prompts are prefilled
+// again.
+func (r request) hasUnknownStore() bool {
+	for _, position := range r.Stores {
 		if position.Life == 0 {
 			return true
 		}
@@ -204,86 +206,87 @@
 	return false
 }
 
-// countAsking counts the boxes that ask this one.
-func (z *Member) countAsking(more int) {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	z.asking += more
+// addFollowers changes the number of followers.
+func (m *Member) addFollowers(delta int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.followers += delta
 }
 
-// fewAsking is the number of boxes up to which what a store box says ends the hold of their
-// questions. It says something all the time under load, and 50 boxes that each asked ten
-// times a second would take 5% of a core of the box that reads for them, at 0.1 ms a question.
-const fewAsking = 12
+// maxPushFollowers is the number of followers up to which a change of a store box ends their long
+// polls. Under load these changes never stop, and 50 boxes with ten requests a second each would
+// take 5% of a core of their reader, at 0.1 ms a request.
+const maxPushFollowers = 12
 
-// tellsPartsAtOnce reports whether few boxes ask this one.
-func (z *Member) tellsPartsAtOnce() bool {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	return z.asking <= fewAsking
+// pushesParts reports whether changes of store boxes end the long polls of followers.
+func (m *Member) pushesParts() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.followers <= maxPushFollowers
 }
 
-// answer tells what this box knows as soon as that is news, or when the hold is over.
-func (z *Member) answer(ctx context.Context, asked question) answer {
-	cameAt := boottime.Now()
-	z.cfg.Parts.Doubt(asked.Doubted)
-	atOnce := z.tellsPartsAtOnce() || asked.lacksStores()
+// respond returns the changes since a request's positions, at the end of the long poll or as soon as
+// there are changes that end it early.
+func (m *Member) respond(ctx context.Context, r request) response {
+	receivedAt := boottime.Now()
+	m.cfg.Parts.Doubt(r.Doubted)
+	push := m.pushesParts() || r.hasUnknownStore()
 	for {
-		wake, partsWake := z.cfg.StreamsChanged.Wait(), z.cfg.PartsChanged.Wait()
-		if !atOnce {
+		streamsWake, partsWake := m.cfg.StreamsChanged.Wait(), m.cfg.PartsChanged.Wait()
+		if !push {
 			partsWake = nil
 		}
-		told, streamNews, partNews := z.look(asked)
-		told.Held, told.Lost = boottime.Since(cameAt), z.cfg.Registry.LogLost()
-		if streamNews || atOnce && partNews || told.Held >= answerHold || ctx.Err() != nil {
-			return told
+		next, streamsChanged, partsChanged := m.collect(r)
+		next.Held, next.LogLost = boottime.Since(receivedAt), m.cfg.Registry.LogLost()
+		if streamsChanged || push && partsChanged || next.Held >= longPoll || ctx.Err() != nil {
+			return next
 		}
-		z.waitForNews(ctx, answerHold-told.Held, wake, partsWake)
+		m.waitForChange(ctx, longPoll-next.Held, streamsWake, partsWake)
 	}
 }
 
-// waitForNews waits for a time, or for news of either kind.
-func (z *Member) waitForNews(ctx context.Context, length time.Duration, wake, partsWake <-chan struct{}) {
+// waitForChange waits for a time, or until either signal.
+func (m *Member) waitForChange(ctx context.Context, length time.Duration, streamsWake, partsWake <-chan struct{}) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
-	case <-wake:
+	case <-streamsWake:
 	case <-partsWake:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// mostParts is the number of parts in an answer from which on no further store box is told
-// of whole; the asker soon asks again. After a power failure 50 boxes ask at once for all that
-// 47 store boxes keep: 20 MB within less than the time that each waits for its answer, and
-// 105 MB of memory in the box that answers.
-const mostParts = 2000
+// maxPartsPerResponse is the number of parts in a response after which no further store box is sent
+// in full; the follower soon sends another request. After a power failure 50 boxes at once request
+// all that 47 store boxes keep: 20 MB within less than the response timeout, and 105 MB of memory
+// in the reader.
+const maxPartsPerResponse = 2000
 
-// look writes down what this box knows past what a question says, and whether that is news of
-// a stream or of a store box.
-func (z *Member) look(asked question) (told answer, streamNews, partNews bool) {
+// collect returns the changes since a request's positions, and whether a stream or a store box has
+// changed.
+func (m *Member) collect(r request) (collected response, streamsChanged, partsChanged bool) {
 	for _, stream := range registry.ForwardedStreams() {
-		from, named := asked.Streams[stream]
-		if !named {
+		from, listed := r.Streams[stream]
+		if !listed {
 			from = sharedlog.FromNewest
 		}
-		word, isNews := z.cfg.Registry.UpdateSince(stream, from)
-		told.Streams = append(told.Streams, word)
-		told.Digests = append(told.Digests, word.Digest)
-		streamNews = streamNews || isNews
+		update, changed := m.cfg.Registry.UpdateSince(stream, from)
+		collected.Streams = append(collected.Streams, update)
+		collected.Digests = append(collected.Digests, update.Digest)
+		streamsChanged = streamsChanged || changed
 	}
 	parts := 0
-	for address, since := range asked.Stores {
-		word, isNews, known := z.cfg.Parts.WordSince(address, since)
-		if word.Whole && parts > mostParts {
-			word = partindex.Word{Address: address, Unknown: true} // it comes with the next answer
+	for address, since := range r.Stores {
+		update, changed, known := m.cfg.Parts.WordSince(address, since)
+		if update.Whole && parts > maxPartsPerResponse {
+			update = partindex.Word{Address: address, Unknown: true} // sent in full with the next response
 		}
 		if known {
-			parts += len(word.Parts)
-			told.Stores = append(told.Stores, pack(word))
-			partNews = partNews || isNews
+			parts += len(update.Parts)
+			collected.Stores = append(collected.Stores, pack(update))
+			partsChanged = partsChanged || changed
 		}
 	}
-	return told, streamNews, partNews
+	return collected, streamsChanged, partsChanged
 }
--- a/internal/zonereader/zonereader_test.go
+++ b/internal/zonereader/zonereader_test.go
@@ -28,12 +28,12 @@
 	"github.com/cometlock/cometlock/internal/zonereader"
 )
 
-// decoder takes the length of a value for the version of the configuration.
+// decoder decodes the length of a value as the version of the configuration.
 type decoder struct{}
 
 func (decoder) Declaration(record sharedlog.Record) (*registry.Declaration, error) {
-	made, err := catalog.New(catalog.Config{Version: int64(len(record.Value))})
-	return &registry.Declaration{Catalog: made}, err
+	c, err := catalog.New(catalog.Config{Version: int64(len(record.Value))})
+	return &registry.Declaration{Catalog: c}, err
 }
 
 func (decoder) Evacuation(sharedlog.Record) (evacuation.Change, bool) {
@@ -48,17 +48,17 @@
 	return update, nil
 }
 
-// countingLog counts the calls of one box, and can be cut from it.
+// countingLog counts one box's calls, and can be cut off from that box.
 type countingLog struct {
 	sharedlog.Log
 	calls atomic.Int64
 	cut   atomic.Bool
-	// silent streams are those whose resting connection takes a call and never answers; the
-	// call after it is made on a new one.
+	// silent holds the streams whose idle connection accepts a call and never responds; the next
+	// call uses a new connection.
 	silent sync.Map
 }
 
-// silence has all connections that rest go silent.
+// silence makes all idle connections silent.
 func (l *countingLog) silence() {
 	for _, stream := range registry.ForwardedStreams() {
 		l.silent.Store(stream, true)
@@ -78,7 +78,7 @@
 	}
 	page, err := l.Log.Read(ctx, stream, from, wait)
 	if l.cut.Load() {
-		<-ctx.Done() // the answer is lost
+		<-ctx.Done() // the response is lost
 		return sharedlog.Page{}, ctx.Err()
 	}
 	return page, err
@@ -93,25 +93,25 @@
 	return nil
 }
 
-// box is one of several boxes in paused time.
-type box struct {
+// testBox is one of several boxes with fake time.
+type testBox struct {
 	self     zonereader.Box
 	log      *countingLog
 	fleet    *fleet.Fleet
 	registry *registry.Registry
-	zone     *zonereader.Member
+	member   *zonereader.Member
 	accepts  chan net.Conn
 	closed   chan struct{}
-	// silent boxes neither take questions nor answer any.
+	// silent boxes neither receive requests nor send responses.
 	silent atomic.Bool
 }
 
-func newBox(self zonereader.Box) *box {
-	return &box{self: self, accepts: make(chan net.Conn), closed: make(chan struct{})}
+func newBox(self zonereader.Box) *testBox {
+	return &testBox{self: self, accepts: make(chan net.Conn), closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
-func (b *box) Accept() (net.Conn, error) {
+func (b *testBox) Accept() (net.Conn, error) {
 	select {
 	case connection := <-b.accepts:
 		return connection, nil
@@ -121,15 +121,15 @@
 }
 
 // Close implements net.Listener.
-func (b *box) Close() error { close(b.closed); return nil }
+func (b *testBox) Close() error { close(b.closed); return nil }
 
 // Addr implements net.Listener.
-func (b *box) Addr() net.Addr { return &net.TCPAddr{} }
+func (b *testBox) Addr() net.Addr { return &net.TCPAddr{} }
 
-// silentConn drops what a silent box writes, as a cut link does.
+// silentConn drops what a silent box writes, as a broken link does.
 type silentConn struct {
 	net.Conn
-	box *box
+	box *testBox
 }
 
 func (c silentConn) Write(data []byte) (int, error) {
@@ -139,70 +139,70 @@
 	return c.Conn.Write(data)
 }
 
-// boxes are boxes that share a log and hear each other.
-type boxes struct {
+// testFleet is some boxes that share a log and can connect to each other.
+type testFleet struct {
 	log  *fakesharedlog.Log
 	wait sync.WaitGroup
 
 	mu   sync.Mutex
-	list []*box
+	list []*testBox
 }
 
-// all lists the boxes that there are now.
-func (bs *boxes) all() []*box {
-	bs.mu.Lock()
-	defer bs.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(bs.list), func(b *box) bool { return b == nil })
+// all lists the running boxes.
+func (f *testFleet) all() []*testBox {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.DeleteFunc(slices.Clone(f.list), func(b *testBox) bool { return b == nil })
 }
 
-func start(ctx context.Context, count int) *boxes {
-	bs := &boxes{log: fakesharedlog.New()}
-	bs.log.Put(sharedlog.Operator, "config", []byte("v"))
-	bs.log.Put(sharedlog.Servers, "server", []byte("ready"))
+func start(ctx context.Context, count int) *testFleet {
+	f := &testFleet{log: fakesharedlog.New()}
+	f.log.Put(sharedlog.Operator, "config", []byte("v"))
+	f.log.Put(sharedlog.Servers, "server", []byte("ready"))
 	for i := range count {
-		bs.list = append(bs.list, newBox(zonereader.Box{Box: delegate.Box{Name: fmt.Sprint("box-", i), Zone: "z"}, Address: fmt.Sprint(i)}))
+		f.list = append(f.list, newBox(zonereader.Box{Box: delegate.Box{Name: fmt.Sprint("box-", i), Zone: "z"}, Address: fmt.Sprint(i)}))
 	}
-	for _, b := range bs.list {
-		bs.assemble(b)
+	for _, b := range f.list {
+		f.assemble(b)
 	}
-	for _, b := range bs.list {
-		bs.run(ctx, b)
+	for _, b := range f.list {
+		f.run(ctx, b)
 	}
-	return bs
+	return f
 }
 
-// assemble makes the parts of a box.
-func (bs *boxes) assemble(b *box) {
-	news := &waiting.Signal{}
-	b.log = &countingLog{Log: bs.log}
+// assemble creates the parts of a box.
+func (f *testFleet) assemble(b *testBox) {
+	changed := &waiting.Signal{}
+	b.log = &countingLog{Log: f.log}
 	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop()})
-	b.registry = registry.New(registry.Config{Log: b.log, Decoder: decoder{}, Fleet: b.fleet, Logger: zerolog.Nop(), StreamsChanged: news})
-	b.zone = zonereader.New(zonereader.Config{
-		Registry: b.registry, Parts: partindex.New(partindex.Config{News: news}), Logger: zerolog.Nop(), Self: b.self, StreamsChanged: news, PartsChanged: news,
-		Others: func() []zonereader.Box { return bs.others(b) }, Dial: bs.dial,
+	b.registry = registry.New(registry.Config{Log: b.log, Decoder: decoder{}, Fleet: b.fleet, Logger: zerolog.Nop(), StreamsChanged: changed})
+	b.member = zonereader.New(zonereader.Config{
+		Registry: b.registry, Parts: partindex.New(partindex.Config{News: changed}), Logger: zerolog.Nop(), Self: b.self, StreamsChanged: changed, PartsChanged: changed,
+		Others: func() []zonereader.Box { return f.others(b) }, Dial: f.dial,
 	})
 }
 
 // run starts a box.
-func (bs *boxes) run(ctx context.Context, b *box) {
-	for _, loop := range []func(context.Context){b.registry.LoopOperator, b.registry.LoopServers, b.zone.LoopFollow} {
-		bs.wait.Go(func() { loop(ctx) })
+func (f *testFleet) run(ctx context.Context, b *testBox) {
+	for _, loop := range []func(context.Context){b.registry.LoopOperator, b.registry.LoopServers, b.member.LoopFollow} {
+		f.wait.Go(func() { loop(ctx) })
 	}
-	bs.wait.Go(func() { b.zone.LoopAccept(ctx, b); b.zone.Wait() })
+	f.wait.Go(func() { b.member.LoopAccept(ctx, b); b.member.Wait() })
 }
 
-func (bs *boxes) others(but *box) []zonereader.Box {
+func (f *testFleet) others(except *testBox) []zonereader.Box {
 	var others []zonereader.Box
-	for _, b := range bs.all() {
-		if b != but {
+	for _, b := range f.all() {
+		if b != except {
 			others = append(others, b.self)
 		}
 	}
 	return others
 }
 
-func (bs *boxes) dial(ctx context.Context, address string) (net.Conn, error) {
-	for _, b := range bs.all() {
+func (f *testFleet) dial(ctx context.Context, address string) (net.Conn, error) {
+	for _, b := range f.all() {
 		if b.self.Address != address {
 			continue
 		}
@@ -219,28 +219,28 @@
 	return nil, errors.New("no such box")
 }
 
-// reader gives the box that the others follow.
-func (bs *boxes) reader() *box {
-	for _, b := range bs.list {
-		if b.zone.Following() == "" {
+// reader returns the box that the others follow.
+func (f *testFleet) reader() *testBox {
+	for _, b := range f.list {
+		if b.member.Following() == "" {
 			return b
 		}
 	}
 	return nil
 }
 
-// calls gives how many calls of the log all boxes made.
-func (bs *boxes) calls() (total int64) {
-	for _, b := range bs.list {
+// calls returns the number of calls of the log by all boxes.
+func (f *testFleet) calls() (total int64) {
+	for _, b := range f.list {
 		total += b.log.calls.Load()
 	}
 	return total
 }
 
-// knowing counts the boxes with a version of the configuration, and draining those that
-// have seen the server leave.
-func (bs *boxes) knowing(version int64) (count int) {
-	for _, b := range bs.list {
+// countVersion counts the boxes with a version of the configuration, and countDraining those that
+// know that the server is leaving.
+func (f *testFleet) countVersion(version int64) (count int) {
+	for _, b := range f.list {
 		if c := b.registry.Catalog(); c != nil && c.Version() == version {
 			count++
 		}
@@ -248,8 +248,8 @@
 	return count
 }
 
-func (bs *boxes) draining() (count int) {
-	for _, b := range bs.list {
+func (f *testFleet) countDraining() (count int) {
+	for _, b := range f.list {
 		if b.fleet.Choose(fleet.Query{Service: "s"}) == nil {
 			count++
 		}
@@ -257,107 +257,108 @@
 	return count
 }
 
-func bubble(t *testing.T, count int, test func(g *WithT, bs *boxes)) {
+func inBubble(t *testing.T, count int, test func(g *WithT, f *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		bs := start(ctx, count)
-		defer bs.wait.Wait()
+		f := start(ctx, count)
+		defer f.wait.Wait()
 		defer cancel()
 		time.Sleep(5 * time.Second)
-		test(NewWithT(t), bs)
+		test(NewWithT(t), f)
 	})
 }
 
-// Boxes once read all for themselves: with 82 boxes that was 3.3 calls of the log a second
-// for each, the largest price of a day.
-func TestTheLogIsReadByOneBoxForAll(t *testing.T) {
-	bubble(t, 12, func(g *WithT, bs *boxes) {
-		before := bs.calls()
+// If each box reads the log directly, each of 82 boxes makes 3.3 calls a second, which was the
+// largest part of the cost of a day.
+func TestOneBoxReadsTheLogForAll(t *testing.T) {
+	inBubble(t, 12, func(g *WithT, f *testFleet) {
+		before := f.calls()
 		for i := range 10 {
-			bs.log.Put(sharedlog.Servers, "server", []byte("ready")) // a heartbeat
-			bs.log.Put(sharedlog.Operator, "config", fmt.Appendf(nil, "%0*d", i+2, 0))
+			f.log.Put(sharedlog.Servers, "server", []byte("ready")) // a heartbeat
+			f.log.Put(sharedlog.Operator, "config", fmt.Appendf(nil, "%0*d", i+2, 0))
 			time.Sleep(time.Second)
-			g.Expect(bs.knowing(int64(i + 2))).To(Equal(12))
+			g.Expect(f.countVersion(int64(i + 2))).To(Equal(12))
 		}
-		// The servers' stream each 0.7 s, the operators' in reads of 0.5 s or more of which
-		// each record ends one; twelve boxes would make 60.
-		const aSecond = 7
-		g.Expect(bs.calls() - before).To(BeNumerically("<=", 10*aSecond))
-		bs.log.Put(sharedlog.Servers, "server", []byte("leaving"))
+		// The servers' stream is polled every 0.7 s, and the operators' stream with long polls of
+		// 0.5 s or more, one of which ends with each record; twelve boxes would make 60 calls a
+		// second.
+		const maxPerSecond = 7
+		g.Expect(f.calls() - before).To(BeNumerically("<=", 10*maxPerSecond))
+		f.log.Put(sharedlog.Servers, "server", []byte("leaving"))
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(bs.draining()).To(Equal(12))
+		g.Expect(f.countDraining()).To(Equal(12))
 	})
 }
 
-// What the platform asks for in time (two seconds here) must not rest on the reader.
-func TestWhatMustBeKnownInTimeIsKnownWhateverBecomesOfTheReader(t *testing.T) {
+// The platform's deadline (2 s here) must not depend on the reader.
+func TestDeadlinesHoldWhenTheReaderFails(t *testing.T) {
 	tests := []struct {
-		name    string
-		breakIt func(reader *box)
-		alone   bool
+		name         string
+		fail         func(reader *testBox)
+		readerMisses bool
 	}{
-		{"it stands still", func(reader *box) { reader.silent.Store(true); reader.log.cut.Store(true) }, true},
-		{"it is cut off from the other boxes", func(reader *box) { reader.silent.Store(true) }, false},
-		{"it is cut off from the log", func(reader *box) { reader.log.cut.Store(true) }, true},
+		{"the reader is frozen", func(reader *testBox) { reader.silent.Store(true); reader.log.cut.Store(true) }, true},
+		{"the reader is cut off from the other boxes", func(reader *testBox) { reader.silent.Store(true) }, false},
+		{"the reader is cut off from the log", func(reader *testBox) { reader.log.cut.Store(true) }, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			for _, moment := range []time.Duration{0, 130, 260, 390, 520, 650, 780, 910} {
-				bubble(t, 8, func(g *WithT, bs *boxes) {
+				inBubble(t, 8, func(g *WithT, f *testFleet) {
 					time.Sleep(moment * time.Millisecond)
-					test.breakIt(bs.reader())
-					bs.log.Put(sharedlog.Operator, "config", []byte("vv"))
-					bs.log.Put(sharedlog.Servers, "server", []byte("leaving"))
+					test.fail(f.reader())
+					f.log.Put(sharedlog.Operator, "config", []byte("vv"))
+					f.log.Put(sharedlog.Servers, "server", []byte("leaving"))
 					time.Sleep(1900 * time.Millisecond)
 					informed := 8
-					if test.alone {
+					if test.readerMisses {
 						informed-- // the reader itself cannot know
 					}
-					g.Expect(bs.knowing(2)).To(BeNumerically(">=", informed))
-					g.Expect(bs.draining()).To(BeNumerically(">=", informed))
+					g.Expect(f.countVersion(2)).To(BeNumerically(">=", informed))
+					g.Expect(f.countDraining()).To(BeNumerically(">=", informed))
 				})
 			}
 		})
 	}
 }
 
-// Boxes that are told by another one do not read the log for long, and connections that rest
-// meanwhile may go silent without a reset. When such a box has to read itself, its first call
-// then brings nothing. A word counted for 1.5 s, that call took 1 s, or 2 s if the read was
-// to be held, and the platform gives 2 s in all.
-func TestWhatMustBeKnownInTimeIsKnownThoughConnectionsHaveGoneSilent(t *testing.T) {
+// Followers do not read the log for a long time, and their idle connections may meanwhile die
+// without a reset. When such a box has to read directly, its first call then gets no response. An
+// update used to be valid for 1.5 s and that call took 1 s, or 2 s if it was a long poll, while the
+// platform's deadline is 2 s in all.
+func TestDeadlinesHoldOnDeadConnections(t *testing.T) {
 	for _, moment := range []time.Duration{0, 130, 260, 390, 520, 650, 780, 910} {
-		bubble(t, 8, func(g *WithT, bs *boxes) {
+		inBubble(t, 8, func(g *WithT, f *testFleet) {
 			time.Sleep(moment * time.Millisecond)
-			reader := bs.reader()
-			for _, b := range bs.list {
+			reader := f.reader()
+			for _, b := range f.list {
 				if b != reader {
 					b.log.silence()
 				}
 			}
 			reader.silent.Store(true)
 			reader.log.cut.Store(true)
-			bs.log.Put(sharedlog.Operator, "config", []byte("vv"))
-			bs.log.Put(sharedlog.Servers, "server", []byte("leaving"))
+			f.log.Put(sharedlog.Operator, "config", []byte("vv"))
+			f.log.Put(sharedlog.Servers, "server", []byte("leaving"))
 			time.Sleep(1900 * time.Millisecond)
-			g.Expect(bs.knowing(2)).To(BeNumerically(">=", 7), "moment %d", moment)
-			g.Expect(bs.draining()).To(BeNumerically(">=", 7), "moment %d", moment)
+			g.Expect(f.countVersion(2)).To(BeNumerically(">=", 7), "moment %d", moment)
+			g.Expect(f.countDraining()).To(BeNumerically(">=", 7), "moment %d", moment)
 		})
 	}
 }
 
-// A box must not believe a word for longer because it was long on its way.
-func TestAWordIsAsOldAsWhatItSays(t *testing.T) {
-	bubble(t, 4, func(g *WithT, bs *boxes) {
-		reader := bs.reader()
+// A box must not rely on an update for longer because it was in transit for long.
+func TestUpdatesCountAsOldAsTheirContent(t *testing.T) {
+	inBubble(t, 4, func(g *WithT, f *testFleet) {
+		reader := f.reader()
 		reader.log.cut.Store(true)
 		cutAt := time.Now()
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
-			for _, b := range bs.list {
-				if b.zone.Following() != reader.self.Name || !b.registry.UsesReader() {
-					continue // it has left the reader, and is told by one that reads
+			for _, b := range f.list {
+				if b.member.Following() != reader.self.Name || !b.registry.UsesReader() {
+					continue // has left the reader and follows one that can read
 				}
 				g.Expect(b.registry.OperatorReadAt()).To(BeTemporally("<=", cutAt))
 				g.Expect(time.Since(cutAt)).To(BeNumerically("<=", 1600*time.Millisecond))
@@ -366,36 +367,36 @@
 	})
 }
 
-// A reader that cannot read the log is left, so that its zone does not read for itself.
-func TestAReaderThatIsCutOffFromTheLogIsLeft(t *testing.T) {
-	bubble(t, 12, func(g *WithT, bs *boxes) {
-		reader := bs.reader()
+// A reader that cannot read the log is replaced, so that its zone does not read directly.
+func TestReaderCutOffFromTheLogIsReplaced(t *testing.T) {
+	inBubble(t, 12, func(g *WithT, f *testFleet) {
+		reader := f.reader()
 		reader.log.cut.Store(true)
 		time.Sleep(6 * time.Second)
-		for _, b := range bs.list {
-			g.Expect(b.zone.Following()).NotTo(Equal(reader.self.Name))
+		for _, b := range f.list {
+			g.Expect(b.member.Following()).NotTo(Equal(reader.self.Name))
 		}
-		before := bs.calls() - reader.log.calls.Load()
+		before := f.calls() - reader.log.calls.Load()
 		time.Sleep(10 * time.Second)
-		const aSecond = 12 // two boxes may read at times: some followers look whether the old one is back
-		g.Expect(bs.calls() - reader.log.calls.Load() - before).To(BeNumerically("<=", 10*aSecond))
-		bs.log.Put(sharedlog.Operator, "config", []byte("vv"))
+		const maxPerSecond = 12 // two boxes may read at times: some followers check whether the old reader is back
+		g.Expect(f.calls() - reader.log.calls.Load() - before).To(BeNumerically("<=", 10*maxPerSecond))
+		f.log.Put(sharedlog.Operator, "config", []byte("vv"))
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(bs.knowing(2)).To(BeNumerically(">=", 11))
+		g.Expect(f.countVersion(2)).To(BeNumerically(">=", 11))
 	})
 }
 
-// The log's outage is no reason to leave the reader, nor to take anything back.
-func TestAnOutageOfTheLogChangesNothing(t *testing.T) {
-	bubble(t, 5, func(g *WithT, bs *boxes) {
-		bs.log.Faults().SetFaults(fakelog.Faults{Down: true})
+// An outage of the log is no reason to leave the reader, nor to change the view.
+func TestLogOutageChangesNothing(t *testing.T) {
+	inBubble(t, 5, func(g *WithT, f *testFleet) {
+		f.log.Faults().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(20 * time.Second)
-		g.Expect(bs.knowing(1)).To(Equal(5))
-		bs.log.Put(sharedlog.Operator, "config", []byte("vv")) // and the log is back
+		g.Expect(f.countVersion(1)).To(Equal(5))
+		f.log.Put(sharedlog.Operator, "config", []byte("vv")) // the write also ends the outage
 		time.Sleep(2 * time.Second)
-		g.Expect(bs.knowing(2)).To(Equal(5))
-		before := bs.calls()
+		g.Expect(f.countVersion(2)).To(Equal(5))
+		before := f.calls()
 		time.Sleep(10 * time.Second)
-		g.Expect(bs.calls() - before).To(BeNumerically("<=", 40))
+		g.Expect(f.calls() - before).To(BeNumerically("<=", 40))
 	})
 }
