--- a/internal/sharedlog/measured.go
+++ b/internal/sharedlog/measured.go
@@ -1,4 +1,4 @@
-// Counting calls of the log: each has a price, also one that is refused.
+// Metrics of the calls of the log: each call has a price, even if it is refused.
 
 package sharedlog
 
@@ -14,8 +14,8 @@
 	"github.com/cometlock/cometlock/internal/telemetry"
 )
 
-// Measured is a Log that counts its calls by kind, stream and end, and measures how
-// long those that are not held take.
+// Measured is a Log that counts its calls by kind, stream and outcome, and measures the latency of
+// those that are not long polls.
 type Measured struct {
 	log   Log
 	scope tally.Scope
@@ -29,8 +29,8 @@
 	return &Measured{log: log, scope: scope, counts: map[string]int{}}
 }
 
-// TakeCounts gives the calls since the last time by stream, kind and end, such as
-// "servers/read/done", and begins anew.
+// TakeCounts returns the calls since its last call by stream, kind and outcome, such as
+// "servers/read/done", and resets the counts.
 func (m *Measured) TakeCounts() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,7 +43,7 @@
 func (m *Measured) Newest(ctx context.Context, stream Stream) (Page, error) {
 	began := boottime.Now()
 	page, err := m.log.Newest(ctx, stream)
-	m.note("newest", stream, began, err)
+	m.recordCall("newest", stream, began, err)
 	return page, err
 }
 
@@ -55,7 +55,7 @@
 	if wait > 0 {
 		kind = "held_read"
 	}
-	m.note(kind, stream, began, err)
+	m.recordCall(kind, stream, began, err)
 	return page, err
 }
 
@@ -63,25 +63,25 @@
 func (m *Measured) Append(ctx context.Context, stream Stream, end int64, record Record) (int64, error) {
 	began := boottime.Now()
 	offset, err := m.log.Append(ctx, stream, end, record)
-	m.note("append", stream, began, err)
+	m.recordCall("append", stream, began, err)
 	return offset, err
 }
 
-func (m *Measured) note(kind string, stream Stream, began time.Time, err error) {
-	end := endOf(err)
+func (m *Measured) recordCall(kind string, stream Stream, began time.Time, err error) {
+	outcome := outcomeOf(err)
 	m.mu.Lock()
-	m.counts[stream.String()+"/"+kind+"/"+end]++
+	m.counts[stream.String()+"/"+kind+"/"+outcome]++
 	m.mu.Unlock()
-	scope := m.scope.Tagged(map[string]string{"kind": kind, "stream": stream.String(), "end": end})
+	scope := m.scope.Tagged(map[string]string{"kind": kind, "stream": stream.String(), "end": outcome})
 	scope.Counter("log_calls").Inc(1)
 	if kind != "held_read" {
 		scope.Histogram("log_call_seconds", telemetry.LatencyBuckets()).RecordDuration(boottime.Since(began))
 	}
 }
 
-// endOf names what became of a call.
-func endOf(err error) string {
-	if _, gone := errors.AsType[*RecordsExpiredError](err); gone {
+// outcomeOf returns the metrics' name for the outcome of a call.
+func outcomeOf(err error) string {
+	if _, expired := errors.AsType[*RecordsExpiredError](err); expired {
 		return "expired"
 	}
 	switch {
--- a/internal/sharedlog/measured_test.go
+++ b/internal/sharedlog/measured_test.go
@@ -12,22 +12,22 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// ending is a log whose calls all end alike.
-type ending struct{ err error }
+// fixedResultLog is a log whose calls all have the same outcome.
+type fixedResultLog struct{ err error }
 
-func (e ending) Newest(context.Context, sharedlog.Stream) (sharedlog.Page, error) {
-	return sharedlog.Page{}, e.err
+func (l fixedResultLog) Newest(context.Context, sharedlog.Stream) (sharedlog.Page, error) {
+	return sharedlog.Page{}, l.err
 }
 
-func (e ending) Read(context.Context, sharedlog.Stream, int64, time.Duration) (sharedlog.Page, error) {
-	return sharedlog.Page{}, e.err
+func (l fixedResultLog) Read(context.Context, sharedlog.Stream, int64, time.Duration) (sharedlog.Page, error) {
+	return sharedlog.Page{}, l.err
 }
 
-func (e ending) Append(context.Context, sharedlog.Stream, int64, sharedlog.Record) (int64, error) {
-	return 0, e.err
+func (l fixedResultLog) Append(context.Context, sharedlog.Stream, int64, sharedlog.Record) (int64, error) {
+	return 0, l.err
 }
 
-func TestCallsOfTheLogAreCountedByKindStreamAndEnd(t *testing.T) {
+func TestCallsAreCountedByKindStreamAndOutcome(t *testing.T) {
 	tests := []struct {
 		name string
 		err  error
@@ -43,11 +43,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			scope := tally.NewTestScope("", nil)
-			log := sharedlog.NewMeasured(ending{test.err}, scope)
+			log := sharedlog.NewMeasured(fixedResultLog{test.err}, scope)
 			ctx := context.Background()
 			for _, err := range []error{
-				second(log.Newest(ctx, sharedlog.Servers)), second(log.Read(ctx, sharedlog.Operator, 0, time.Second)),
-				second(log.Read(ctx, sharedlog.Servers, 0, 0)), second(log.Append(ctx, sharedlog.Orders, 0, sharedlog.Record{})),
+				errorOf(log.Newest(ctx, sharedlog.Servers)), errorOf(log.Read(ctx, sharedlog.Operator, 0, time.Second)),
+				errorOf(log.Read(ctx, sharedlog.Servers, 0, 0)), errorOf(log.Append(ctx, sharedlog.Orders, 0, sharedlog.Record{})),
 			} {
 				if test.err == nil {
 					g.Expect(err).NotTo(HaveOccurred())
@@ -67,4 +67,4 @@
 	}
 }
 
-func second[T any](_ T, err error) error { return err }
+func errorOf[T any](_ T, err error) error { return err }
--- a/internal/sharedlog/sharedlog.go
+++ b/internal/sharedlog/sharedlog.go
@@ -1,9 +1,8 @@
-// Package sharedlog is what a box needs of the platform's log, in the product's
-// words: streams of records in order, of which some keep the newest record of each
-// key.
+// Package sharedlog is the interface to the platform's log, in the product's terms: ordered streams
+// of records, some of which keep the newest record of each key.
 //
-// The log's answers are the only things that boxes agree by. A call that brought
-// no answer may have taken effect (ErrUnknown) or not (any other error).
+// The log is the only means by which boxes reach agreement. A call without a response may have
+// taken effect (ErrUnknown); a call with any other error has not.
 package sharedlog
 
 import (
@@ -18,14 +17,14 @@
 // Errors of a log.
 var (
 	// ErrConflict says that the stream does not end where the append expected.
-	ErrConflict = merry.Sentinel("the stream has other records by now")
-	// ErrRefused says that the log turned the call away and did nothing.
+	ErrConflict = merry.Sentinel("the stream does not end at the expected offset")
+	// ErrRefused says that the log rejected the call without any effect.
 	ErrRefused = merry.Sentinel("the log refused the call")
-	// ErrUnknown says that no answer came: the call may have taken effect.
-	ErrUnknown = merry.Sentinel("the log gave no answer")
+	// ErrUnknown says that there was no response: the call may have taken effect.
+	ErrUnknown = merry.Sentinel("the log did not respond")
 )
 
-// GoneError says that the records asked for are no longer kept.
+// RecordsExpiredError says that the requested records are no longer retained.
 type RecordsExpiredError struct {
 	// First is the offset of the first record that still is.
 	First int64
@@ -33,25 +32,25 @@
 
 // Error implements error.
 func (e *RecordsExpiredError) Error() string {
-	return fmt.Sprintf("the log keeps records from offset %d on only", e.First)
+	return fmt.Sprintf("the log retains records only from offset %d on", e.First)
 }
 
-// Stream names one of the streams that boxes follow.
+// Stream identifies one of the streams that boxes read.
 type Stream uint8
 
 const (
-	// Operator holds what operators declare: the configuration and the weight
-	// versions of models. It keeps the newest record of each key.
+	// Operator holds what operators declare: the configuration and the weight versions of models.
+	// It keeps the newest record of each key.
 	Operator Stream = iota + 1
-	// Servers holds what backend servers say of themselves, by incarnation.
+	// Servers holds the records in which backend servers describe themselves, by incarnation.
 	Servers
-	// Boxes holds where the entry boxes reach each other, by name.
+	// Boxes holds the addresses at which entry boxes reach each other, by name.
 	Boxes
 	// Orders holds which box gives orders to runners; its records have no keys.
 	Orders
 )
 
-// String gives the name for logs and metrics.
+// String returns the name for logs and metrics.
 func (s Stream) String() string {
 	switch s {
 	case Operator:
@@ -67,17 +66,16 @@
 	}
 }
 
-// Record is the newest word on a key as of its offset. No value means that the
-// key is gone.
+// Record is the newest value of a key as of its offset. No value means that the key was deleted.
 type Record struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+	_msgpack struct{} `msgpack:",as_array"` // field names would double its size
 
 	Key    string `msgpack:"k"`
 	Value  []byte `msgpack:"v"`
 	Offset int64  `msgpack:"o"`
 }
 
-// Page is an answer to a read.
+// Page is the response to a read.
 type Page struct {
 	Records []Record
 	// Next is the offset that the next read begins at.
@@ -86,49 +84,46 @@
 	End int64
 }
 
-// AnyEnd appends wherever the stream ends.
+// AnyEnd makes Append succeed wherever the stream ends.
 const AnyEnd = -1
 
-// FromNewest has ReadOn read the newest record of each key, as every negative offset
-// does.
+// FromNewest makes ReadNext read the newest record of each key, as every negative offset does.
 const FromNewest = -1
 
 // Log is the platform's log.
 type Log interface {
-	// Newest gives the newest record of each key of a stream that has keys, and the
-	// offset to read on from.
+	// Newest returns the newest record of each key of a stream that has keys, and the offset of the
+	// next read.
 	Newest(ctx context.Context, stream Stream) (Page, error)
-	// Read gives records from an offset on, waiting up to wait for the first.
+	// Read returns records from an offset on, waiting up to wait for the first one.
 	Read(ctx context.Context, stream Stream, from int64, wait time.Duration) (Page, error)
-	// Append adds one record. With an end other than AnyEnd it does so only if the
-	// stream ends there, and gives ErrConflict otherwise. It gives the record's
-	// offset.
+	// Append adds one record and returns its offset. With an end other than AnyEnd it does so only
+	// if the stream ends there, and returns ErrConflict otherwise.
 	Append(ctx context.Context, stream Stream, end int64, record Record) (int64, error)
 }
 
-// ReadOn reads a stream that has keys as those do who follow it: whole at first and
-// after records that are no longer kept, by the newest record of each key, and otherwise
-// what was added, waiting up to wait for the first record. limit bounds a read besides that
-// wait; a whole reading, of several pages, has newestLimit.
-func ReadNext(ctx context.Context, log Log, stream Stream, from int64, wait, limit time.Duration) (page Page, whole bool, err error) {
+// ReadNext reads a stream that has keys for a box that follows it. At first, and when the next
+// records are no longer retained, it is a full read of the newest record of each key; otherwise it
+// returns the records from an offset on, waiting up to wait for the first one. timeout bounds a
+// read in addition to that wait; a full read, of several pages, has newestTimeout.
+func ReadNext(ctx context.Context, log Log, stream Stream, from int64, wait, timeout time.Duration) (page Page, full bool, err error) {
 	if from >= 0 {
-		page, err = readWithin(ctx, log, stream, from, wait, limit)
-		if _, gone := errors.AsType[*RecordsExpiredError](err); !gone {
+		page, err = readWithTimeout(ctx, log, stream, from, wait, timeout)
+		if _, expired := errors.AsType[*RecordsExpiredError](err); !expired {
 			return page, false, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, newestLimit)
+	ctx, cancel := context.WithTimeout(ctx, newestTimeout)
 	defer cancel()
 	page, err = log.Newest(ctx, stream)
 	return page, true, err
 }
 
-// newestLimit is the time for three pages of a log that takes 260 ms for each, which is
-// slow.
-const newestLimit = time.Second
+// newestTimeout is the time for three pages of a slow log, which takes 260 ms for each.
+const newestTimeout = time.Second
 
-func readWithin(ctx context.Context, log Log, stream Stream, from int64, wait, limit time.Duration) (Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+limit)
+func readWithTimeout(ctx context.Context, log Log, stream Stream, from int64, wait, timeout time.Duration) (Page, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+timeout)
 	defer cancel()
 	return log.Read(ctx, stream, from, wait)
 }
