--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,8 +1,8 @@
-// Package follow keeps the configuration in force in an entry box.
+// Package follow maintains the configuration in force in an entry box.
 //
-// It reads the log's configuration stream, and takes newer states from peers
-// when the log cannot be reached or a box has just started. It moves forward
-// only: a version with a lower offset never replaces one with a higher.
+// It reads the log's configuration stream, and adopts newer states from peers when the log cannot
+// be reached or the box has just started. Versions only increase: a version with a lower offset
+// never replaces one with a higher offset.
 package follow
 
 import (
@@ -19,19 +19,19 @@
 	"github.com/cometlock/cometlock/internal/ring"
 )
 
-// Config sets up a Follower.
+// Config configures a Follower.
 type Config struct {
 	Log    logservice.Log
 	Logger zerolog.Logger
 	// PollWait is how long a read may wait at the log for a new record.
 	PollWait time.Duration
-	// RetryDelay is the pause after the log failed.
+	// RetryDelay is the delay after a failed call of the log.
 	RetryDelay time.Duration
-	// CheckpointEvery is after how many records without a checkpoint this box
-	// writes one; CheckpointAfter is after how much time.
+	// CheckpointEvery is the number of records without a checkpoint after which this box writes
+	// one; CheckpointAfter is the time after which it does.
 	CheckpointEvery int64
 	CheckpointAfter time.Duration
-	// Changed is called with each new configuration, in order.
+	// OnChange is called with each new configuration, in order.
 	OnChange func(*config.Snapshot)
 }
 
@@ -53,31 +53,32 @@
 	SourcePeer Source = "peer"
 )
 
-// Follower keeps the configuration in force.
+// Follower maintains the configuration in force.
 type Follower struct {
 	cfg    Config
 	reader *configlog.Reader
 	offers *ring.Ring[configlog.State]
 
-	mu        sync.Mutex
-	state     configlog.State
-	snapshot  *config.Snapshot
-	source    Source
-	since     time.Time
-	logError  string
-	reachable time.Time
-	recent    history
-	interrupt context.CancelFunc
+	mu            sync.Mutex
+	state         configlog.State
+	snapshot      *config.Snapshot
+	source        Source
+	inForceSince  time.Time
+	logError      string
+	reachableAt   time.Time
+	recentChanges history
+	interrupt     context.CancelFunc
 
-	// checkpointAt is the offset of the last checkpoint seen, and when.
-	checkpointAt   int64
-	checkpointTime time.Time
+	// checkpointOffset is the offset of the last checkpoint that was read or written, and
+	// checkpointTime the time of that.
+	checkpointOffset int64
+	checkpointTime   time.Time
 }
 
-// offersCapacity bounds the states of peers that wait to be looked at.
+// offersCapacity bounds the queue of states that peers have offered.
 const offersCapacity = 4
 
-// New makes a follower that knows no version.
+// New returns a follower without a version.
 func New(cfg Config) *Follower {
 	setDefault(&cfg.PollWait, DefaultPollWait)
 	setDefault(&cfg.RetryDelay, DefaultRetryDelay)
@@ -104,25 +105,25 @@
 	for ctx.Err() == nil {
 		f.takeOffers()
 		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
-			f.pause(ctx)
+			f.waitForOffer(ctx)
 		}
 	}
 }
 
-// poll reads what is new in the log. An offer of a peer interrupts it.
+// poll reads new records of the log. A peer's offer interrupts it.
 func (f *Follower) poll(ctx context.Context) error {
 	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.mu.Lock()
 	f.interrupt = cancel
 	wait := f.cfg.PollWait
-	if f.reachable.IsZero() || f.logError != "" {
-		wait = 0 // find out first whether the log answers
+	if f.reachableAt.IsZero() || f.logError != "" {
+		wait = 0 // first check whether the log responds at all
 	}
 	f.mu.Unlock()
-	atEnd, err := f.reader.Poll(pollCtx, wait, f.see)
+	atEnd, err := f.reader.Poll(pollCtx, wait, f.handleEvent)
 	interrupted := pollCtx.Err() != nil
-	f.noteLog(err, interrupted)
+	f.recordPoll(err, interrupted)
 	f.publish(SourceLog)
 	if interrupted {
 		return nil
@@ -133,13 +134,13 @@
 	return err
 }
 
-func (f *Follower) noteLog(err error, interrupted bool) {
+func (f *Follower) recordPoll(err error, interrupted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case err == nil:
 		f.logError = ""
-		f.reachable = time.Now()
+		f.reachableAt = time.Now()
 	case !interrupted:
 		if f.logError == "" {
 			f.cfg.Logger.Warn().Str("error", err.Error()).Msg("log_lost")
@@ -148,21 +149,22 @@
 	}
 }
 
-// see is told of each record that was folded.
-func (f *Follower) see(event configlog.Event) {
+// handleEvent is called with each record that the reader has folded, and its verdict.
+func (f *Follower) handleEvent(event configlog.Event) {
 	if event.Record.Kind == configlog.KindCheckpoint {
-		f.checkpointAt, f.checkpointTime = event.Offset, time.Now()
+		f.checkpointOffset, f.checkpointTime = event.Offset, time.Now()
 		return
 	}
 	f.cfg.Logger.Info().Int64("offset", event.Offset).Stringer("verdict", event.Verdict).Str("apply", event.Record.ApplyID).Msg("config_record")
 	if event.Verdict == configlog.Accepted {
 		f.mu.Lock()
-		f.recent.add(event)
+		f.recentChanges.add(event)
 		f.mu.Unlock()
 	}
 }
 
-// Offer hands over the state of a peer. It never waits: a peer offers again.
+// Offer queues the state of a peer. It never blocks and may drop the state: peers repeat their
+// offers.
 func (f *Follower) Offer(state configlog.State) {
 	if !f.offers.TryPush(state) {
 		return
@@ -187,7 +189,7 @@
 	}
 }
 
-func (f *Follower) pause(ctx context.Context) {
+func (f *Follower) waitForOffer(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.RetryDelay)
 	defer cancel()
 	state, err := f.offers.Pop(ctx)
@@ -196,9 +198,9 @@
 	}
 }
 
-// publish puts the reader's version into force if it is newer. This is the one
-// place where the version in force changes, and it never goes back. The version and its
-// content change together: a call that comes after the version was told is served by it.
+// publish puts the reader's version into force if it is newer. The version in force changes only
+// here, and it never decreases. The version and its content change together, so that a call that
+// arrives after the version was reported is served by it.
 func (f *Follower) publish(source Source) {
 	state, known := f.reader.State()
 	before := f.State().Version
@@ -211,12 +213,12 @@
 	}
 	snapshot, err := config.NewSnapshot(state.Version, state.Entries)
 	if err != nil {
-		f.setState(state) // so that it is told of once
+		f.setState(state) // so that the error is logged only once
 		f.cfg.Logger.Error().Int64("version", state.Version).Str("error", err.Error()).Msg("config_unreadable")
 		return
 	}
 	f.mu.Lock()
-	f.state, f.snapshot, f.source, f.since = state, snapshot, source, time.Now()
+	f.state, f.snapshot, f.source, f.inForceSince = state, snapshot, source, time.Now()
 	f.mu.Unlock()
 	f.cfg.Logger.Info().Int64("version", state.Version).Stringer("digest", state.Digest).Str("source", string(source)).Msg("config_in_force")
 	f.cfg.OnChange(snapshot)
@@ -228,46 +230,46 @@
 	f.state = state
 }
 
-// checkpoint writes a checkpoint when the last one is far behind. Several boxes
-// may write the same one at the same moment; readers take any.
+// checkpoint writes a checkpoint when the last one is too old. Several boxes may write the same one
+// at the same moment; readers accept any of them.
 func (f *Follower) checkpoint(ctx context.Context) {
 	state, known := f.reader.State()
 	if !known || state.Version == config.NoVersion {
 		return
 	}
-	behind := state.ReadTo - f.checkpointAt
+	behind := state.ReadTo - f.checkpointOffset
 	due := behind >= f.cfg.CheckpointEvery || time.Since(f.checkpointTime) >= f.cfg.CheckpointAfter
 	if !due {
 		return
 	}
-	f.checkpointAt, f.checkpointTime = state.ReadTo, time.Now()
+	f.checkpointOffset, f.checkpointTime = state.ReadTo, time.Now()
 	if err := configlog.AppendCheckpoint(ctx, f.cfg.Log, state); err != nil {
 		f.cfg.Logger.Warn().Str("error", err.Error()).Msg("checkpoint_failed")
 	}
 }
 
-// Snapshot gives the configuration in force, or nil when none is known.
+// Snapshot returns the configuration in force, or nil when there is none.
 func (f *Follower) Snapshot() *config.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot
 }
 
-// State gives the folded state in force.
+// State returns the folded state in force.
 func (f *Follower) State() configlog.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state
 }
 
-// LogReachable reports whether the log answered the last call.
+// LogReachable reports whether the log responded to the last call.
 func (f *Follower) LogReachable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.logError == "" && !f.reachable.IsZero()
+	return f.logError == "" && !f.reachableAt.IsZero()
 }
 
-// Status is the part of a state dump that describes the configuration.
+// Status is the section of a state dump that describes the configuration.
 type Status struct {
 	Version      int64  `json:"version"`
 	Digest       string `json:"digest"`
@@ -284,13 +286,13 @@
 	defer f.mu.Unlock()
 	status := Status{
 		Version: f.state.Version, Digest: f.state.Digest.String(), Source: f.source, ReadTo: f.state.ReadTo,
-		LogReachable: f.logError == "" && !f.reachable.IsZero(), LogError: f.logError,
+		LogReachable: f.logError == "" && !f.reachableAt.IsZero(), LogError: f.logError,
 	}
-	if !f.since.IsZero() {
-		status.Age = time.Since(f.since).Round(time.Millisecond).String()
+	if !f.inForceSince.IsZero() {
+		status.Age = time.Since(f.inForceSince).Round(time.Millisecond).String()
 	}
 	return status
 }
 
-// ErrNoConfiguration says that no version is known.
+// ErrNoConfiguration says that there is no version of the configuration.
 var ErrNoConfiguration = merry.Sentinel("no version of the configuration is known")
--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -7,14 +7,14 @@
 // maxHistory bounds the accepted changes that are kept for peers.
 const maxHistory = 256
 
-// Change is an accepted change as a peer needs it.
+// Change is an accepted change in the form in which it is sent to peers.
 type Change struct {
 	Offset int64            `msgpack:"o"`
 	Record configlog.Record `msgpack:"r"`
 }
 
-// history keeps the last accepted changes, so that a peer that is a little
-// behind gets a few hundred bytes instead of the whole configuration.
+// history keeps the last accepted changes, so that a peer that is slightly behind gets a few
+// hundred bytes instead of the whole configuration.
 type history struct {
 	changes []Change
 }
@@ -26,9 +26,8 @@
 	}
 }
 
-// since gives the changes that lead from a version to the newest one, and
-// whether they are all here. Each change names its base, so the first one must
-// build on exactly that version.
+// since returns the changes that lead from a version to the newest one, and whether all of them are
+// kept. Each change names its base version, so the first one must build on exactly that version.
 func (h *history) since(version int64) ([]Change, bool) {
 	for i, change := range h.changes {
 		if change.Record.Base == version {
@@ -38,19 +37,19 @@
 	return nil, false
 }
 
-// Since gives the accepted changes that lead from a version to the one in force.
+// Since returns the accepted changes that lead from a version to the one in force.
 func (f *Follower) Since(version int64) ([]Change, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changes, ok := f.recent.since(version)
+	changes, ok := f.recentChanges.since(version)
 	if !ok || changes[len(changes)-1].Offset != f.state.Version {
 		return nil, false
 	}
 	return changes, true
 }
 
-// OfferChanges hands over the changes of a peer that lead on from the version
-// in force here. It reports whether they do.
+// OfferChanges applies a peer's changes to the version in force and offers the result. It reports
+// whether the changes could be applied.
 func (f *Follower) OfferChanges(changes []Change) bool {
 	state := f.State()
 	for _, change := range changes {
