--- a/internal/storebox/storebox.go
+++ b/internal/storebox/storebox.go
@@ -1,9 +1,9 @@
-// Package storebox is the adapter to store boxes, which keep blocks of context
-// in memory and on disk.
+// Package storebox is the client of store boxes, which keep blocks of context in memory and on
+// disk.
 //
-// A block that is freed or only partly written must never be read. So a block is
-// written, then sealed, then named, in that order, and a reader checks all it
-// was told when it looked the name up:
+// A block that is freed or only partly written must never be read. So a block is written, then
+// sealed, then named, in that order, and a reader checks the block against everything that the
+// lookup of its name returned:
 //
 //	POST   /v1/blocks                     → slot and generation
 //	PUT    /v1/blocks/{slot}?generation=G   the bytes
@@ -11,11 +11,11 @@
 //	PUT    /v1/names/{key}                  slot, generation, length, digest
 //	GET    /v1/names/{key}                → the same
 //	GET    /v1/blocks/{slot}?generation=G → the bytes, refused for another generation
-//	GET    /v1/names?least_recent=N       → the N names looked up least lately
-//	DELETE /v1/names/{key}                  the generation goes up before the slot is free
+//	GET    /v1/names?least_recent=N       → the N least recently looked up names
+//	DELETE /v1/names/{key}                  increments the generation before the slot is freed
 //
-// The box refuses what it can, and the reader checks length and digest again,
-// since a box may be wrong. Whatever fails is a miss, never an answer.
+// The store box rejects what it can detect, and the reader checks length and digest again, since a
+// store box may be faulty. Every failure is treated as a miss, never as a block.
 package storebox
 
 import (
@@ -36,35 +36,35 @@
 
 // Errors of a store box.
 var (
-	// ErrMiss says that the block is not to be had, for whatever reason.
+	// ErrMiss says that the block cannot be read, for whatever reason.
 	ErrMiss = merry.Sentinel("the store box does not have the block")
 	// ErrFull says that there is no room for the block.
 	ErrFull = merry.Sentinel("the store box is full")
 )
 
-// Digest identifies the bytes of a block.
+// Digest is the SHA-256 hash of a block.
 type Digest [sha256.Size]byte
 
-// Slot is a place for a block.
+// Slot identifies a block's place in a store box.
 type Slot struct {
 	Slot       int64 `json:"slot"`
 	Generation int64 `json:"generation"`
 }
 
-// Name says where a named block is and what it must be.
+// Name is the entry of a named block: its place, and the length and digest that it must have.
 type Name struct {
 	Slot
 	Length int64  `json:"length"`
 	Digest []byte `json:"digest"`
 }
 
-// ClientConfig sets up a Client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	// Timeout bounds one call.
 	Timeout time.Duration
 }
 
-// DefaultTimeout is the Timeout where none is given.
+// DefaultTimeout is the Timeout if none is set.
 const DefaultTimeout = 2 * time.Second
 
 // Client reads and writes blocks.
@@ -72,7 +72,7 @@
 	http http.Client
 }
 
-// NewClient makes a client; it connects on first use.
+// NewClient returns a client; it connects on first use.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = DefaultTimeout
@@ -80,7 +80,7 @@
 	return &Client{http: http.Client{Timeout: cfg.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
 }
 
-// Put writes a block and names it. A block that has the name already is kept.
+// Put writes a block and names it. If the name already has a block, that block is kept.
 func (c *Client) Put(ctx context.Context, address string, key prefix.Key, data []byte) error {
 	base := "http://" + address
 	var slot Slot
@@ -103,8 +103,7 @@
 	return c.call(ctx, http.MethodPut, base+"/v1/names/"+key.String(), body, nil)
 }
 
-// Get reads a block. The error is ErrMiss unless the block is whole and the one
-// that has the name.
+// Get reads a block. It returns ErrMiss unless the block is complete and the one that has the name.
 func (c *Client) Get(ctx context.Context, address string, key prefix.Key) ([]byte, error) {
 	base := "http://" + address
 	var name Name
@@ -117,17 +116,17 @@
 	}
 	digest := sha256.Sum256(data)
 	if int64(len(data)) != name.Length || !bytes.Equal(digest[:], name.Digest) {
-		return nil, merry.Wrap(ErrMiss, merry.AppendMessage("the bytes are not those of the name"))
+		return nil, merry.Wrap(ErrMiss, merry.AppendMessage("the block does not match the length and digest of its name"))
 	}
 	return data, nil
 }
 
-// Free takes a block's name and room away.
+// Free deletes a block's name and frees its room.
 func (c *Client) Free(ctx context.Context, address string, key prefix.Key) error {
 	return c.call(ctx, http.MethodDelete, "http://"+address+"/v1/names/"+key.String(), nil, nil)
 }
 
-// LeastRecent gives the names that were looked up least lately.
+// LeastRecent returns the names that were looked up least recently.
 func (c *Client) LeastRecent(ctx context.Context, address string, count int) ([]prefix.Key, error) {
 	var keys []prefix.Key
 	err := c.call(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/names?least_recent=%d", address, count), nil, &keys)
@@ -143,7 +142,7 @@
 		return err
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return merry.Prepend(err, "the store box answers something else")
+		return merry.Prepend(err, "the store box sent an invalid response")
 	}
 	return nil
 }
@@ -172,7 +171,7 @@
 	case http.StatusInsufficientStorage:
 		return nil, ErrFull
 	default:
-		return nil, merry.Errorf("the store box answers with status %d", response.StatusCode)
+		return nil, merry.Errorf("the store box responded with status %d", response.StatusCode)
 	}
 }
 
--- a/internal/storebox/storebox_test.go
+++ b/internal/storebox/storebox_test.go
@@ -32,10 +32,10 @@
 	return prefix.NewChain(prefix.NewSalt("o", "m", fmt.Sprint(i)), make([]byte, prefix.BlockBytes)).Keys()[0]
 }
 
-// block is what a key's block must hold: no other's bytes will do.
+// block returns the content of a key's block, which differs from that of every other key.
 func block(i int) []byte { return bytes.Repeat([]byte(fmt.Sprintf("block %d ", i)), 50) }
 
-func TestOnlyAWholeBlockOfTheNameIsRead(t *testing.T) {
+func TestOnlyTheCompleteNamedBlockIsRead(t *testing.T) {
 	ctx := context.Background()
 	cases := []struct {
 		name   string
@@ -47,20 +47,20 @@
 	}{
 		{name: "whole", hit: true},
 		{name: "a torn write that the box notices", write: fakestore.Faults{Torn: true}},
-		{name: "a torn write that it does not", write: fakestore.Faults{Torn: true, NoChecks: true}},
+		{name: "a torn write that the box does not notice", write: fakestore.Faults{Torn: true, NoChecks: true}},
 		{name: "wrong bytes", read: fakestore.Faults{WrongBytes: true}},
 		{name: "freed", freed: true},
-		{name: "freed, and the box still tells the name", freed: true, read: fakestore.Faults{StaleNames: true}},
+		{name: "freed, and the box still resolves the name", freed: true, read: fakestore.Faults{StaleNames: true}},
 		{name: "freed and used for another block", freed: true, reused: true, read: fakestore.Faults{StaleNames: true}},
-		{name: "the same from a box that checks nothing", freed: true, reused: true, read: fakestore.Faults{StaleNames: true, NoChecks: true}},
-		{name: "a box that is gone", read: fakestore.Faults{Down: true}},
+		{name: "freed and used for another block, from a box that checks nothing", freed: true, reused: true, read: fakestore.Faults{StaleNames: true, NoChecks: true}},
+		{name: "an unreachable box", read: fakestore.Faults{Down: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			b := newBox(t, 1<<20)
 			b.store.SetFaults(c.write)
-			_ = b.client.Put(ctx, b.address, keyOf(1), block(1)) // its failure is part of some cases
+			_ = b.client.Put(ctx, b.address, keyOf(1), block(1)) // fails in some of the cases
 			b.store.SetFaults(fakestore.Faults{})
 			if c.freed {
 				g.Expect(b.client.Free(ctx, b.address, keyOf(1))).To(Succeed())
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestAFullBoxSaysSo(t *testing.T) {
+func TestFullBoxIsReported(t *testing.T) {
 	g := NewWithT(t)
 	b := newBox(t, 400)
 	ctx := context.Background()
@@ -91,9 +91,9 @@
 	g.Expect(b.client.Put(ctx, b.address, keyOf(2), block(2))).To(Succeed())
 }
 
-// Readers, writers and frees at once, on a box that checks nothing: every read
-// is a miss or exactly the block of its name.
-func TestReadsDuringFreesAreMissesOrRight(t *testing.T) {
+// Concurrent reads, writes and frees on a store box that checks nothing: every read is a miss or
+// returns exactly the block of its name.
+func TestReadsDuringFreesAreCorrectOrMiss(t *testing.T) {
 	b := newBox(t, 1<<20)
 	b.store.SetFaults(fakestore.Faults{NoChecks: true, StaleNames: true})
 	ctx := context.Background()
@@ -115,7 +115,7 @@
 				if err != nil {
 					misses++
 				} else if hits++; !bytes.Equal(data, block(i)) {
-					t.Errorf("key %d gave another block", i)
+					t.Errorf("key %d returned another block", i)
 				}
 				mu.Unlock()
 			}
