--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -45,8 +45,8 @@
 	mostLosses = 512
 )
 
-// Loss is a call that broke off.
-type Loss struct {
+// BrokenCall is a call that broke off.
+type BrokenCall struct {
 	Server fleet.Server
 	// Request is what the call asked, Caller stands for who asked it.
 	Request fingerprint.Fingerprint
@@ -58,13 +58,13 @@
 	Logger zerolog.Logger
 	// Connect connects to an address, and gives the system's error if it cannot.
 	Connect func(ctx context.Context, address string) error
-	// Near gives the addresses of other servers that are reached as a server is, the likeliest
+	// Neighbours gives the addresses of other servers that are reached as a server is, the likeliest
 	// first. Nil is for servers of the box's own zone alone, where no cut lies between.
-	Near func(server fleet.Server) []string
+	Neighbours func(server fleet.Server) []string
 	// Fate says what the registry knows of a life of a server.
 	Fate func(incarnation string) fleet.Fate
-	// Ended is told of each call under which a server ended.
-	Ended func(Loss)
+	// OnCrash is told of each call under which a server ended.
+	OnCrash func(BrokenCall)
 }
 
 // Detector tells crashes.
@@ -88,21 +88,21 @@
 }
 
 type openLoss struct {
-	Loss
+	BrokenCall
 	until time.Time
 }
 
 // New makes a detector.
 func New(cfg Config) *Detector { return &Detector{cfg: cfg, lives: map[string]*life{}} }
 
-// Judge reports whether the server of a call that broke off has ended. What is not known now
-// may be found out later; either way Ended is told.
-func (d *Detector) Judge(ctx context.Context, loss Loss) bool {
+// Check reports whether the server of a call that broke off has ended. What is not known now
+// may be found out later; either way OnCrash is told.
+func (d *Detector) Check(ctx context.Context, loss BrokenCall) bool {
 	if d.cfg.Fate(loss.Server.Incarnation) == fleet.FateLeft {
 		return false
 	}
 	if d.ended(ctx, loss.Server) {
-		d.cfg.Ended(loss)
+		d.cfg.OnCrash(loss)
 		return true
 	}
 	d.lookLater(loss)
@@ -137,10 +137,10 @@
 	if err := d.cfg.Connect(ctx, server.Address); !errors.Is(err, syscall.ECONNREFUSED) {
 		return false
 	}
-	if d.cfg.Near == nil {
+	if d.cfg.Neighbours == nil {
 		return true
 	}
-	near := d.cfg.Near(server)
+	near := d.cfg.Neighbours(server)
 	return slices.ContainsFunc(near[:min(len(near), mostNear)], func(address string) bool { return d.cfg.Connect(ctx, address) == nil })
 }
 
@@ -176,7 +176,7 @@
 }
 
 // lookLater has the registry looked at for a while.
-func (d *Detector) lookLater(loss Loss) {
+func (d *Detector) lookLater(loss BrokenCall) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.open) < mostLosses {
@@ -198,7 +198,7 @@
 		}
 		waiting.For(ctx, lookEvery)
 		for _, loss := range d.takeProved() {
-			d.cfg.Ended(loss)
+			d.cfg.OnCrash(loss)
 		}
 	}
 }
@@ -211,18 +211,18 @@
 
 // takeProved takes out the losses whose servers have ended, and drops those of which nothing
 // more will be known.
-func (d *Detector) takeProved() []Loss {
+func (d *Detector) takeProved() []BrokenCall {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := boottime.Now()
-	var proved []Loss
+	var proved []BrokenCall
 	kept := d.open[:0]
 	told := map[string]bool{}
 	for _, loss := range d.open {
 		fate := d.cfg.Fate(loss.Server.Incarnation)
 		switch {
 		case fate == fleet.FateReplaced:
-			proved = append(proved, loss.Loss)
+			proved = append(proved, loss.BrokenCall)
 			if incarnation := loss.Server.Incarnation; !told[incarnation] {
 				told[incarnation] = true
 				d.cfg.Logger.Warn().Str("server", incarnation).Str("service", loss.Server.Service).Str("address", loss.Server.Address).Str("proof", "registry").Msg("server_crashed")
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -30,7 +30,7 @@
 	near  error
 	fate  fleet.Fate
 	asked int
-	ended []crash.Loss
+	ended []crash.BrokenCall
 }
 
 func (o *outside) set(refuses bool, fate fleet.Fate) {
@@ -66,13 +66,13 @@
 			}
 			return nil
 		},
-		Near: func(fleet.Server) []string { return []string{nearAddress} },
+		Neighbours: func(fleet.Server) []string { return []string{nearAddress} },
 		Fate: func(string) fleet.Fate {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			return o.fate
 		},
-		Ended: func(loss crash.Loss) {
+		OnCrash: func(loss crash.BrokenCall) {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			o.ended = append(o.ended, loss)
@@ -85,8 +85,8 @@
 	return detector
 }
 
-func loss(name string) crash.Loss {
-	return crash.Loss{Server: fleet.Server{Incarnation: "s@1", Address: lostAddress}, Request: fingerprint.Of(fingerprint.Request{Target: name})}
+func loss(name string) crash.BrokenCall {
+	return crash.BrokenCall{Server: fleet.Server{Incarnation: "s@1", Address: lostAddress}, Request: fingerprint.Of(fingerprint.Request{Target: name})}
 }
 
 // On a day with a zone cut off, and its connections reset, a request came to be held that ended
@@ -121,7 +121,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				o := &outside{refuses: test.refuses, near: test.near, fate: test.fate}
-				crashed := o.start(t).Judge(t.Context(), loss("r"))
+				crashed := o.start(t).Check(t.Context(), loss("r"))
 				g.Expect(crashed).To(Equal(test.atOnce == 1))
 				_, ended := o.counts()
 				g.Expect(ended).To(Equal(test.atOnce))
@@ -143,11 +143,11 @@
 		detector := o.start(t)
 		var calls sync.WaitGroup
 		for i := range 10 {
-			calls.Go(func() { detector.Judge(t.Context(), loss(string(rune('a'+i)))) })
+			calls.Go(func() { detector.Check(t.Context(), loss(string(rune('a'+i)))) })
 		}
 		calls.Wait()
 		time.Sleep(time.Second)
-		detector.Judge(t.Context(), loss("late"))
+		detector.Check(t.Context(), loss("late"))
 		asked, ended := o.counts()
 		g.Expect(asked).To(Equal(1))
 		g.Expect(ended).To(Equal(11))
@@ -160,10 +160,10 @@
 		g := NewWithT(t)
 		o := &outside{fate: fleet.FateListed}
 		detector := o.start(t)
-		g.Expect(detector.Judge(t.Context(), loss("reset"))).To(BeFalse())
+		g.Expect(detector.Check(t.Context(), loss("reset"))).To(BeFalse())
 		time.Sleep(50 * time.Millisecond)
 		o.set(true, fleet.FateListed)
-		g.Expect(detector.Judge(t.Context(), loss("r"))).To(BeTrue())
+		g.Expect(detector.Check(t.Context(), loss("r"))).To(BeTrue())
 	})
 }
 
@@ -175,10 +175,10 @@
 		o := &outside{refuses: true, fate: fleet.FateListed}
 		detector := o.start(t)
 		leaving, leave := context.WithCancel(t.Context())
-		go detector.Judge(leaving, loss("first"))
+		go detector.Check(leaving, loss("first"))
 		synctest.Wait() // it asks
 		leave()
-		g.Expect(detector.Judge(t.Context(), loss("second"))).To(BeTrue())
+		g.Expect(detector.Check(t.Context(), loss("second"))).To(BeTrue())
 		time.Sleep(time.Second)
 		_, ended := o.counts()
 		g.Expect(ended).To(Equal(2))
--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -35,17 +35,17 @@
 	}
 	e.known = quarantine.New(quarantine.Config{
 		// Boxes of this program do not tell each other, so each tries for itself.
-		MayTry:  func(quarantine.Request) bool { return true },
-		Changed: func(change quarantine.Change) { tellChange(cfg.Logger, change) },
+		MayRetry: func(quarantine.Request) bool { return true },
+		OnChange: func(change quarantine.Change) { tellChange(cfg.Logger, change) },
 	})
-	e.crashes = crash.New(crash.Config{Logger: cfg.Logger, Connect: crash.Connect, Fate: e.fate, Ended: e.noteEnd})
+	e.crashes = crash.New(crash.Config{Logger: cfg.Logger, Connect: crash.Connect, Fate: e.fate, OnCrash: e.noteEnd})
 	return e
 }
 
 func tellChange(logger zerolog.Logger, change quarantine.Change) {
 	switch {
 	case change.Held:
-		logger.Warn().Stringer("fingerprint", change.Request).Int("ends", change.Ends).Msg("request_held")
+		logger.Warn().Stringer("fingerprint", change.Request).Int("ends", change.Crashes).Msg("request_held")
 	case change.Released:
 		logger.Warn().Stringer("fingerprint", change.Request).Msg("request_released")
 	}
@@ -68,9 +68,9 @@
 	return fleet.FateListed
 }
 
-func (e *endings) noteEnd(loss crash.Loss) {
+func (e *endings) noteEnd(loss crash.BrokenCall) {
 	life, _ := e.life(loss.Server.Incarnation)
-	e.known.NoteEnd(quarantine.Ended{Request: loss.Request, Caller: loss.Caller, Life: xxhash.Sum64String(loss.Server.Incarnation + "@" + life)})
+	e.known.NoteCrash(quarantine.Crash{Request: loss.Request, Caller: loss.Caller, Incarnation: xxhash.Sum64String(loss.Server.Incarnation + "@" + life)})
 }
 
 // admit gives the refusal of a request that is held.
@@ -93,13 +93,13 @@
 // endsServers finds out whether a server that gave no answer has ended, and reports whether the
 // request is to be handed to no other one for that: it was not the first.
 func (e *endings) endsServers(request *flow.Request, server *config.BackendServer) bool {
-	loss := crash.Loss{
+	loss := crash.BrokenCall{
 		Server: fleet.Server{Incarnation: server.Name, Address: server.Address}, Request: request.Fingerprint,
 	}
 	if request.Organisation != nil {
 		loss.Caller = xxhash.Sum64String(request.Organisation.Name)
 	}
-	return e.crashes.Judge(request.Context(), loss) && e.known.Ends(request.Fingerprint) > 1
+	return e.crashes.Check(request.Context(), loss) && e.known.Crashes(request.Fingerprint) > 1
 }
 
 // NoteServed notes that a request was answered whole.
--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -54,8 +54,8 @@
 	Protocol call.Protocol
 	Log      sharedlog.Log
 	Decoder  registry.Decoder
-	Runners  weightorders.Runners
-	Stores   storewatch.Stores
+	Runners  weightorders.RunnerClient
+	Stores   storewatch.StoreClient
 	// ReadyPath is where the balancer asks whether the box is ready.
 	ReadyPath string
 }
@@ -74,7 +74,7 @@
 	parts    *partindex.Index
 	registry *registry.Registry
 	lease    *orderlease.Lease
-	giver    *weightorders.Giver
+	giver    *weightorders.Controller
 	watcher  *storewatch.Watcher
 	share    *loadshare.Share
 	readers  *zonereader.Zone
@@ -161,7 +161,7 @@
 		CallsCold:     func(zone, server string) bool { return b.share.CallsCold(zone, server) },
 		LimitPosition: func(zone, server string) advisory.Position { return b.share.LimitPosition(zone, server) },
 	})
-	b.parts = partindex.New(partindex.Config{News: &b.partNews, Off: b.settings.Off, FirstWait: b.firstWait()})
+	b.parts = partindex.New(partindex.Config{News: &b.partNews, Off: b.settings.Off, PollDelay: b.firstWait()})
 	b.registry = registry.New(registry.Config{
 		Log: b.log, Decoder: b.cfg.Decoder, Fleet: b.fleet, Logger: b.logger, Changed: b.configure, News: &b.news,
 		Boxes: func(records []sharedlog.Record) { b.share.TakeBoxes(records) }, FirstWait: b.firstWait(),
@@ -174,8 +174,8 @@
 func (b *Box) assembleShared() {
 	b.lease = orderlease.New(orderlease.Config{Log: b.log, Logger: b.logger, Holder: b.name, Gap: b.settings.OrderGap, Idle: b.leavesOrders})
 	b.giver = weightorders.New(weightorders.Config{
-		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.name, Off: b.settings.Off, Paused: func() { b.share.TellNow() },
-		Models: b.registry.NamedModels, Wanted: func(model string) int { return b.registry.Weights(model).Version },
+		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.name, Off: b.settings.Off, OnPause: func() { b.share.TellNow() },
+		Models: b.registry.NamedModels, TargetVersion: func(model string) int { return b.registry.Weights(model).Version },
 	})
 	b.retire = retire.New(retire.Config{
 		Registry: b.registry, Peers: func() []retire.Peer { return b.share.Peers() }, Boxes: func() int { return b.share.Roll() },
@@ -244,7 +244,7 @@
 		Budget: b.budget, Boxes: b.share.Boxes, Headroom: b.share.OwnsHeadroom, Lag: b.share.Lag,
 		Places: b.places, Box: b.settings.Box, Regions: b.settings.Regions,
 		Catalog: b.registry.Catalog, Weights: b.registry, Retire: b.retire, OutdatedAfter: b.settings.WeightsLimit,
-		Answers: b.answers, ServersAge: b.registry.ServersAge, Quarantine: b.quarantine, Crashed: b.crashes.Judge,
+		Answers: b.answers, ServersAge: b.registry.ServersAge, Quarantine: b.quarantine, Crashed: b.crashes.Check,
 	})
 	b.assembleServers()
 }
@@ -294,7 +294,7 @@
 // Run serves until ctx ends, and then until the last call has its answer.
 func (b *Box) Run(ctx context.Context) error {
 	for _, loop := range []func(context.Context){
-		b.registry.LoopOperator, b.registry.LoopServers, b.lease.Loop, b.giver.Loop, b.watcher.LoopClean,
+		b.registry.LoopOperator, b.registry.LoopServers, b.lease.Loop, b.giver.Loop, b.watcher.LoopFree,
 		b.registry.LoopBoxes, b.share.LoopAnnounce, b.share.LoopLink, b.share.LoopForget, b.readers.LoopFollow, b.crashes.Loop, b.loopWake, b.loopUpkeep,
 	} {
 		b.loops.Go(func() { loop(b.background) })
--- a/internal/entrybox/suspects.go
+++ b/internal/entrybox/suspects.go
@@ -15,18 +15,18 @@
 	scope := b.metrics.Scope()
 	b.pool = handover.NewPool(handover.PoolConfig{Off: b.settings.Off, Dialed: func() { scope.Counter("server_connections").Inc(1) }})
 	b.quarantine = quarantine.New(quarantine.Config{
-		MayTry:  func(request quarantine.Request) bool { return b.share.RanksFirst(request.String()) },
-		Changed: b.suspectChanged,
+		MayRetry: func(request quarantine.Request) bool { return b.share.RanksFirst(request.String()) },
+		OnChange: b.suspectChanged,
 	})
 	b.crashes = crash.New(crash.Config{
-		Logger: b.logger, Fate: b.fleet.Fate, Connect: b.pool.Probe, Near: b.fleet.Near, Ended: b.noteEnd,
+		Logger: b.logger, Fate: b.fleet.Fate, Connect: b.pool.Probe, Neighbours: b.fleet.Near, OnCrash: b.noteEnd,
 	})
 }
 
 // noteEnd notes a call under which a server ended.
-func (b *Box) noteEnd(loss crash.Loss) {
-	b.quarantine.NoteEnd(quarantine.Ended{
-		Request: loss.Request, Caller: loss.Caller, Life: xxhash.Sum64String(loss.Server.Incarnation),
+func (b *Box) noteEnd(loss crash.BrokenCall) {
+	b.quarantine.NoteCrash(quarantine.Crash{
+		Request: loss.Request, Caller: loss.Caller, Incarnation: xxhash.Sum64String(loss.Server.Incarnation),
 	})
 }
 
@@ -39,7 +39,7 @@
 // found it out, and by hubs. If all boxes passed on what they heard, the 64 followers of a hub
 // would have it tell all of them 64 times.
 func (b *Box) tellsAtOnce(change quarantine.Change) bool {
-	return change.Ends >= toldAtOnce && (!change.Heard || b.share.Hub() == "")
+	return change.Crashes >= toldAtOnce && (!change.FromPeer || b.share.Hub() == "")
 }
 
 // suspectChanged writes down what is known of a request now, tells it, and ends the calls
@@ -57,10 +57,10 @@
 		message = "request_held"
 	case change.Released:
 		message = "request_released"
-	case change.Ends >= toldAtOnce:
+	case change.Crashes >= toldAtOnce:
 		event, message = b.logger.Info(), "request_suspected"
 	default:
 		return // each server that ends takes some ten along, and all boxes hear of them
 	}
-	event.Stringer("fingerprint", change.Request).Int("ends", change.Ends).Bool("heard", change.Heard).Msg(message)
+	event.Stringer("fingerprint", change.Request).Int("ends", change.Crashes).Bool("heard", change.FromPeer).Msg(message)
 }
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -104,6 +104,6 @@
 		return false
 	}
 	x := t.x
-	loss := crash.Loss{Server: t.chosen.hold.Server(), Request: x.fingerprint, Caller: xxhash.Sum64String(x.caller())}
-	return t.gateway.cfg.Crashed(x.ctx, loss) && t.gateway.cfg.Quarantine.Ends(x.fingerprint) > 1
+	loss := crash.BrokenCall{Server: t.chosen.hold.Server(), Request: x.fingerprint, Caller: xxhash.Sum64String(x.caller())}
+	return t.gateway.cfg.Crashed(x.ctx, loss) && t.gateway.cfg.Quarantine.Crashes(x.fingerprint) > 1
 }
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -29,13 +29,13 @@
 	f := fleet.New(fleet.Config{})
 	c := promptCatalog(g)
 	e := &endings{Gateway: promptGateway(newPlanProtocol(), f, emptyStore(c), c), fleet: f}
-	e.known = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
+	e.known = quarantine.New(quarantine.Config{OnChange: func(change quarantine.Change) {
 		if change.Held {
 			e.StopRequest(change.Request)
 		}
 	}})
 	e.cfg.Quarantine = e.known
-	e.cfg.Crashed = func(_ context.Context, loss crash.Loss) bool {
+	e.cfg.Crashed = func(_ context.Context, loss crash.BrokenCall) bool {
 		if crashes {
 			e.end(loss.Server.Incarnation)
 		}
@@ -56,7 +56,7 @@
 		for _, letter := range server {
 			life = 256*life + uint64(letter)
 		}
-		e.known.NoteEnd(quarantine.Ended{Request: asked(), Life: life})
+		e.known.NoteCrash(quarantine.Crash{Request: asked(), Incarnation: life})
 	}
 }
 
@@ -73,7 +73,7 @@
 	e.end("x", "y")
 	startRunner(t, e.fleet, "r", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("answer")) }))
 	g.Expect(e.call().Code).To(Equal(http.StatusOK))
-	g.Expect(e.known.Ends(asked())).To(BeZero(), "it was served")
+	g.Expect(e.known.Crashes(asked())).To(BeZero(), "it was served")
 }
 
 // A request that ended three servers is refused at once, as not run, whoever saw them end.
@@ -174,7 +174,7 @@
 	startRunner(t, e.fleet, "r", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }))
 	e.end("x", "y")
 	g.Expect(e.call().Code).To(Equal(http.StatusInternalServerError))
-	g.Expect(e.known.Ends(asked())).To(Equal(2))
+	g.Expect(e.known.Crashes(asked())).To(Equal(2))
 }
 
 // placingOf is a call that takes memory of a runner.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,7 +78,7 @@
 	// Quarantine knows which requests end servers, Crashed reports whether the server of a
 	// call that broke off has ended; nil where nothing of it is known.
 	Quarantine *quarantine.Set
-	Crashed    func(ctx context.Context, loss crash.Loss) bool
+	Crashed    func(ctx context.Context, loss crash.BrokenCall) bool
 }
 
 // Weights knows which versions of weights were named.
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -58,7 +58,7 @@
 	if plans == nil {
 		return chosen
 	}
-	g.cfg.Parts.NotePlaced(chosen.namespace, x.facts.Prompt.Parts, chosen.plan)
+	g.cfg.Parts.NoteDispatched(chosen.namespace, x.facts.Prompt.Parts, chosen.plan)
 	return chosen
 }
 
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -58,7 +58,7 @@
 
 // report is a store box's word that these parts have come since its last one.
 func report(changes ...partindex.Change) partindex.Report {
-	return partindex.Report{AsOf: time.Now(), Life: 1, ClockMillis: 1, Changes: changes}
+	return partindex.Report{AsOf: time.Now(), Epoch: 1, ClockMillis: 1, Changes: changes}
 }
 
 // startRunner runs a handler as a runner that the fleet knows.
--- a/internal/gateway/verdict.go
+++ b/internal/gateway/verdict.go
@@ -125,7 +125,7 @@
 func (t *try) finish(end fleet.End) {
 	t.chosen.hold.Done(end)
 	if end != fleet.EndServed && t.chosen.namespace != "" {
-		t.gateway.cfg.Parts.ForgetSaves(t.chosen.namespace, t.x.facts.Prompt.Parts, t.chosen.plan)
+		t.gateway.cfg.Parts.DropSaves(t.chosen.namespace, t.x.facts.Prompt.Parts, t.chosen.plan)
 	}
 }
 
--- a/internal/loadshare/agreement_test.go
+++ b/internal/loadshare/agreement_test.go
@@ -227,10 +227,10 @@
 			switch {
 			case about == nil || about == a || seen[peer.Box]:
 				return fmt.Sprintf("%s counts %q, which is no other box or is counted already", a.name, peer.Box)
-			case !peer.At.IsZero() && !about.said(peer.Weights[model], peer.At):
-				return fmt.Sprintf("%s believes that %s said %d less than %v ago", a.name, peer.Box, peer.Weights[model], now.Sub(peer.At))
-			case !peer.At.IsZero() && peer.Weights[model] > 0 && !about.knewFrom(peer.Weights[model], peer.Since[model], peer.At):
-				return fmt.Sprintf("%s believes that %s has known %d for %v, as of %v ago", a.name, peer.Box, peer.Weights[model], now.Sub(peer.Since[model]), now.Sub(peer.At))
+			case !peer.SentAfter.IsZero() && !about.said(peer.Weights[model], peer.SentAfter):
+				return fmt.Sprintf("%s believes that %s said %d less than %v ago", a.name, peer.Box, peer.Weights[model], now.Sub(peer.SentAfter))
+			case !peer.SentAfter.IsZero() && peer.Weights[model] > 0 && !about.knewFrom(peer.Weights[model], peer.KnownSince[model], peer.SentAfter):
+				return fmt.Sprintf("%s believes that %s has known %d for %v, as of %v ago", a.name, peer.Box, peer.Weights[model], now.Sub(peer.KnownSince[model]), now.Sub(peer.SentAfter))
 			}
 			seen[peer.Box] = true
 		}
@@ -248,13 +248,13 @@
 	own, agreeing := a.version(), 1
 	since := map[int][]time.Time{}
 	for _, peer := range peers {
-		if now.Sub(peer.At) > wordFresh {
+		if now.Sub(peer.SentAfter) > wordFresh {
 			continue
 		}
 		if peer.Weights[model] <= own {
 			agreeing++
 		}
-		since[peer.Weights[model]] = append(since[peer.Weights[model]], peer.Since[model])
+		since[peer.Weights[model]] = append(since[peer.Weights[model]], peer.KnownSince[model])
 	}
 	if 2*agreeing > len(h.actors) {
 		h.inTouch = append(h.inTouch, touch{now, own})
--- a/internal/loadshare/hear.go
+++ b/internal/loadshare/hear.go
@@ -85,7 +85,7 @@
 	if m.Snapshot != nil {
 		s.cfg.Adopt(*m.Snapshot)
 	}
-	s.cfg.Quarantine.Hear(m.Suspects) // before they are acknowledged
+	s.cfg.Quarantine.Merge(m.Suspects) // before they are acknowledged
 	s.cfg.Heard(m.Named, s.note(m))
 	s.cfg.Fleet.SetRemote(m.Box, m.Loads)
 	if !m.FarKept {
--- a/internal/loadshare/hubs_test.go
+++ b/internal/loadshare/hubs_test.go
@@ -142,7 +142,7 @@
 		for _, a := range h.actors {
 			g.Expect(len(a.share.Peers())).To(Equal(47), a.name)
 			for _, peer := range a.share.Peers() {
-				g.Expect(time.Since(peer.At)).To(BeNumerically("<", wordFresh), "%s of %s", a.name, peer.Box)
+				g.Expect(time.Since(peer.SentAfter)).To(BeNumerically("<", wordFresh), "%s of %s", a.name, peer.Box)
 			}
 		}
 		h.actors[20].stop()
@@ -179,8 +179,8 @@
 func (h *history) run(ctx context.Context, a *actor, known *fleet.Fleet) {
 	// Each life has a share of its own, which the changes of its set are told by.
 	var share *loadshare.Share
-	a.suspects = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
-		if !change.Heard {
+	a.suspects = quarantine.New(quarantine.Config{OnChange: func(change quarantine.Change) {
+		if !change.FromPeer {
 			share.TellNow()
 		}
 	}})
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -59,9 +59,9 @@
 	// Suspects tells what changed of the requests that end servers, and leads to generation
 	// SuspectsNext of the sender's; SuspectsAck is the last of the receiver's that the sender
 	// has.
-	Suspects     []quarantine.Word `msgpack:"x,omitempty"`
-	SuspectsNext uint64            `msgpack:"y,omitempty"`
-	SuspectsAck  uint64            `msgpack:"z,omitempty"`
+	Suspects     []quarantine.RequestRecord `msgpack:"x,omitempty"`
+	SuspectsNext uint64                     `msgpack:"y,omitempty"`
+	SuspectsAck  uint64                     `msgpack:"z,omitempty"`
 }
 
 func (s *Share) send(connection net.Conn, m message) error {
--- a/internal/loadshare/standing.go
+++ b/internal/loadshare/standing.go
@@ -182,7 +182,7 @@
 	peers := make([]retire.Peer, 0, len(s.known))
 	for name, k := range s.known {
 		if s.peers[name] != nil || !s.followed {
-			peers = append(peers, retire.Peer{Box: name, At: k.at, Weights: maps.Clone(k.weights), Since: maps.Clone(k.since)})
+			peers = append(peers, retire.Peer{Box: name, SentAfter: k.at, Weights: maps.Clone(k.weights), KnownSince: maps.Clone(k.since)})
 		}
 	}
 	return peers
--- a/internal/loadshare/suspects_test.go
+++ b/internal/loadshare/suspects_test.go
@@ -31,7 +31,7 @@
 
 // ended has a box see the end of a life of a server under a request.
 func (a *actor) ended(name string, life uint64) {
-	a.suspects.NoteEnd(quarantine.Ended{Request: request(name), Caller: 1, Life: life})
+	a.suspects.NoteCrash(quarantine.Crash{Request: request(name), Caller: 1, Incarnation: life})
 }
 
 // holding counts the boxes that hold a request.
@@ -79,7 +79,7 @@
 // A box that starts knows nothing, and a caller may come to it at once.
 func TestABoxThatStartsAnewLearnsWhichRequestsEndServers(t *testing.T) {
 	fleetOf(t, zonesOf25, func(g *WithT, h *history, _ []*fleet.Fleet) {
-		for life := range uint64(quarantine.EndsHeld) {
+		for life := range uint64(quarantine.HoldThreshold) {
 			h.actors[3].ended("r", life)
 		}
 		time.Sleep(time.Second)
@@ -100,7 +100,7 @@
 // A request that was served somewhere is believed everywhere.
 func TestARequestThatIsServedIsReleasedByAll(t *testing.T) {
 	fleetOf(t, zonesOf25, func(g *WithT, h *history, _ []*fleet.Fleet) {
-		for life := range uint64(quarantine.EndsHeld) {
+		for life := range uint64(quarantine.HoldThreshold) {
 			h.actors[3].ended("r", life)
 		}
 		time.Sleep(time.Second)
@@ -157,9 +157,9 @@
 // compareEnds gives a count that is not that of all other boxes, or more than there were ends.
 func (h *history) compareEnds(noted map[string]map[uint64]bool) string {
 	for name, lives := range noted {
-		first := h.actors[0].suspects.Ends(request(name))
+		first := h.actors[0].suspects.Crashes(request(name))
 		for _, a := range h.actors {
-			ends := a.suspects.Ends(request(name))
+			ends := a.suspects.Crashes(request(name))
 			if ends != first || ends > len(lives) {
 				return fmt.Sprintf("%s counts %d ends under %s, %s counts %d, and there were %d", a.name, ends, name, h.actors[0].name, first, len(lives))
 			}
@@ -185,7 +185,7 @@
 			defer cancel()
 			h.begin(ctx, again, 1)
 			time.Sleep(wait)
-			for life := range uint64(quarantine.EndsHeld) {
+			for life := range uint64(quarantine.HoldThreshold) {
 				again.ended("r", life)
 			}
 			time.Sleep(contactTime)
--- a/internal/loadshare/suspended_test.go
+++ b/internal/loadshare/suspended_test.go
@@ -19,7 +19,7 @@
 		fresh := func() int {
 			count := 0
 			for _, peer := range h.actors[0].share.Peers() {
-				if boottime.Since(peer.At) <= wordFresh {
+				if boottime.Since(peer.SentAfter) <= wordFresh {
 					count++
 				}
 			}
--- a/internal/loadshare/tell.go
+++ b/internal/loadshare/tell.go
@@ -155,7 +155,7 @@
 		}
 		m.Roster = s.rosterFor(last, all, now)
 	}
-	m.Suspects, m.SuspectsNext = s.cfg.Quarantine.Tell(since)
+	m.Suspects, m.SuspectsNext = s.cfg.Quarantine.ChangesSince(since)
 	if to := s.telling[box]; to != nil {
 		m.Chosen = to.chosen
 		m.Urgent, to.urgency = to.urgency != s.urgency, s.urgency
--- a/internal/partindex/doubt.go
+++ b/internal/partindex/doubt.go
@@ -33,8 +33,8 @@
 	at      time.Time
 }
 
-// Doubted lists the store boxes of which saves of this box are overdue.
-func (x *Index) Doubted() []string {
+// OverdueStores lists the store boxes of which saves of this box are overdue.
+func (x *Index) OverdueStores() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := boottime.Now()
@@ -57,8 +57,8 @@
 	return false
 }
 
-// Doubt notes that another box doubts what is known of store boxes.
-func (x *Index) Doubt(addresses []string) {
+// MarkOverdue notes that another box doubts what is known of store boxes.
+func (x *Index) MarkOverdue(addresses []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, address := range addresses {
@@ -68,8 +68,8 @@
 	}
 }
 
-// WantsList reports whether a store box is to be listed for doubt.
-func (x *Index) WantsList(address string) bool {
+// NeedsList reports whether a store box is to be listed for doubt.
+func (x *Index) NeedsList(address string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := x.find(address)
--- a/internal/partindex/doubt_test.go
+++ b/internal/partindex/doubt_test.go
@@ -19,12 +19,12 @@
 func savedWithoutEvent() (x *Index, key Key) {
 	x = New(Config{})
 	x.Configure([]catalog.Service{{Name: "store", Store: &catalog.Store{Address: doubtedStore, CapacityTokens: 100_000}}})
-	x.Replace(doubtedStore, Report{Life: 1, ClockMillis: 1, AsOf: time.Now()})
+	x.Replace(doubtedStore, Report{Epoch: 1, ClockMillis: 1, AsOf: time.Now()})
 	time.Sleep(time.Minute)
-	x.Apply(doubtedStore, Report{Life: 1, Next: 1, ClockMillis: 1, AsOf: time.Now()})
+	x.Apply(doubtedStore, Report{Epoch: 1, Next: 1, ClockMillis: 1, AsOf: time.Now()})
 	parts := []call.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 10}}
 	plan := x.Plan(Query{Namespace: "m/1", Parts: parts, Save: true, MayFetch: func(string) bool { return true }})
-	x.NotePlaced("m/1", parts, plan)
+	x.NoteDispatched("m/1", parts, plan)
 	return x, Key{"m/1", "shared"}
 }
 
@@ -36,13 +36,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x, key := savedWithoutEvent()
-		g.Expect(x.Doubted()).To(BeEmpty(), "it may still come")
+		g.Expect(x.OverdueStores()).To(BeEmpty(), "it may still come")
 		time.Sleep(overdueAfter + time.Millisecond)
-		g.Expect(x.Doubted()).To(Equal([]string{doubtedStore}))
-		g.Expect(x.WantsList(doubtedStore)).To(BeTrue())
-		x.Replace(doubtedStore, Report{Life: 1, Next: 2, ClockMillis: 1, AsOf: time.Now(), Changes: []Change{{key, 5000}}})
-		g.Expect(x.WantsList(doubtedStore)).To(BeFalse())
-		g.Expect(x.Doubted()).To(BeEmpty())
+		g.Expect(x.OverdueStores()).To(Equal([]string{doubtedStore}))
+		g.Expect(x.NeedsList(doubtedStore)).To(BeTrue())
+		x.Replace(doubtedStore, Report{Epoch: 1, Next: 2, ClockMillis: 1, AsOf: time.Now(), Changes: []Change{{key, 5000}}})
+		g.Expect(x.NeedsList(doubtedStore)).To(BeFalse())
+		g.Expect(x.OverdueStores()).To(BeEmpty())
 	})
 }
 
@@ -52,9 +52,9 @@
 		g := NewWithT(t)
 		x, _ := savedWithoutEvent()
 		time.Sleep(overdueAfter + time.Millisecond)
-		x.Replace(doubtedStore, Report{Life: 1, Next: 2, ClockMillis: 1, AsOf: time.Now()})
+		x.Replace(doubtedStore, Report{Epoch: 1, Next: 2, ClockMillis: 1, AsOf: time.Now()})
 		time.Sleep(leastListPause)
-		g.Expect(x.WantsList(doubtedStore)).To(BeFalse())
+		g.Expect(x.NeedsList(doubtedStore)).To(BeFalse())
 	})
 }
 
@@ -65,13 +65,13 @@
 		x, _ := savedWithoutEvent()
 		reader := New(Config{})
 		reader.Configure([]catalog.Service{{Name: "store", Store: &catalog.Store{Address: doubtedStore, CapacityTokens: 100_000}}})
-		reader.Replace(doubtedStore, Report{Life: 1, ClockMillis: 1, AsOf: time.Now()})
+		reader.Replace(doubtedStore, Report{Epoch: 1, ClockMillis: 1, AsOf: time.Now()})
 		time.Sleep(overdueAfter + time.Millisecond)
-		g.Expect(reader.WantsList(doubtedStore)).To(BeFalse())
-		reader.Doubt(x.Doubted())
-		g.Expect(reader.WantsList(doubtedStore)).To(BeTrue())
-		reader.Replace(doubtedStore, Report{Life: 1, Next: 2, ClockMillis: 1, AsOf: time.Now()})
-		reader.Doubt(x.Doubted())
-		g.Expect(reader.WantsList(doubtedStore)).To(BeFalse(), "it was listed just now")
+		g.Expect(reader.NeedsList(doubtedStore)).To(BeFalse())
+		reader.MarkOverdue(x.OverdueStores())
+		g.Expect(reader.NeedsList(doubtedStore)).To(BeTrue())
+		reader.Replace(doubtedStore, Report{Epoch: 1, Next: 2, ClockMillis: 1, AsOf: time.Now()})
+		reader.MarkOverdue(x.OverdueStores())
+		g.Expect(reader.NeedsList(doubtedStore)).To(BeFalse(), "it was listed just now")
 	})
 }
--- a/internal/partindex/pace_test.go
+++ b/internal/partindex/pace_test.go
@@ -15,7 +15,7 @@
 // keeping makes an index in which the large store box keeps a part.
 func keeping() *partindex.Index {
 	x := settled()
-	x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, ClockMillis: 1000, Changes: held("part", 12_000)})
+	x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, ClockMillis: 1000, Changes: held("part", 12_000)})
 	return x
 }
 
@@ -119,7 +119,7 @@
 		made := plan(x, "part", 12_000)
 		g.Expect(made.Fetch[0]).To(Equal(large), "one may try")
 		g.Expect(plan(x, "part", 12_000).Fetch[0]).To(Equal(large), "the first was not handed over")
-		x.NotePlaced("m/1", []call.Part{{ID: "part", Tokens: 12_000}, {ID: "own", Tokens: 100}}, made)
+		x.NoteDispatched("m/1", []call.Part{{ID: "part", Tokens: 12_000}, {ID: "own", Tokens: 100}}, made)
 		g.Expect(plan(x, "part", 12_000).Fetch[0]).To(BeEmpty(), "only one")
 		slow, changed = x.NoteFetch("large", 0)
 		g.Expect([]bool{slow, changed}).To(Equal([]bool{false, true}))
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -27,13 +27,13 @@
 	// freshFor is how long a store box's word counts. The boxes ask three times a
 	// second, so one lost answer does no harm.
 	freshFor = 1200 * time.Millisecond
-	// FetchLimit bounds a fetch: later than this after it was planned it is thrown
+	// FetchTimeout bounds a fetch: later than this after it was planned it is thrown
 	// away. Moves of the largest parts take 200 ms, and may queue.
-	FetchLimit = time.Second
+	FetchTimeout = time.Second
 	// quietAfterRestart is how long nothing is saved in a store box that has
 	// restarted: until nobody can have a fetch under way that was planned on what
 	// it kept before.
-	quietAfterRestart = freshFor + FetchLimit + quietMargin
+	quietAfterRestart = freshFor + FetchTimeout + quietMargin
 	// quietMargin is for boxes that run late.
 	quietMargin = 300 * time.Millisecond
 )
@@ -92,10 +92,10 @@
 	News *waiting.Signal
 	// Off holds mechanisms that are switched off.
 	Off mechanism.Off
-	// FirstWait is how long store boxes that are new are not asked unless this box is to ask
+	// PollDelay is how long store boxes that are new are not asked unless this box is to ask
 	// itself, so that one that will be told need not: when each of 295 boxes that started
 	// asked each of 47 store boxes, most were turned away.
-	FirstWait time.Duration
+	PollDelay time.Duration
 }
 
 // New makes an empty index.
@@ -118,8 +118,8 @@
 		s := x.find(service.Store.Address)
 		if s == nil {
 			s = &store{held: map[Key]int{}, unfinished: map[Key]int{}, knownAt: boottime.Now()}
-			if x.cfg.FirstWait > 0 && !x.asks {
-				x.waitUntil(s, boottime.Now().Add(x.cfg.FirstWait))
+			if x.cfg.PollDelay > 0 && !x.asks {
+				x.waitUntil(s, boottime.Now().Add(x.cfg.PollDelay))
 			}
 		}
 		s.name, s.config = service.Name, *service.Store
@@ -186,7 +186,7 @@
 	if s == nil {
 		return
 	}
-	before := s.heldIn(report.Life)
+	before := s.heldIn(report.Epoch)
 	x.begin(s, report)
 	s.forget()
 	x.take(s, report)
@@ -232,7 +232,7 @@
 	if s == nil {
 		return true
 	}
-	if report.Life != s.life || report.Gap {
+	if report.Epoch != s.life || report.Gap {
 		s.life = 0
 		s.forget()
 		return false
@@ -248,11 +248,11 @@
 // begin notes the life of a store box. One that is seen for the first time may
 // have restarted just now, so it counts as new too.
 func (x *Index) begin(s *store, report Report) {
-	if s.life != report.Life {
+	if s.life != report.Epoch {
 		s.saveFrom = boottime.Now().Add(quietAfterRestart)
 		s.told = told{until: s.told.until, lapse: s.told.lapse}
 	}
-	s.life = report.Life
+	s.life = report.Epoch
 }
 
 func (x *Index) take(s *store, report Report) {
--- a/internal/partindex/partindex_test.go
+++ b/internal/partindex/partindex_test.go
@@ -31,7 +31,7 @@
 	x := partindex.New(partindex.Config{})
 	x.Configure(services())
 	for _, address := range []string{quick, large} {
-		x.Replace(address, partindex.Report{AsOf: time.Now(), Life: 1, ClockMillis: 1000})
+		x.Replace(address, partindex.Report{AsOf: time.Now(), Epoch: 1, ClockMillis: 1000})
 	}
 	time.Sleep(10 * time.Second)
 	refresh(x, 1)
@@ -41,7 +41,7 @@
 // refresh lets both store boxes say that nothing changed.
 func refresh(x *partindex.Index, life int64) {
 	for _, address := range []string{quick, large} {
-		x.Apply(address, partindex.Report{AsOf: time.Now(), Life: life, ClockMillis: 1000})
+		x.Apply(address, partindex.Report{AsOf: time.Now(), Epoch: life, ClockMillis: 1000})
 	}
 }
 
@@ -65,34 +65,34 @@
 	}{
 		{"nothing kept", func(*partindex.Index) {}, ""},
 		{"kept", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 		}, large},
 		{"gone again", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: append(held("p", 5000), held("p", 0)...)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("p", 5000), held("p", 0)...)})
 		}, ""},
 		{"of another life", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 2, Changes: held("p", 5000)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 2, Changes: held("p", 5000)})
 		}, ""},
 		{"after a gap", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Gap: true})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Gap: true})
 		}, ""},
 		{"listed", func(x *partindex.Index) {
-			x.Replace(large, partindex.Report{AsOf: time.Now(), Life: 2, Changes: held("p", 5000)})
+			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 2, Changes: held("p", 5000)})
 		}, large},
 		{"not listed any more", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
-			x.Replace(large, partindex.Report{AsOf: time.Now(), Life: 1})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
+			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1})
 		}, ""},
 		{"word too old", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 			time.Sleep(2 * time.Second)
 		}, ""},
 		{"a word that was on its way for long", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now().Add(-1300 * time.Millisecond), Life: 1, Changes: held("p", 5000)})
+			x.Apply(large, partindex.Report{AsOf: time.Now().Add(-1300 * time.Millisecond), Epoch: 1, Changes: held("p", 5000)})
 		}, ""},
 		{"no store box any more", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 			x.Configure(services()[:1])
 		}, ""},
 	}
@@ -118,9 +118,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
-		x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, ClockMillis: 500_000})
+		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, ClockMillis: 500_000})
 		time.Sleep(300 * time.Millisecond)
-		g.Expect(plan(x, "p", 10).Until).To(BeEquivalentTo(500_300 + partindex.FetchLimit.Milliseconds()))
+		g.Expect(plan(x, "p", 10).Until).To(BeEquivalentTo(500_300 + partindex.FetchTimeout.Milliseconds()))
 	})
 }
 
@@ -131,15 +131,15 @@
 		g := NewWithT(t)
 		informed, unaware := settled(), settled()
 		refresh(informed, 1)
-		unaware.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+		unaware.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 		restarted := time.Now()
-		informed.Replace(large, partindex.Report{AsOf: time.Now(), Life: 2})
+		informed.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 2})
 		var lastFetch, firstSave time.Time
 		for firstSave.IsZero() {
 			if plan(unaware, "p", 5000).Fetch[0] != "" {
-				lastFetch = time.Now().Add(partindex.FetchLimit)
+				lastFetch = time.Now().Add(partindex.FetchTimeout)
 			}
-			informed.Apply(large, partindex.Report{AsOf: time.Now(), Life: 2})
+			informed.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 2})
 			if plan(informed, "p", 5000).Save[0] == large {
 				firstSave = time.Now()
 			}
@@ -158,14 +158,14 @@
 		made := plan(x, "p", 5000)
 		g.Expect(made.Save).To(Equal([]string{large, ""}))
 		g.Expect(plan(x, "p", 5000).Save[0]).To(Equal(large), "a plan that is not carried out marks nothing")
-		x.NotePlaced("m/1", parts, made)
+		x.NoteDispatched("m/1", parts, made)
 		g.Expect(plan(x, "p", 5000).Save[0]).To(BeEmpty())
 		g.Expect(plan(x, "small", 200).Save[0]).To(Equal(quick))
 
-		x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("full", 99_000)})
+		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("full", 99_000)})
 		refresh(x, 1)
 		g.Expect(plan(x, "q", 5000).Save[0]).To(Equal(quick))
-		x.Apply(quick, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("full2", 19_900)})
+		x.Apply(quick, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("full2", 19_900)})
 		g.Expect(plan(x, "q", 5000).Save[0]).To(BeEmpty())
 	})
 }
@@ -176,9 +176,9 @@
 		x := settled()
 		parts := []call.Part{{ID: "p", Tokens: 5000}, {ID: "own", Tokens: 100}}
 		made := plan(x, "p", 5000)
-		x.NotePlaced("m/1", parts, made)
+		x.NoteDispatched("m/1", parts, made)
 		g.Expect(plan(x, "p", 5000).Save[0]).To(BeEmpty())
-		x.ForgetSaves("m/1", parts, made)
+		x.DropSaves("m/1", parts, made)
 		g.Expect(plan(x, "p", 5000).Save[0]).To(Equal(large))
 	})
 }
@@ -199,7 +199,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
-		x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 		made := x.Plan(partindex.Query{
 			Namespace: "m/1", Parts: []call.Part{{ID: "p", Tokens: 5000}, {ID: "own", Tokens: 1}}, PromptTokens: 5001, Save: true,
 			MayFetch: func(string) bool { return false },
@@ -220,15 +220,15 @@
 	}{
 		{name: "as it is", then: func(*partindex.Index) {}},
 		{name: "whole after all", then: func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("broken", 90_000)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("broken", 90_000)})
 		}},
 		{name: "whole after all, then gone", room: true, then: func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: append(held("broken", 90_000), held("broken", 0)...)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("broken", 90_000), held("broken", 0)...)})
 		}},
 		{name: "freed", room: true, then: func(x *partindex.Index) { x.NoteFreed(large, 1, []partindex.Key{broken}) }},
 		{name: "freed in another life", then: func(x *partindex.Index) { x.NoteFreed(large, 2, []partindex.Key{broken}) }},
 		{name: "no longer listed", room: true, then: func(x *partindex.Index) {
-			x.Replace(large, partindex.Report{AsOf: time.Now(), Life: 1})
+			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1})
 		}},
 	}
 	for _, c := range cases {
@@ -236,7 +236,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				x := settled()
-				x.Replace(large, partindex.Report{AsOf: time.Now(), Life: 1, Unfinished: []partindex.Change{{Key: broken, Tokens: 90_000}}})
+				x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Unfinished: []partindex.Change{{Key: broken, Tokens: 90_000}}})
 				parts, life := x.Freeable(large, func(key partindex.Key) bool { return key == broken }, 10)
 				g.Expect(parts).To(Equal([]partindex.Key{broken}))
 				g.Expect(life).To(Equal(int64(1)))
@@ -253,7 +253,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
-		x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: append(held("old", 100), held("new", 100)...)})
+		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("old", 100), held("new", 100)...)})
 		parts, life := x.Freeable(large, func(key partindex.Key) bool { return key.ID == "old" }, 10)
 		g.Expect(parts).To(Equal([]partindex.Key{{Namespace: "m/1", ID: "old"}}))
 		g.Expect(life).To(BeEquivalentTo(1))
--- a/internal/partindex/plan.go
+++ b/internal/partindex/plan.go
@@ -73,7 +73,7 @@
 	if x.clockAt.IsZero() {
 		return plan // without the servers' clock a fetch could not be bounded
 	}
-	plan.Until = x.clock + now.Sub(x.clockAt).Milliseconds() + FetchLimit.Milliseconds()
+	plan.Until = x.clock + now.Sub(x.clockAt).Milliseconds() + FetchTimeout.Milliseconds()
 	largest, largestMissed := 0, 0
 	contiguous := true
 	for i := range max(len(parts)-1, 0) {
--- a/internal/partindex/report.go
+++ b/internal/partindex/report.go
@@ -20,7 +20,7 @@
 // Report is an answer of a store box to "what changed" or "what do you keep".
 type Report struct {
 	// Life changes when the store box restarts.
-	Life int64
+	Epoch int64
 	// Next is where the next question begins.
 	Next int64
 	// Gap says that events before these are missing.
--- a/internal/partindex/save.go
+++ b/internal/partindex/save.go
@@ -45,9 +45,9 @@
 	return best.config.Address
 }
 
-// NotePlaced notes that a call with a plan was handed over: the saves that it asked for
+// NoteDispatched notes that a call with a plan was handed over: the saves that it asked for
 // are under way, and so is its fetch, the try of a slow store box.
-func (x *Index) NotePlaced(name string, parts []call.Part, plan Plan) {
+func (x *Index) NoteDispatched(name string, parts []call.Part, plan Plan) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := boottime.Now()
@@ -69,9 +69,9 @@
 	}
 }
 
-// ForgetSaves notes that a call with a plan was not served: what it was to save is
+// DropSaves notes that a call with a plan was not served: what it was to save is
 // worth saving by the next one.
-func (x *Index) ForgetSaves(name string, parts []call.Part, plan Plan) {
+func (x *Index) DropSaves(name string, parts []call.Part, plan Plan) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for i, address := range plan.Save {
--- a/internal/partindex/told.go
+++ b/internal/partindex/told.go
@@ -17,10 +17,10 @@
 type Position struct {
 	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
 
-	Life int64 `msgpack:"l"`
-	Next int64 `msgpack:"n"`
-	// Mended counts the lists of the store box that the teller's word has taken in.
-	Mended int `msgpack:"m,omitempty"`
+	Epoch int64 `msgpack:"l"`
+	Next  int64 `msgpack:"n"`
+	// Lists counts the lists of the store box that the teller's word has taken in.
+	Lists int `msgpack:"m,omitempty"`
 }
 
 // Part is a part in a word, with the tokens that are kept of it; 0 when it is gone.
@@ -32,14 +32,14 @@
 	Tokens    int    `msgpack:"t,omitempty"`
 }
 
-// Word is what a box knows of a store box past a position.
-type Word struct {
+// StoreUpdate is what a box knows of a store box past a position.
+type StoreUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
 
 	Address  string   `msgpack:"a"`
 	Position Position `msgpack:"p"`
-	// Whole says that Parts holds all that the store box keeps.
-	Whole bool   `msgpack:"w,omitempty"`
+	// Full says that Parts holds all that the store box keeps.
+	Full  bool   `msgpack:"w,omitempty"`
 	Parts []Part `msgpack:"c,omitempty"`
 	// Listed says that Unfinished holds the parts that are not whole, and what lists of
 	// the store box have mended stands in Parts.
@@ -47,9 +47,9 @@
 	Unfinished []Part `msgpack:"u,omitempty"`
 	// Age is how long ago the store box had told all of this.
 	Age time.Duration `msgpack:"g"`
-	// Quiet is how much longer nothing may be saved in the store box, since some box may not
+	// SaveDelay is how much longer nothing may be saved in the store box, since some box may not
 	// know yet that it has restarted.
-	Quiet time.Duration `msgpack:"q,omitempty"`
+	SaveDelay time.Duration `msgpack:"q,omitempty"`
 	// ClockMillis is the servers' clock when the word was given; 0 when it is not known.
 	ClockMillis int64 `msgpack:"k,omitempty"`
 	// Unknown says that the teller asks the store box and has had no answer so far.
@@ -137,31 +137,31 @@
 	defer x.mu.Unlock()
 	positions := make(map[string]Position, len(x.stores))
 	for _, s := range x.stores {
-		positions[s.config.Address] = Position{Life: s.life, Next: s.next}
+		positions[s.config.Address] = Position{Epoch: s.life, Next: s.next}
 	}
 	return positions
 }
 
-// WordSince gives what this box knows of a store box past a position, and whether that is
+// UpdateSince gives what this box knows of a store box past a position, and whether that is
 // anything new. It gives no word where this box does not know the store box in its present
 // life.
-func (x *Index) WordSince(address string, since Position) (word Word, news, known bool) {
+func (x *Index) UpdateSince(address string, since Position) (word StoreUpdate, news, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := x.find(address)
 	if s == nil {
-		return Word{}, false, false
+		return StoreUpdate{}, false, false
 	}
 	if s.life == 0 {
-		return Word{Address: address, Unknown: true}, false, true
+		return StoreUpdate{Address: address, Unknown: true}, false, true
 	}
-	word = Word{Address: address, Position: Position{Life: s.life, Next: s.next, Mended: s.told.lists}, Age: boottime.Since(s.heardAt)}
-	word.Quiet = max(boottime.Until(s.saveFrom), 0)
+	word = StoreUpdate{Address: address, Position: Position{Epoch: s.life, Next: s.next, Lists: s.told.lists}, Age: boottime.Since(s.heardAt)}
+	word.SaveDelay = max(boottime.Until(s.saveFrom), 0)
 	if x.clock > 0 {
 		word.ClockMillis = x.clock + boottime.Since(x.clockAt).Milliseconds()
 	}
-	if since.Life != s.life || !s.told.reaches(since.Next, s.next) {
-		word.Whole, word.Listed = true, true
+	if since.Epoch != s.life || !s.told.reaches(since.Next, s.next) {
+		word.Full, word.Listed = true, true
 		word.Parts, word.Unfinished = parts(s.held), parts(s.unfinished)
 		return word, true, true
 	}
@@ -170,10 +170,10 @@
 			word.Parts = append(word.Parts, Part{Namespace: change.Namespace, ID: change.ID, Tokens: change.Tokens})
 		}
 	}
-	if since.Mended < s.told.lists {
+	if since.Lists < s.told.lists {
 		word.Listed, word.Unfinished = true, parts(s.unfinished)
 		for key, list := range s.told.mended {
-			if list > since.Mended {
+			if list > since.Lists {
 				word.Parts = append(word.Parts, Part{Namespace: key.Namespace, ID: key.ID, Tokens: s.held[key]})
 			}
 		}
@@ -210,9 +210,9 @@
 	return list
 }
 
-// TakeWord takes over what another box knew of a store box at asOf, or later. It reports
+// ApplyUpdate takes over what another box knew of a store box at asOf, or later. It reports
 // false where that says less than this box knows.
-func (x *Index) TakeWord(word Word, asOf time.Time) bool {
+func (x *Index) ApplyUpdate(word StoreUpdate, asOf time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := x.find(word.Address)
@@ -221,35 +221,35 @@
 		x.waitUntil(s, s.askedFrom(boottime.Now()))
 		return false
 	}
-	if s == nil || !word.Whole && word.Position.Life != s.life {
+	if s == nil || !word.Full && word.Position.Epoch != s.life {
 		return false
 	}
 	heardAt := asOf.Add(-word.Age)
-	if word.Position.Life != s.life && heardAt.Before(s.heardAt) {
+	if word.Position.Epoch != s.life && heardAt.Before(s.heardAt) {
 		return false // of a life that this box knows to be over
 	}
 	if heardAt.Before(s.heardAt) {
 		heardAt = s.heardAt
 	}
-	report := Report{Life: word.Position.Life, Next: word.Position.Next, AsOf: heardAt, ClockMillis: x.laterClock(word.ClockMillis)}
+	report := Report{Epoch: word.Position.Epoch, Next: word.Position.Next, AsOf: heardAt, ClockMillis: x.laterClock(word.ClockMillis)}
 	for _, part := range word.Parts {
 		report.Changes = append(report.Changes, Change{Key{part.Namespace, part.ID}, part.Tokens})
 	}
-	further := word.Position.Life != s.life || word.Position.Next >= s.next
+	further := word.Position.Epoch != s.life || word.Position.Next >= s.next
 	if further {
 		x.takeReport(s, word, report)
 	}
 	// A box that has just started takes each store box for restarted; others know better.
-	s.saveFrom = earliest(s.saveFrom, boottime.Now().Add(word.Quiet))
+	s.saveFrom = earliest(s.saveFrom, boottime.Now().Add(word.SaveDelay))
 	s.heardAt = heardAt
 	x.waitUntil(s, s.askedFrom(boottime.Now()))
 	return further
 }
 
 // takeReport takes over a word that goes further than what is known. The caller holds mu.
-func (x *Index) takeReport(s *store, word Word, report Report) {
+func (x *Index) takeReport(s *store, word StoreUpdate, report Report) {
 	x.begin(s, report)
-	if word.Whole {
+	if word.Full {
 		s.forget()
 		s.told.tail = nil
 	} else {
@@ -293,8 +293,8 @@
 	return b
 }
 
-// AskItself has this box ask all store boxes itself from now on, until it is told anew.
-func (x *Index) AskItself() {
+// PollDirectly has this box ask all store boxes itself from now on, until it is told anew.
+func (x *Index) PollDirectly() {
 	x.mu.Lock()
 	x.asks, x.follows = true, false
 	for _, s := range x.stores {
@@ -311,11 +311,11 @@
 	return x.follows
 }
 
-// WaitWhileTold waits while another box tells of a store box, and reports whether it had to.
-func (x *Index) WaitWhileTold(ctx context.Context, address string) (waited bool) {
+// WaitToPoll waits while another box tells of a store box, and reports whether it had to.
+func (x *Index) WaitToPoll(ctx context.Context, address string) (waited bool) {
 	for ctx.Err() == nil {
 		wake := x.askItself.Wait()
-		if !x.Told(address) {
+		if !x.PollPaused(address) {
 			return waited
 		}
 		waited = true
@@ -327,8 +327,8 @@
 	return waited
 }
 
-// Told reports whether another box tells of a store box.
-func (x *Index) Told(address string) bool { return boottime.Now().Before(x.toldUntil(address)) }
+// PollPaused reports whether another box tells of a store box.
+func (x *Index) PollPaused(address string) bool { return boottime.Now().Before(x.toldUntil(address)) }
 
 func (x *Index) toldUntil(address string) time.Time {
 	x.mu.Lock()
--- a/internal/partindex/told_test.go
+++ b/internal/partindex/told_test.go
@@ -27,11 +27,11 @@
 func (f *follower) ask(teller *partindex.Index, address string, onItsWay time.Duration) bool {
 	asked := time.Now()
 	since := f.index.Positions()[address]
-	since.Mended = f.mended
-	word, _, known := teller.WordSince(address, since)
+	since.Lists = f.mended
+	word, _, known := teller.UpdateSince(address, since)
 	time.Sleep(onItsWay)
-	if known && f.index.TakeWord(word, asked) {
-		f.mended = word.Position.Mended
+	if known && f.index.ApplyUpdate(word, asked) {
+		f.mended = word.Position.Lists
 	}
 	return known
 }
@@ -73,7 +73,7 @@
 	kept := map[string]int{}
 	report := func(changes []partindex.Change) partindex.Report {
 		next += int64(len(changes))
-		return partindex.Report{Life: life, Next: next, AsOf: time.Now(), ClockMillis: 1, Changes: changes}
+		return partindex.Report{Epoch: life, Next: next, AsOf: time.Now(), ClockMillis: 1, Changes: changes}
 	}
 	list := func() {
 		var changes []partindex.Change
@@ -131,7 +131,7 @@
 		boxes := []*follower{{index: bareIndex()}, {index: bareIndex()}, {index: bareIndex()}}
 		read := func(f *follower) {
 			next, list := f.index.Position(large)
-			report := partindex.Report{Life: 1, Next: int64(len(events)), AsOf: time.Now(), ClockMillis: 1}
+			report := partindex.Report{Epoch: 1, Next: int64(len(events)), AsOf: time.Now(), ClockMillis: 1}
 			if !list {
 				report.Changes = events[next:]
 				f.index.Apply(large, report)
@@ -194,7 +194,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				teller, f := settled(), &follower{index: bareIndex()}
-				teller.Apply(large, partindex.Report{Life: 1, Next: 1, AsOf: time.Now(), ClockMillis: 1, Changes: held("p", 5000)})
+				teller.Apply(large, partindex.Report{Epoch: 1, Next: 1, AsOf: time.Now(), ClockMillis: 1, Changes: held("p", 5000)})
 				time.Sleep(test.before)
 				g.Expect(f.ask(teller, large, test.onItsWay)).To(BeTrue())
 				g.Expect(fetches(f.index, "p")).To(Equal(test.fetches))
@@ -213,11 +213,11 @@
 		teller := settled()
 		f.ask(teller, large, 0)
 		g.Expect(plan(f.index, "p", 5000).Save[0]).NotTo(BeEmpty())
-		teller.Replace(large, partindex.Report{Life: 2, AsOf: time.Now(), ClockMillis: 1})
+		teller.Replace(large, partindex.Report{Epoch: 2, AsOf: time.Now(), ClockMillis: 1})
 		f.ask(teller, large, 0)
 		g.Expect(plan(f.index, "p", 5000).Save[0]).NotTo(Equal(large), "it has restarted just now")
 		time.Sleep(2500 * time.Millisecond)
-		teller.Apply(large, partindex.Report{Life: 2, AsOf: time.Now(), ClockMillis: 1})
+		teller.Apply(large, partindex.Report{Epoch: 2, AsOf: time.Now(), ClockMillis: 1})
 		f.ask(teller, large, 0)
 		g.Expect(plan(f.index, "p", 5000).Save[0]).To(Equal(large))
 	})
@@ -228,19 +228,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		teller, f := settled(), &follower{index: bareIndex()}
-		g.Expect(f.index.WaitWhileTold(t.Context(), large)).To(BeFalse())
+		g.Expect(f.index.WaitToPoll(t.Context(), large)).To(BeFalse())
 		f.ask(teller, large, 0)
 		began := time.Now()
-		g.Expect(f.index.WaitWhileTold(t.Context(), large)).To(BeTrue())
+		g.Expect(f.index.WaitToPoll(t.Context(), large)).To(BeTrue())
 		g.Expect(time.Since(began)).To(BeNumerically("~", 2500*time.Millisecond, 10*time.Millisecond))
 		f.ask(teller, large, 0)
-		go func() { time.Sleep(time.Second); f.index.AskItself() }()
+		go func() { time.Sleep(time.Second); f.index.PollDirectly() }()
 		began = time.Now()
-		g.Expect(f.index.WaitWhileTold(t.Context(), large)).To(BeTrue())
+		g.Expect(f.index.WaitToPoll(t.Context(), large)).To(BeTrue())
 		g.Expect(time.Since(began)).To(Equal(time.Second))
 		time.Sleep(5 * time.Second)
 		f.ask(teller, large, 0) // the reader cannot reach the store box either
-		g.Expect(f.index.Told(large)).To(BeFalse())
+		g.Expect(f.index.PollPaused(large)).To(BeFalse())
 	})
 }
 
@@ -252,22 +252,22 @@
 		g := NewWithT(t)
 		const address = "10.0.0.1:1"
 		services := []catalog.Service{{Name: "store", Store: &catalog.Store{Address: address, CapacityTokens: 1000}}}
-		reader, follower := partindex.New(partindex.Config{}), partindex.New(partindex.Config{FirstWait: 300 * time.Millisecond})
+		reader, follower := partindex.New(partindex.Config{}), partindex.New(partindex.Config{PollDelay: 300 * time.Millisecond})
 		reader.Configure(services)
 		follower.Configure(services)
-		g.Expect(follower.Told(address)).To(BeTrue(), "it has just started")
+		g.Expect(follower.PollPaused(address)).To(BeTrue(), "it has just started")
 		began := time.Now()
 		for time.Since(began) < 3500*time.Millisecond {
 			time.Sleep(100 * time.Millisecond)
-			word, _, known := reader.WordSince(address, partindex.Position{})
+			word, _, known := reader.UpdateSince(address, partindex.Position{})
 			g.Expect(known).To(BeTrue())
-			follower.TakeWord(word, time.Now())
-			g.Expect(follower.Told(address)).To(BeTrue())
+			follower.ApplyUpdate(word, time.Now())
+			g.Expect(follower.PollPaused(address)).To(BeTrue())
 		}
 		time.Sleep(time.Second)
-		g.Expect(follower.Told(address)).To(BeFalse(), "the reader alone may be cut off from it")
+		g.Expect(follower.PollPaused(address)).To(BeFalse(), "the reader alone may be cut off from it")
 		g.Expect(follower.Follows()).To(BeTrue(), "so it asks seldom")
-		follower.AskItself()
+		follower.PollDirectly()
 		g.Expect(follower.Follows()).To(BeFalse())
 	})
 }
--- a/internal/quarantine/beside_test.go
+++ b/internal/quarantine/beside_test.go
@@ -23,7 +23,7 @@
 			g := NewWithT(t)
 			var heldBeside []quarantine.Request
 			b := &beside{random: rand.New(rand.NewPCG(seed, 3))}
-			b.known = quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) {
+			b.known = quarantine.New(quarantine.Config{OnChange: func(change quarantine.Change) {
 				if change.Held && change.Request != request("guilty") {
 					heldBeside = append(heldBeside, change.Request)
 				}
@@ -113,12 +113,12 @@
 	server.life++
 	server.from = time.Now().Add(serverIsAway)
 	life := uint64(b.number)
-	b.known.NoteEnd(quarantine.Ended{Request: request("guilty"), Life: life})
+	b.known.NoteCrash(quarantine.Crash{Request: request("guilty"), Incarnation: life})
 	cut := server.calls
 	server.calls = nil
 	for _, call := range cut {
 		b.cut++
-		b.known.NoteEnd(quarantine.Ended{Request: request(call.name), Life: life})
+		b.known.NoteCrash(quarantine.Crash{Request: request(call.name), Incarnation: life})
 		if call.again {
 			b.place(call.name, false)
 		}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -24,10 +24,10 @@
 	"github.com/cometlock/cometlock/internal/fingerprint"
 )
 
-// EndsHeld is how many servers end under a request until it is held. One and two may be
+// HoldThreshold is how many servers end under a request until it is held. One and two may be
 // chance: a call of 0.3 s beside a request that ends one of 18 servers each second is cut off
 // with 2 in 100, three times in a row with 8 in a million.
-const EndsHeld = 3
+const HoldThreshold = 3
 
 const (
 	// servedBefore is how long before an end a request counts as sound that was served: a page
@@ -49,33 +49,33 @@
 
 // Config sets up a Set.
 type Config struct {
-	// MayTry reports whether it is up to this box to try a request that has been held for
+	// MayRetry reports whether it is up to this box to try a request that has been held for
 	// long. Nil means never.
-	MayTry func(Request) bool
-	// Changed is told of each change of what is known of a request, outside of all locks; it
+	MayRetry func(Request) bool
+	// OnChange is told of each change of what is known of a request, outside of all locks; it
 	// may be nil.
-	Changed func(Change)
+	OnChange func(Change)
 }
 
 // Change is a change of what is known of a request.
 type Change struct {
 	Request Request
-	// Ends counts the servers that ended under it and were not excused.
-	Ends int
+	// Crashes counts the servers that ended under it and were not excused.
+	Crashes int
 	// Held says that the request is held from now on, and Released that it no longer is.
 	Held     bool
 	Released bool
-	// Heard says that another box told it.
-	Heard bool
+	// FromPeer says that another box told it.
+	FromPeer bool
 }
 
-// Ended says that a life of a server ended under a request.
-type Ended struct {
+// Crash says that a life of a server ended under a request.
+type Crash struct {
 	Request Request
 	// Caller is a number that stands for the request's caller.
 	Caller uint64
-	// Life is a number that stands for the life of the server.
-	Life uint64
+	// Incarnation is a number that stands for the life of the server.
+	Incarnation uint64
 }
 
 // Set is what a box knows of requests that end servers.
@@ -94,18 +94,18 @@
 	return &Set{cfg: cfg, records: map[Request]*record{}}
 }
 
-// NoteEnd notes that a server ended under a request.
-func (s *Set) NoteEnd(ended Ended) {
+// NoteCrash notes that a server ended under a request.
+func (s *Set) NoteCrash(ended Crash) {
 	change, changed := s.noteEnd(ended, boottime.Now())
 	if changed {
 		s.tellChanged(change)
 	}
 }
 
-func (s *Set) noteEnd(ended Ended, now time.Time) (Change, bool) {
+func (s *Set) noteEnd(ended Crash, now time.Time) (Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.join(ended.Request, ended.Caller, []end{{life: ended.Life, at: now}}, now)
+	return s.join(ended.Request, ended.Caller, []end{{life: ended.Incarnation, at: now}}, now)
 }
 
 // NoteServed notes that a server ran a request to a good end.
@@ -155,7 +155,7 @@
 	}
 	s.post(known)
 	after := known.count()
-	return Change{Request: request, Ends: after, Held: before < EndsHeld && after >= EndsHeld, Released: before >= EndsHeld && after < EndsHeld}, true
+	return Change{Request: request, Crashes: after, Held: before < HoldThreshold && after >= HoldThreshold, Released: before >= HoldThreshold && after < HoldThreshold}, true
 }
 
 // post has the others told of a record. The caller holds mu.
@@ -172,7 +172,7 @@
 	if !held || left > 0 {
 		return left, !held
 	}
-	if s.cfg.MayTry == nil || !s.cfg.MayTry(request) {
+	if s.cfg.MayRetry == nil || !s.cfg.MayRetry(request) {
 		return triedAfter, false
 	}
 	return s.try(request)
@@ -206,8 +206,8 @@
 	return 0, true
 }
 
-// Ends counts the servers that ended under a request and were not excused.
-func (s *Set) Ends(request Request) int {
+// Crashes counts the servers that ended under a request and were not excused.
+func (s *Set) Crashes(request Request) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known := s.records[request]; known != nil {
@@ -232,7 +232,7 @@
 }
 
 func (s *Set) tellChanged(change Change) {
-	if s.cfg.Changed != nil {
-		s.cfg.Changed(change)
+	if s.cfg.OnChange != nil {
+		s.cfg.OnChange(change)
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -27,7 +27,7 @@
 // end notes that some lives of servers ended under a request.
 func end(s *quarantine.Set, name string, lives ...uint64) {
 	for _, life := range lives {
-		s.NoteEnd(quarantine.Ended{Request: request(name), Caller: 1, Life: life})
+		s.NoteCrash(quarantine.Crash{Request: request(name), Caller: 1, Incarnation: life})
 	}
 }
 
@@ -39,8 +39,8 @@
 // tell has a box hear all that another knows.
 func tell(from, to *quarantine.Set) {
 	for since := uint64(0); ; {
-		words, next := from.Tell(since)
-		to.Hear(words)
+		words, next := from.ChangesSince(since)
+		to.Merge(words)
 		if next == since || len(words) == 0 {
 			return
 		}
@@ -100,7 +100,7 @@
 				s := quarantine.New(quarantine.Config{})
 				test.play(s)
 				g.Expect(held(s, "r")).To(Equal(test.held))
-				g.Expect(s.Ends(request("r"))).To(Equal(test.count))
+				g.Expect(s.Crashes(request("r"))).To(Equal(test.count))
 			})
 		})
 	}
@@ -112,8 +112,8 @@
 func TestARequestThatIsHeldIsTriedSeldomAndByOneBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		ours := quarantine.New(quarantine.Config{MayTry: func(quarantine.Request) bool { return true }})
-		theirs := quarantine.New(quarantine.Config{MayTry: func(quarantine.Request) bool { return false }})
+		ours := quarantine.New(quarantine.Config{MayRetry: func(quarantine.Request) bool { return true }})
+		theirs := quarantine.New(quarantine.Config{MayRetry: func(quarantine.Request) bool { return false }})
 		end(ours, "r", 1, 2, 3)
 		tell(ours, theirs)
 		left, admitted := ours.Admit(request("r"))
@@ -154,7 +154,7 @@
 		for number := range uint64(5000) {
 			name := fmt.Sprint("flood-", number)
 			for life := range uint64(3) {
-				s.NoteEnd(quarantine.Ended{Request: request(name), Caller: 2, Life: life})
+				s.NoteCrash(quarantine.Crash{Request: request(name), Caller: 2, Incarnation: life})
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -211,10 +211,10 @@
 				}
 			}
 			for _, b := range boxes {
-				g.Expect(b.Ends(request("guilty"))).To(Equal(len(ended["guilty"])), "seed %d", seed)
-				g.Expect(held(b, "guilty")).To(Equal(len(ended["guilty"]) >= quarantine.EndsHeld), "seed %d", seed)
-				g.Expect(b.Ends(request("beside"))).To(Equal(boxes[0].Ends(request("beside"))), "seed %d", seed)
-				g.Expect(b.Ends(request("beside"))).To(BeNumerically("<=", len(ended["beside"])), "seed %d", seed)
+				g.Expect(b.Crashes(request("guilty"))).To(Equal(len(ended["guilty"])), "seed %d", seed)
+				g.Expect(held(b, "guilty")).To(Equal(len(ended["guilty"]) >= quarantine.HoldThreshold), "seed %d", seed)
+				g.Expect(b.Crashes(request("beside"))).To(Equal(boxes[0].Crashes(request("beside"))), "seed %d", seed)
+				g.Expect(b.Crashes(request("beside"))).To(BeNumerically("<=", len(ended["beside"])), "seed %d", seed)
 			}
 		})
 	}
@@ -225,7 +225,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var changes []quarantine.Change
-		s := quarantine.New(quarantine.Config{Changed: func(change quarantine.Change) { changes = append(changes, change) }})
+		s := quarantine.New(quarantine.Config{OnChange: func(change quarantine.Change) { changes = append(changes, change) }})
 		other := quarantine.New(quarantine.Config{})
 		end(s, "r", 1, 1, 2)
 		end(other, "r", 3)
@@ -233,9 +233,9 @@
 		tell(other, s)
 		s.NoteServed(request("r"))
 		g.Expect(changes).To(Equal([]quarantine.Change{
-			{Request: request("r"), Ends: 1},
-			{Request: request("r"), Ends: 2},
-			{Request: request("r"), Ends: 3, Held: true, Heard: true},
+			{Request: request("r"), Crashes: 1},
+			{Request: request("r"), Crashes: 2},
+			{Request: request("r"), Crashes: 3, Held: true, FromPeer: true},
 			{Request: request("r"), Released: true},
 		}))
 	})
@@ -246,19 +246,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := quarantine.New(quarantine.Config{})
-		words, next := s.Tell(0)
+		words, next := s.ChangesSince(0)
 		g.Expect(words).To(BeEmpty())
 		for number := range uint64(100) {
 			end(s, fmt.Sprint(number), 1)
 		}
-		words, next = s.Tell(next)
+		words, next = s.ChangesSince(next)
 		g.Expect(len(words)).To(BeNumerically("<", 100))
-		rest, last := s.Tell(next)
+		rest, last := s.ChangesSince(next)
 		g.Expect(len(words) + len(rest)).To(Equal(100))
-		again, _ := s.Tell(last)
+		again, _ := s.ChangesSince(last)
 		g.Expect(again).To(BeEmpty())
 		end(s, "7", 2)
-		again, _ = s.Tell(last)
+		again, _ = s.ChangesSince(last)
 		g.Expect(again).To(HaveLen(1))
 	})
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -75,7 +75,7 @@
 	return count
 }
 
-func (r *record) held() bool { return r.count() >= EndsHeld }
+func (r *record) held() bool { return r.count() >= HoldThreshold }
 
 // lastAt is when a server last ended under the request, or it was tried again.
 func (r *record) lastAt() time.Time {
@@ -89,7 +89,7 @@
 // heldUntil is when a request that is held may be tried again.
 func (r *record) heldUntil() time.Time {
 	length := triedAfter
-	for range r.count() - EndsHeld {
+	for range r.count() - HoldThreshold {
 		length = min(heldGrowth*length, longestHeld)
 	}
 	return r.lastAt().Add(length)
--- a/internal/quarantine/word.go
+++ b/internal/quarantine/word.go
@@ -14,28 +14,28 @@
 // mostWords bounds the requests of one message: some 100 bytes each.
 const mostWords = 64
 
-// Word tells of one request.
-type Word struct {
+// RequestRecord tells of one request.
+type RequestRecord struct {
 	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
 
 	Request Request
 	Caller  uint64
-	Ends    []WordEnd
+	Crashes []CrashRecord
 }
 
-// WordEnd tells of a server that ended.
-type WordEnd struct {
+// CrashRecord tells of a server that ended.
+type CrashRecord struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Life uint64
+	Incarnation uint64
 	// Age is how long ago, by the box that tells.
 	Age     time.Duration
 	Excused bool
 }
 
-// Tell gives what changed after a generation, at most mostWords of it, and the generation
+// ChangesSince gives what changed after a generation, at most mostWords of it, and the generation
 // that it leads to.
-func (s *Set) Tell(since uint64) ([]Word, uint64) {
+func (s *Set) ChangesSince(since uint64) ([]RequestRecord, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if since == s.generation {
@@ -54,37 +54,37 @@
 		next = changed[mostWords-1].changed
 	}
 	now := boottime.Now()
-	words := make([]Word, len(changed))
+	words := make([]RequestRecord, len(changed))
 	for i, known := range changed {
 		words[i] = known.word(now)
 	}
 	return words, next
 }
 
-func (r *record) word(now time.Time) Word {
-	word := Word{Request: r.request, Caller: r.caller, Ends: make([]WordEnd, len(r.ends))}
+func (r *record) word(now time.Time) RequestRecord {
+	word := RequestRecord{Request: r.request, Caller: r.caller, Crashes: make([]CrashRecord, len(r.ends))}
 	for i, e := range r.ends {
-		word.Ends[i] = WordEnd{Life: e.life, Age: now.Sub(e.at), Excused: e.excused}
+		word.Crashes[i] = CrashRecord{Incarnation: e.life, Age: now.Sub(e.at), Excused: e.excused}
 	}
 	return word
 }
 
-// Hear takes over what another box tells.
-func (s *Set) Hear(words []Word) {
+// Merge takes over what another box tells.
+func (s *Set) Merge(words []RequestRecord) {
 	now := boottime.Now()
 	for _, word := range words {
 		change, changed := s.hear(word, now)
 		if changed {
-			change.Heard = true
+			change.FromPeer = true
 			s.tellChanged(change)
 		}
 	}
 }
 
-func (s *Set) hear(word Word, now time.Time) (Change, bool) {
-	ends := make([]end, 0, min(len(word.Ends), mostEnds))
-	for _, e := range word.Ends[:min(len(word.Ends), mostEnds)] {
-		ends = append(ends, end{life: e.Life, at: now.Add(-max(e.Age, 0)), excused: e.Excused})
+func (s *Set) hear(word RequestRecord, now time.Time) (Change, bool) {
+	ends := make([]end, 0, min(len(word.Crashes), mostEnds))
+	for _, e := range word.Crashes[:min(len(word.Crashes), mostEnds)] {
+		ends = append(ends, end{life: e.Incarnation, at: now.Add(-max(e.Age, 0)), excused: e.Excused})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/retire/boxes_test.go
+++ b/internal/retire/boxes_test.go
@@ -113,10 +113,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	since := time.Now()
-	if before := b.heard[from]; before.Weights["m"] == w.named["m"] && !before.At.IsZero() {
-		since = before.Since["m"]
+	if before := b.heard[from]; before.Weights["m"] == w.named["m"] && !before.SentAfter.IsZero() {
+		since = before.KnownSince["m"]
 	}
-	b.heard[from] = retire.Peer{At: w.asOf, Weights: w.named, Since: map[string]time.Time{"m": since}}
+	b.heard[from] = retire.Peer{SentAfter: w.asOf, Weights: w.named, KnownSince: map[string]time.Time{"m": since}}
 }
 
 // awaitRead waits until a held read of the operators' stream has just ended.
--- a/internal/retire/retire.go
+++ b/internal/retire/retire.go
@@ -44,10 +44,10 @@
 	// confirmFor is how long more than half must have known of newer weights before
 	// a part is freed: a belief from just before is out of date by then, and the
 	// last fetch by it has ended.
-	confirmFor = heardFresh + partindex.FetchLimit + confirmMargin
+	confirmFor = heardFresh + partindex.FetchTimeout + confirmMargin
 	// freeMargin lies between a part's retirement and its freeing: a box may have
 	// learnt of the newer weights later by ReadFresh, and then fetch once more.
-	freeMargin = registry.ReadFresh + partindex.FetchLimit + lateMargin
+	freeMargin = registry.ReadFresh + partindex.FetchTimeout + lateMargin
 	// majorityFor is how long it counts since when more than half of the boxes have known
 	// of a version: it is asked for each part that might be freed, of which there are some
 	// thousands, and to look at 300 boxes each time would be most of a box's processor.
@@ -66,13 +66,13 @@
 type Peer struct {
 	// Box names it. Each box counts once, however many ways its word came.
 	Box string
-	// At is a moment before which it did not say so. It is not when its word came:
+	// SentAfter is a moment before which it did not say so. It is not when its word came:
 	// that may have been on its way for long.
-	At time.Time
+	SentAfter time.Time
 	// Weights are the newest versions that it knows of, by model, and Since when it
 	// was first heard to know of each.
-	Weights map[string]int
-	Since   map[string]time.Time
+	Weights    map[string]int
+	KnownSince map[string]time.Time
 }
 
 // Config sets up a Policy.
@@ -131,7 +131,7 @@
 	newest := p.cfg.Registry.Weights(model).Version
 	agreeing := 1
 	for _, peer := range p.cfg.Peers() {
-		if boottime.Since(peer.At) > heardFresh {
+		if boottime.Since(peer.SentAfter) > heardFresh {
 			continue
 		}
 		if peer.Weights[model] > newest {
@@ -150,7 +150,7 @@
 	if !outdated {
 		return false
 	}
-	return since.Found() || boottime.Since(since.NamedAfter) >= FetchedFor(partID)
+	return since.Found() || boottime.Since(since.NamedAfter) >= FetchWindow(partID)
 }
 
 // MayFree reports whether a part may be freed.
@@ -159,7 +159,7 @@
 	if !outdated {
 		return false
 	}
-	return boottime.Since(since.LearntAt) > FreedAfter(partID) && p.confirmed(model, since.Version, retirement(partID)+confirmFor)
+	return boottime.Since(since.LearntAt) > FreeDelay(partID) && p.confirmed(model, since.Version, retirement(partID)+confirmFor)
 }
 
 // confirmed reports whether more than half of the boxes have known of a version for
@@ -192,8 +192,8 @@
 	found := majority{version: version, workedOutAt: now}
 	var since []time.Time
 	for _, peer := range p.cfg.Peers() {
-		if now.Sub(peer.At) <= heardFresh-majorityFor && peer.Weights[model] >= version {
-			since = append(since, peer.Since[model])
+		if now.Sub(peer.SentAfter) <= heardFresh-majorityFor && peer.Weights[model] >= version {
+			since = append(since, peer.KnownSince[model])
 		}
 	}
 	boxes := p.cfg.Boxes()
@@ -209,15 +209,15 @@
 	return found
 }
 
-// FetchedFor is for how long after newer weights were named a box that knows of them
+// FetchWindow is for how long after newer weights were named a box that knows of them
 // fetches a part.
-func FetchedFor(partID string) time.Duration { return retirement(partID) + registry.ReadFresh }
+func FetchWindow(partID string) time.Duration { return retirement(partID) + registry.ReadFresh }
 
-// FreedAfter is how long after a box learnt of newer weights it may free a part.
-func FreedAfter(partID string) time.Duration { return retirement(partID) + freeMargin }
+// FreeDelay is how long after a box learnt of newer weights it may free a part.
+func FreeDelay(partID string) time.Duration { return retirement(partID) + freeMargin }
 
 // retirement is how long after newer weights were named a part retires, by its name alone.
-// It is still fetched for a while then; see FetchedFor.
+// It is still fetched for a while then; see FetchWindow.
 func retirement(partID string) time.Duration {
 	place := float64(xxhash.Sum64String(partID)>>11) / (1 << 53)
 	return firstRetirement + time.Duration(float64(spread)*place)
--- a/internal/retire/retire_test.go
+++ b/internal/retire/retire_test.go
@@ -107,7 +107,7 @@
 			for _, b := range all {
 				believed := b.registry.Weights("m").Version
 				if believed >= weights && b.policy.MayFetch("m", weights, p.id) {
-					fetchEnds[p] = now.Add(partindex.FetchLimit)
+					fetchEnds[p] = now.Add(partindex.FetchTimeout)
 				}
 				if b.policy.MayFree("m", weights, p.id) && freedAt[p].IsZero() {
 					freedAt[p] = now
@@ -132,18 +132,18 @@
 		time.Sleep(20 * time.Second)
 		learnt := time.Now()
 		for other := range boxes / 2 {
-			fetcher.heard[other] = retire.Peer{At: learnt, Weights: map[string]int{"m": 1}}
+			fetcher.heard[other] = retire.Peer{SentAfter: learnt, Weights: map[string]int{"m": 1}}
 		}
 		fetchEnds, freed := map[string]time.Time{}, 0
 		for time.Since(learnt) < 30*time.Second {
 			for other := range boxes / 2 {
-				freer.heard[other] = retire.Peer{At: time.Now(), Weights: map[string]int{"m": 2}, Since: map[string]time.Time{"m": learnt}}
+				freer.heard[other] = retire.Peer{SentAfter: time.Now(), Weights: map[string]int{"m": 2}, KnownSince: map[string]time.Time{"m": learnt}}
 			}
 			freed = 0
 			for number := range 50 {
 				id := fmt.Sprint("part-", number)
 				if fetcher.policy.MayFetch("m", 1, id) {
-					fetchEnds[id] = time.Now().Add(partindex.FetchLimit)
+					fetchEnds[id] = time.Now().Add(partindex.FetchTimeout)
 				}
 				if freer.policy.MayFree("m", 1, id) {
 					g.Expect(time.Now()).To(BeTemporally(">=", fetchEnds[id]), id)
@@ -241,14 +241,14 @@
 			ends, freed := map[string]time.Time{}, map[string]bool{}
 			for time.Since(named) < 14*time.Second {
 				for other := range boxes - 1 {
-					freer.heard[other] = retire.Peer{At: time.Now(), Weights: map[string]int{"m": 2}, Since: map[string]time.Time{"m": named}}
+					freer.heard[other] = retire.Peer{SentAfter: time.Now(), Weights: map[string]int{"m": 2}, KnownSince: map[string]time.Time{"m": named}}
 				}
 				synctest.Wait()
 				for number := range 30 {
 					id := fmt.Sprint("part-", number)
 					for _, b := range []*box{knowing, cutOff} {
 						if b.policy.MayFetch("m", 1, id) {
-							ends[id] = time.Now().Add(partindex.FetchLimit)
+							ends[id] = time.Now().Add(partindex.FetchTimeout)
 						}
 					}
 					if freer.policy.MayFree("m", 1, id) {
--- a/internal/sitebench/store.go
+++ b/internal/sitebench/store.go
@@ -17,7 +17,7 @@
 )
 
 // fetchMillis is after how long a fetch is thrown away.
-var fetchMillis = float64(partindex.FetchLimit.Milliseconds())
+var fetchMillis = float64(partindex.FetchTimeout.Milliseconds())
 
 // store is one store box.
 type store struct {
--- a/internal/sitebench/world.go
+++ b/internal/sitebench/world.go
@@ -28,7 +28,7 @@
 	id := fmt.Sprintf("%d/%d", class, number)
 	return thing{
 		tokens:     w.site.Classes[class].SharedTokens.draw(w.random),
-		fetchedFor: float64(retire.FetchedFor(id).Milliseconds()), freedAfter: float64(retire.FreedAfter(id).Milliseconds()),
+		fetchedFor: float64(retire.FetchWindow(id).Milliseconds()), freedAfter: float64(retire.FreeDelay(id).Milliseconds()),
 	}
 }
 
--- a/internal/storewatch/storewatch.go
+++ b/internal/storewatch/storewatch.go
@@ -16,8 +16,8 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Stores speaks to store boxes.
-type Stores interface {
+// StoreClient speaks to store boxes.
+type StoreClient interface {
 	// Changes asks for what changed since a position, waiting for the first.
 	Changes(ctx context.Context, address string, since int64, wait time.Duration) (partindex.Report, error)
 	// List asks for all that is kept.
@@ -28,7 +28,7 @@
 
 // Config sets up a Watcher.
 type Config struct {
-	Stores Stores
+	Stores StoreClient
 	Index  *partindex.Index
 	Logger zerolog.Logger
 	// MayFree reports whether a part may be freed.
@@ -137,10 +137,10 @@
 	next, lost := usual, false
 	listAt := nextList()
 	for ctx.Err() == nil {
-		if w.cfg.Index.WaitWhileTold(ctx, address) {
+		if w.cfg.Index.WaitToPoll(ctx, address) {
 			next, lost = usual, false
 		}
-		due := boottime.Now().After(listAt) || w.cfg.Index.WantsList(address)
+		due := boottime.Now().After(listAt) || w.cfg.Index.NeedsList(address)
 		listed, err := w.ask(ctx, address, next, due)
 		if due && err == nil {
 			listAt = nextList()
@@ -206,7 +206,7 @@
 		report.AsOf = asked.Add(heldLeast)
 	}
 	if !w.cfg.Index.Apply(address, report) {
-		w.cfg.Logger.Info().Str("address", address).Int64("life", report.Life).Bool("gap", report.Gap).Msg("store_box_changed_life")
+		w.cfg.Logger.Info().Str("address", address).Int64("life", report.Epoch).Bool("gap", report.Gap).Msg("store_box_changed_life")
 	}
 	return false, nil
 }
@@ -222,12 +222,12 @@
 	}
 	report.AsOf = asked
 	w.cfg.Index.Replace(address, report)
-	w.cfg.Logger.Info().Str("address", address).Int64("life", report.Life).Int("parts", len(report.Changes)).Int("unfinished", len(report.Unfinished)).Msg("store_box_listed")
+	w.cfg.Logger.Info().Str("address", address).Int64("life", report.Epoch).Int("parts", len(report.Changes)).Int("unfinished", len(report.Unfinished)).Msg("store_box_listed")
 	return nil
 }
 
-// LoopClean frees parts under namespaces that are out of use until ctx ends.
-func (w *Watcher) LoopClean(ctx context.Context) {
+// LoopFree frees parts under namespaces that are out of use until ctx ends.
+func (w *Watcher) LoopFree(ctx context.Context) {
 	for ctx.Err() == nil {
 		every := cleanEvery
 		if w.cfg.Index.Follows() {
@@ -243,7 +243,7 @@
 }
 
 func (w *Watcher) clean(ctx context.Context, address string) {
-	if w.cfg.Index.Told(address) {
+	if w.cfg.Index.PollPaused(address) {
 		return // the box that asks it frees
 	}
 	parts, life := w.cfg.Index.Freeable(address, w.cfg.MayFree, cleanMost)
--- a/internal/storewatch/storewatch_test.go
+++ b/internal/storewatch/storewatch_test.go
@@ -61,13 +61,13 @@
 	}
 	time.Sleep(wait - s.answer)
 	life, err := s.state()
-	return partindex.Report{Life: life, ClockMillis: 1}, err
+	return partindex.Report{Epoch: life, ClockMillis: 1}, err
 }
 
 func (s *stores) List(context.Context, string) (partindex.Report, error) {
 	life, err := s.state()
 	s.set(func(s *stores) { s.lists++ })
-	report := partindex.Report{Life: life, ClockMillis: 1, Changes: []partindex.Change{{Key: kept, Tokens: 50}}}
+	report := partindex.Report{Epoch: life, ClockMillis: 1, Changes: []partindex.Change{{Key: kept, Tokens: 50}}}
 	if s.listWithoutClock {
 		report.ClockMillis = 0
 	}
@@ -90,7 +90,7 @@
 			Stores: s, Index: index, Logger: zerolog.Nop(), MayFree: func(partindex.Key) bool { return mayFree },
 		})
 		watcher.Configure(ctx)
-		go watcher.LoopClean(ctx)
+		go watcher.LoopFree(ctx)
 		test(NewWithT(t), func() bool {
 			plan := index.Plan(partindex.Query{
 				Namespace: "m/1", Parts: []call.Part{{ID: "p", Tokens: 50}, {ID: "own"}}, MayFetch: func(string) bool { return true },
--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -17,7 +17,7 @@
 )
 
 // takeSlot moves a runner on to loading, if there is room.
-func (g *Giver) takeSlot(t task) bool {
+func (g *Controller) takeSlot(t task) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.count(loading) >= t.atOnce {
@@ -28,14 +28,14 @@
 }
 
 // runLoad carries out one task.
-func (g *Giver) runLoad(ctx context.Context, t task) {
+func (g *Controller) runLoad(ctx context.Context, t task) {
 	ctx, cancel := context.WithTimeout(ctx, loadLimit)
 	defer cancel()
 	started := boottime.Now()
 	name := t.server.Incarnation
 	g.cfg.Fleet.BeginOrder(name, started.Add(loadLimit))
-	if g.cfg.Paused != nil {
-		g.cfg.Paused()
+	if g.cfg.OnPause != nil {
+		g.cfg.OnPause()
 	}
 	err := g.pause(ctx, t)
 	if err == nil {
@@ -56,7 +56,7 @@
 }
 
 // pause waits until all boxes keep new calls from a runner, and there is room to load.
-func (g *Giver) pause(ctx context.Context, t task) error {
+func (g *Controller) pause(ctx context.Context, t task) error {
 	if g.cfg.Off.On(mechanism.PausedLoading) {
 		waiting.For(ctx, pauseBefore)
 	}
@@ -70,12 +70,12 @@
 
 // load orders a runner, and waits until it holds the version. A version that was named
 // since the task began takes the place of the task's.
-func (g *Giver) load(ctx context.Context, t *task) error {
+func (g *Controller) load(ctx context.Context, t *task) error {
 	report, err := g.ask(ctx, t.server)
 	if err != nil {
 		return err
 	}
-	t.version = max(t.version, g.cfg.Wanted(t.model))
+	t.version = max(t.version, g.cfg.TargetVersion(t.model))
 	if g.reached(*t, report) {
 		return nil
 	}
@@ -95,7 +95,7 @@
 }
 
 // awaitLoad asks a runner that loads until it holds the version.
-func (g *Giver) awaitLoad(ctx context.Context, t task) error {
+func (g *Controller) awaitLoad(ctx context.Context, t task) error {
 	for {
 		report, err := g.ask(ctx, t.server)
 		if err != nil {
@@ -114,27 +114,27 @@
 }
 
 // learnLoad learns from a load how long the next ones take.
-func (g *Giver) learnLoad(took time.Duration) {
+func (g *Controller) learnLoad(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.usualLoad += time.Duration(loadWeight * float64(took-g.usualLoad))
 }
 
 // reached notes what a runner holds, and reports whether that is enough.
-func (g *Giver) reached(t task, report Report) bool {
+func (g *Controller) reached(t task, report Report) bool {
 	held := report.Weights[t.model]
 	g.cfg.Fleet.NoteWeights(t.server.Incarnation, t.model, held)
 	return held >= t.version
 }
 
-func (g *Giver) ask(ctx context.Context, server fleet.Server) (Report, error) {
+func (g *Controller) ask(ctx context.Context, server fleet.Server) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
 	return g.cfg.Runners.Report(ctx, server)
 }
 
 // order gives the order. Whether this box may is asked last, right before.
-func (g *Giver) order(ctx context.Context, t task, after int64) (bool, error) {
+func (g *Controller) order(ctx context.Context, t task, after int64) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
 	fence, may := g.cfg.Lease.Permit(ctx)
--- a/internal/weightorders/load_test.go
+++ b/internal/weightorders/load_test.go
@@ -33,7 +33,7 @@
 		g := NewWithT(t)
 		giver := New(Config{
 			Runners: lateRunner{time.Now().Add(50 * time.Millisecond)}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(),
-			Wanted: func(string) int { return 2 },
+			TargetVersion: func(string) int { return 2 },
 		})
 		g.Expect(giver.load(context.Background(), &task{model: "m", version: 2})).To(Succeed())
 		g.Expect(giver.usualLoad).To(Equal(firstLoad))
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -33,8 +33,8 @@
 	// ErrConflict says that the runner is carrying out another order, or had taken
 	// more orders than expected.
 	ErrConflict = merry.Sentinel("the runner has other orders")
-	// ErrOtherLife says that another runner, or another life of it, answers there.
-	ErrOtherLife = merry.Sentinel("another incarnation answers")
+	// ErrOtherIncarnation says that another runner, or another life of it, answers there.
+	ErrOtherIncarnation = merry.Sentinel("another incarnation answers")
 	// ErrRefused says that the runner does not take such an order.
 	ErrRefused = merry.Sentinel("the runner refused the order")
 )
@@ -61,29 +61,29 @@
 	AfterOrders int64
 }
 
-// Runners speaks to runners.
-type Runners interface {
+// RunnerClient speaks to runners.
+type RunnerClient interface {
 	// Report asks a runner for its state.
 	Report(ctx context.Context, server fleet.Server) (Report, error)
 	// Order gives an order. done says that the runner already holds the version.
 	Order(ctx context.Context, server fleet.Server, order Order) (done bool, err error)
 }
 
-// Config sets up a Giver.
+// Config sets up a Controller.
 type Config struct {
-	Runners Runners
+	Runners RunnerClient
 	Fleet   *fleet.Fleet
 	Lease   *orderlease.Lease
 	Logger  zerolog.Logger
 	// Off holds mechanisms that are switched off.
 	Off mechanism.Off
-	// Paused is told that a runner gets no new calls from now on; it may be nil.
-	Paused func()
+	// OnPause is told that a runner gets no new calls from now on; it may be nil.
+	OnPause func()
 	// Holder names this box in orders.
 	Holder string
 	// Models lists the models with a named version, and Wanted gives it.
-	Models func() []string
-	Wanted func(model string) int
+	Models        func() []string
+	TargetVersion func(model string) int
 }
 
 const (
@@ -145,8 +145,8 @@
 	atOnce int
 }
 
-// Giver gives the orders while the lease lets this box.
-type Giver struct {
+// Controller gives the orders while the lease lets this box.
+type Controller struct {
 	cfg Config
 
 	mu sync.Mutex
@@ -160,12 +160,12 @@
 }
 
 // New makes a giver.
-func New(cfg Config) *Giver {
-	return &Giver{cfg: cfg, under: map[string]progress{}, notBefore: map[string]time.Time{}, usualLoad: firstLoad}
+func New(cfg Config) *Controller {
+	return &Controller{cfg: cfg, under: map[string]progress{}, notBefore: map[string]time.Time{}, usualLoad: firstLoad}
 }
 
 // Loop looks for runners that are behind until ctx ends.
-func (g *Giver) Loop(ctx context.Context) {
+func (g *Controller) Loop(ctx context.Context) {
 	defer g.orders.Wait()
 	for waiting.For(ctx, g.pauseBetweenLooks()) {
 		g.look(ctx)
@@ -173,16 +173,16 @@
 }
 
 // pauseBetweenLooks is longer in a box that another one reads for, which gives no orders.
-func (g *Giver) pauseBetweenLooks() time.Duration {
+func (g *Controller) pauseBetweenLooks() time.Duration {
 	if g.cfg.Lease.Idle() {
 		return idleLookEvery
 	}
 	return lookEvery
 }
 
-func (g *Giver) look(ctx context.Context) {
+func (g *Controller) look(ctx context.Context) {
 	for _, model := range g.cfg.Models() {
-		version := g.cfg.Wanted(model)
+		version := g.cfg.TargetVersion(model)
 		behind := g.cfg.Fleet.Behind(model, version)
 		if len(behind) == 0 {
 			continue
@@ -199,7 +199,7 @@
 
 // begin starts with one runner if there is room. A runner's pause begins shortly
 // before a load of another ends, so that loads follow each other at once.
-func (g *Giver) begin(ctx context.Context, t task) {
+func (g *Controller) begin(ctx context.Context, t task) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	name := t.server.Incarnation
@@ -212,7 +212,7 @@
 }
 
 // count counts the runners in a phase. The caller holds mu.
-func (g *Giver) count(wanted phase) int {
+func (g *Controller) count(wanted phase) int {
 	count := 0
 	for _, reached := range g.under {
 		if reached.phase == wanted {
@@ -224,7 +224,7 @@
 
 // occupied counts the runners under orders but for those whose loads are about to
 // end. The caller holds mu.
-func (g *Giver) occupied() int {
+func (g *Controller) occupied() int {
 	count := 0
 	for _, reached := range g.under {
 		if reached.phase == pausing || boottime.Since(reached.since) < g.usualLoad-pauseBefore {
--- a/internal/weightorders/weightorders_test.go
+++ b/internal/weightorders/weightorders_test.go
@@ -108,7 +108,7 @@
 		lease := orderlease.New(orderlease.Config{Log: log, Logger: zerolog.Nop(), Holder: name, Gap: 3 * time.Second})
 		giver := weightorders.New(weightorders.Config{
 			Runners: r, Fleet: f, Lease: lease, Logger: zerolog.Nop(), Holder: name,
-			Models: func() []string { return []string{"m"} }, Wanted: func(string) int { return wanted() },
+			Models: func() []string { return []string{"m"} }, TargetVersion: func(string) int { return wanted() },
 		})
 		go lease.Loop(ctx)
 		go giver.Loop(ctx)
--- a/internal/zonereader/follow.go
+++ b/internal/zonereader/follow.go
@@ -101,7 +101,7 @@
 	}
 	z.cfg.Logger.Info().Msg("reads_itself")
 	z.cfg.Registry.ReadItself()
-	z.cfg.Parts.AskItself()
+	z.cfg.Parts.PollDirectly()
 }
 
 // avoid leaves a box that did not answer alone for a while.
@@ -169,8 +169,8 @@
 		if err != nil {
 			return err
 		}
-		if z.cfg.Parts.TakeWord(word, asOf) {
-			mended[word.Address] = word.Position.Mended
+		if z.cfg.Parts.ApplyUpdate(word, asOf) {
+			mended[word.Address] = word.Position.Lists
 		}
 	}
 	return nil
@@ -193,12 +193,12 @@
 }
 
 func (z *Zone) question(mended map[string]int) *question {
-	asked := question{Streams: map[sharedlog.Stream]int64{}, Stores: map[string]partindex.Position{}, Doubted: z.cfg.Parts.Doubted()}
+	asked := question{Streams: map[sharedlog.Stream]int64{}, Stores: map[string]partindex.Position{}, Doubted: z.cfg.Parts.OverdueStores()}
 	for _, stream := range registry.Followed() {
 		asked.Streams[stream] = z.cfg.Registry.Position(stream)
 	}
 	for address, position := range z.cfg.Parts.Positions() {
-		position.Mended = mended[address]
+		position.Lists = mended[address]
 		asked.Stores[address] = position
 	}
 	return &asked
--- a/internal/zonereader/pack.go
+++ b/internal/zonereader/pack.go
@@ -17,9 +17,9 @@
 	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
 
 	// Word has no parts.
-	Word       partindex.Word `msgpack:"w"`
-	Parts      packedParts    `msgpack:"p"`
-	Unfinished packedParts    `msgpack:"u"`
+	Word       partindex.StoreUpdate `msgpack:"w"`
+	Parts      packedParts           `msgpack:"p"`
+	Unfinished packedParts           `msgpack:"u"`
 }
 
 // packedParts are parts in columns. Part i has the ID IDs[i], Tokens[i] tokens, and the
@@ -33,7 +33,7 @@
 	Tokens     []int    `msgpack:"t"`
 }
 
-func pack(word partindex.Word) packedWord {
+func pack(word partindex.StoreUpdate) packedWord {
 	packed := packedWord{Parts: packParts(word.Parts), Unfinished: packParts(word.Unfinished)}
 	word.Parts, word.Unfinished = nil, nil
 	packed.Word = word
@@ -58,14 +58,14 @@
 }
 
 // unpack gives the word; an error when its columns do not fit each other.
-func (p packedWord) unpack() (partindex.Word, error) {
+func (p packedWord) unpack() (partindex.StoreUpdate, error) {
 	word := p.Word
 	var err error
 	if word.Parts, err = p.Parts.unpack(); err != nil {
-		return partindex.Word{}, err
+		return partindex.StoreUpdate{}, err
 	}
 	if word.Unfinished, err = p.Unfinished.unpack(); err != nil {
-		return partindex.Word{}, err
+		return partindex.StoreUpdate{}, err
 	}
 	return word, nil
 }
--- a/internal/zonereader/pack_test.go
+++ b/internal/zonereader/pack_test.go
@@ -18,9 +18,9 @@
 )
 
 func TestAWordIsTheSameAfterItWasPacked(t *testing.T) {
-	words := []partindex.Word{
+	words := []partindex.StoreUpdate{
 		{Address: "a"},
-		{Address: "a", Position: partindex.Position{Life: 1, Next: 2, Mended: 3}, Whole: true, Listed: true, Age: time.Second, Parts: []partindex.Part{
+		{Address: "a", Position: partindex.Position{Epoch: 1, Next: 2, Lists: 3}, Full: true, Listed: true, Age: time.Second, Parts: []partindex.Part{
 			{Namespace: "m/1", ID: "x", Tokens: 5}, {Namespace: "m/2", ID: "y"}, {Namespace: "m/1", ID: "z", Tokens: 7},
 		}, Unfinished: []partindex.Part{{Namespace: "m/3", ID: "u", Tokens: 9}}},
 	}
@@ -44,7 +44,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	raw, err := msgpack.Marshal(pack(partindex.Word{Parts: []partindex.Part{{Namespace: "m/1", ID: "x", Tokens: 5}}}))
+	raw, err := msgpack.Marshal(pack(partindex.StoreUpdate{Parts: []partindex.Part{{Namespace: "m/1", ID: "x", Tokens: 5}}}))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	parts.Configure(services)
 	follower.Configure(services)
 	for _, service := range services {
-		report := partindex.Report{Life: 1, ClockMillis: 1, AsOf: time.Now()}
+		report := partindex.Report{Epoch: 1, ClockMillis: 1, AsOf: time.Now()}
 		for part := range partsEach {
 			report.Changes = append(report.Changes, partindex.Change{Key: partindex.Key{Namespace: "m/1", ID: fmt.Sprintf("%012x", part)}, Tokens: 5000})
 		}
@@ -94,8 +94,8 @@
 		for _, packed := range told.Stores {
 			word, err := packed.unpack()
 			g.Expect(err).NotTo(HaveOccurred())
-			follower.TakeWord(word, time.Now())
-			g.Expect(follower.Told(word.Address)).To(BeTrue(), "whatever comes later is waited for")
+			follower.ApplyUpdate(word, time.Now())
+			g.Expect(follower.PollPaused(word.Address)).To(BeTrue(), "whatever comes later is waited for")
 		}
 	}
 	g.Expect(answers).To(BeNumerically("~", stores*partsEach/mostParts, 2))
--- a/internal/zonereader/question_test.go
+++ b/internal/zonereader/question_test.go
@@ -32,11 +32,11 @@
 	parts.Configure(services)
 	asked := question{Stores: map[string]partindex.Position{}}
 	for i, service := range services {
-		parts.Replace(service.Store.Address, partindex.Report{Life: 1, AsOf: time.Now(), ClockMillis: 1})
-		asked.Stores[service.Store.Address] = partindex.Position{Life: 1, Mended: 1}
+		parts.Replace(service.Store.Address, partindex.Report{Epoch: 1, AsOf: time.Now(), ClockMillis: 1})
+		asked.Stores[service.Store.Address] = partindex.Position{Epoch: 1, Lists: 1}
 		if i < newParts {
 			key := partindex.Key{Namespace: "model/1", ID: fmt.Sprint("part-", i)}
-			parts.Apply(service.Store.Address, partindex.Report{Life: 1, Next: 1, AsOf: time.Now(), ClockMillis: 1, Changes: []partindex.Change{{Key: key, Tokens: 1000}}})
+			parts.Apply(service.Store.Address, partindex.Report{Epoch: 1, Next: 1, AsOf: time.Now(), ClockMillis: 1, Changes: []partindex.Change{{Key: key, Tokens: 1000}}})
 		}
 	}
 	known := registry.New(registry.Config{Log: fakesharedlog.New(), Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(), News: news})
--- a/internal/zonereader/versions_test.go
+++ b/internal/zonereader/versions_test.go
@@ -28,10 +28,10 @@
 }
 
 type answerBefore struct {
-	Streams []wordBefore     `msgpack:"s"`
-	Stores  []partindex.Word `msgpack:"p"`
-	Held    time.Duration    `msgpack:"h"`
-	Lost    bool             `msgpack:"l,omitempty"`
+	Streams []wordBefore            `msgpack:"s"`
+	Stores  []partindex.StoreUpdate `msgpack:"p"`
+	Held    time.Duration           `msgpack:"h"`
+	Lost    bool                    `msgpack:"l,omitempty"`
 }
 
 // While boxes are replaced by those of a newer version, each kind is told by the other. With
--- a/internal/zonereader/zonereader.go
+++ b/internal/zonereader/zonereader.go
@@ -197,7 +197,7 @@
 // all boxes start at once, and until they know what is kept all prompts are read anew.
 func (q question) lacksStores() bool {
 	for _, position := range q.Stores {
-		if position.Life == 0 {
+		if position.Epoch == 0 {
 			return true
 		}
 	}
@@ -226,7 +226,7 @@
 // answer tells what this box knows as soon as that is news, or when the hold is over.
 func (z *Zone) answer(ctx context.Context, asked question) answer {
 	cameAt := boottime.Now()
-	z.cfg.Parts.Doubt(asked.Doubted)
+	z.cfg.Parts.MarkOverdue(asked.Doubted)
 	atOnce := z.tellsPartsAtOnce() || asked.lacksStores()
 	for {
 		wake, partsWake := z.cfg.News.Wait(), z.cfg.PartNews.Wait()
@@ -275,9 +275,9 @@
 	}
 	parts := 0
 	for address, since := range asked.Stores {
-		word, isNews, known := z.cfg.Parts.WordSince(address, since)
-		if word.Whole && parts > mostParts {
-			word = partindex.Word{Address: address, Unknown: true} // it comes with the next answer
+		word, isNews, known := z.cfg.Parts.UpdateSince(address, since)
+		if word.Full && parts > mostParts {
+			word = partindex.StoreUpdate{Address: address, Unknown: true} // it comes with the next answer
 		}
 		if known {
 			parts += len(word.Parts)
