--- a/internal/partindex/pace_test.go
+++ b/internal/partindex/lateness_test.go
@@ -12,32 +12,32 @@
 	"github.com/cometlock/cometlock/internal/partindex"
 )
 
-// keeping makes an index in which the large store box keeps a part.
-func keeping() *partindex.Index {
+// indexWithPart returns an index in which the large store box holds a part.
+func indexWithPart() *partindex.Index {
 	x := settled()
 	x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, ClockMillis: 1000, Changes: held("part", 12_000)})
 	return x
 }
 
-func TestAStoreBoxIsSlowWhenAllItsLastFetchesCameLate(t *testing.T) {
+func TestAStoreBoxIsSlowWhenAllItsLatestFetchesWereLate(t *testing.T) {
 	const lateBy = 400 * time.Millisecond
 	cases := []struct {
 		name string
-		// late are the fetches from the store box in their order, others those from the
-		// other one.
+		// late lists the fetches from the store box in order, and others those from the other store
+		// box.
 		late   []time.Duration
 		others []time.Duration
 		slow   bool
 	}{
-		{name: "nothing known"},
+		{name: "no fetches yet"},
 		{name: "three late", late: []time.Duration{lateBy, lateBy, lateBy}},
 		{name: "four late", late: []time.Duration{lateBy, lateBy, lateBy, lateBy}, slow: true},
-		{name: "one in time among them", late: []time.Duration{lateBy, 0, lateBy, lateBy}},
-		{name: "one in time long ago", late: []time.Duration{0, lateBy, lateBy, lateBy, lateBy}, slow: true},
-		{name: "one in time again", late: []time.Duration{lateBy, lateBy, lateBy, lateBy, 0}},
-		{name: "a little late", late: []time.Duration{lateBy / 2, lateBy / 2, lateBy / 2, lateBy / 2}},
+		{name: "one of them on time", late: []time.Duration{lateBy, 0, lateBy, lateBy}},
+		{name: "one on time before the last four", late: []time.Duration{0, lateBy, lateBy, lateBy, lateBy}, slow: true},
+		{name: "the latest on time", late: []time.Duration{lateBy, lateBy, lateBy, lateBy, 0}},
+		{name: "slightly late", late: []time.Duration{lateBy / 2, lateBy / 2, lateBy / 2, lateBy / 2}},
 		{
-			name: "others late too", late: []time.Duration{lateBy, lateBy, lateBy, lateBy},
+			name: "other store boxes late as well", late: []time.Duration{lateBy, lateBy, lateBy, lateBy},
 			others: []time.Duration{lateBy, lateBy, lateBy, lateBy},
 		},
 	}
@@ -45,7 +45,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				x := keeping()
+				x := indexWithPart()
 				for _, late := range c.others {
 					x.NoteFetch("quick", late)
 				}
@@ -58,26 +58,25 @@
 					return
 				}
 				g.Expect(made.Fetch[0]).To(BeEmpty())
-				g.Expect(made.Save[0]).To(BeEmpty(), "it is kept already")
-				g.Expect(made.Missing).To(Equal(12_100), "the runner reads it")
+				g.Expect(made.Save[0]).To(BeEmpty(), "it is already held")
+				g.Expect(made.Missing).To(Equal(12_100), "the runner prefills it")
 			})
 		})
 	}
 }
 
-// A store box that has not been fetched from, or not for long, says nothing of how late
-// all fetches are now.
+// A store box without recent fetches gives no evidence of how late all fetches are at present.
 func TestSlowStoreBoxesAreComparedWithThoseInUse(t *testing.T) {
 	cases := []struct {
 		name string
-		// idle are fetches from a third store box some time ago, all in time.
+		// idle is the number of fetches from a third store box some time ago, all on time.
 		idle int
 		ago  time.Duration
 		slow bool
 	}{
 		{name: "never used"},
-		{name: "used too seldom", idle: 3},
-		{name: "used long ago", idle: 4, ago: 6 * time.Second},
+		{name: "too few fetches", idle: 3},
+		{name: "last used long ago", idle: 4, ago: 6 * time.Second},
 		{name: "in use", idle: 4, ago: time.Second, slow: true},
 	}
 	for _, c := range cases {
@@ -104,11 +103,11 @@
 	}
 }
 
-// Without a try now and then nobody would learn that a link is quick again.
-func TestASlowStoreBoxIsTriedNowAndThen(t *testing.T) {
+// Without occasional probes a box would not notice that a link has recovered.
+func TestASlowStoreBoxIsProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		x := keeping()
+		x := indexWithPart()
 		for range 3 {
 			x.NoteFetch("large", time.Second)
 		}
@@ -117,22 +116,22 @@
 		time.Sleep(time.Second)
 		refresh(x, 1)
 		made := plan(x, "part", 12_000)
-		g.Expect(made.Fetch[0]).To(Equal(large), "one may try")
-		g.Expect(plan(x, "part", 12_000).Fetch[0]).To(Equal(large), "the first was not handed over")
+		g.Expect(made.Fetch[0]).To(Equal(large), "one probe is allowed")
+		g.Expect(plan(x, "part", 12_000).Fetch[0]).To(Equal(large), "the first call was not dispatched")
 		x.NoteDispatched("m/1", []call.Part{{ID: "part", Tokens: 12_000}, {ID: "own", Tokens: 100}}, made)
-		g.Expect(plan(x, "part", 12_000).Fetch[0]).To(BeEmpty(), "only one")
+		g.Expect(plan(x, "part", 12_000).Fetch[0]).To(BeEmpty(), "only one probe")
 		slow, changed = x.NoteFetch("large", 0)
 		g.Expect([]bool{slow, changed}).To(Equal([]bool{false, true}))
 		g.Expect(plan(x, "part", 12_000).Fetch[0]).To(Equal(large))
 	})
 }
 
-// A fetch to another zone takes twice as long, so runners in the store box's own zone
-// are to be preferred more the slower it is.
-func TestTheTimeOfAFetchCountsHowLateFetchesCome(t *testing.T) {
+// A fetch from another zone takes twice as long, so a slower store box makes runners in its own
+// zone more preferable.
+func TestFetchTimeIncludesLateness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		x := keeping()
+		x := indexWithPart()
 		before := plan(x, "part", 12_000).FetchTime
 		for range 4 {
 			x.NoteFetch("large", 200*time.Millisecond)
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -1,13 +1,12 @@
-// Package partindex knows which parts of prompts store boxes keep, and plans for a
-// prompt which parts to fetch, which to save, and where.
+// Package partindex tracks which parts of prompts (shared pieces of KV cache) store boxes hold,
+// and plans for each prompt which parts to fetch, which to save and where.
 //
-// Store boxes here keep what they are told to keep until they are told to free it.
-// A fetch is planned only for a part that the store box itself has called whole,
-// in its present life, and only while its word is recent: what it says may be
-// late, but then a part is missing and is read again. Two rules keep a part that is
-// being written from being read. A box that learns of a new life of a store box
-// saves nothing there until every box must have learnt of it or have stopped
-// fetching; and parts are freed only under weights that nobody fetches any more.
+// A store box holds a part until it is told to free it. A fetch is planned only for a part that
+// the store box itself has reported as complete in its current epoch, and only while that report
+// is recent. A report may be out of date; the part is then missing and is prefilled. Two rules
+// prevent a part from being read while it is being written. A box that observes a new epoch of a
+// store box saves nothing there until every other box must have observed it or have stopped
+// fetching. And parts are freed only under weights from which no box fetches any more.
 package partindex
 
 import (
@@ -24,92 +23,91 @@
 )
 
 const (
-	// freshFor is how long a store box's word counts. The boxes ask three times a
-	// second, so one lost answer does no harm.
+	// freshFor is how long the state of a store box is used. Boxes poll three times a second, so
+	// one lost answer does no harm.
 	freshFor = 1200 * time.Millisecond
-	// FetchTimeout bounds a fetch: later than this after it was planned it is thrown
-	// away. Moves of the largest parts take 200 ms, and may queue.
+	// FetchTimeout bounds a fetch: one that has not arrived this long after it was planned is
+	// dropped. Transfers of the largest parts take 200 ms and may queue.
 	FetchTimeout = time.Second
-	// quietAfterRestart is how long nothing is saved in a store box that has
-	// restarted: until nobody can have a fetch under way that was planned on what
-	// it kept before.
-	quietAfterRestart = freshFor + FetchTimeout + quietMargin
-	// quietMargin is for boxes that run late.
-	quietMargin = 300 * time.Millisecond
+	// saveDelayAfterRestart is how long nothing is saved in a store box that has restarted. After
+	// that no fetch can be in flight that was planned on what it held before.
+	saveDelayAfterRestart = freshFor + FetchTimeout + saveDelayMargin
+	// saveDelayMargin allows for boxes that run late.
+	saveDelayMargin = 300 * time.Millisecond
 )
 
-// store is what is known of one store box.
+// store is the state of one store box as this box knows it.
 type store struct {
 	name   string
 	config catalog.Store
-	quick  bool
-	life   int64
+	fast   bool
+	epoch  int64
 	next   int64
-	// knownAt is when this box learnt that there is the store box, and heardAt when it said
-	// what is known of it.
-	knownAt  time.Time
-	heardAt  time.Time
+	// addedAt is when this box first configured the store box, and asOf the time at which the state
+	// below was current.
+	addedAt  time.Time
+	asOf     time.Time
 	saveFrom time.Time
-	// listedAt is when it was last listed, and doubted that another box has reason to doubt
-	// what is known of it.
-	listedAt time.Time
-	doubted  bool
-	held     map[Key]int
-	// unfinished is the room that parts took which were not whole when the store box
-	// was last listed, and used the room that all parts take.
+	// listedAt is when it was last listed, and peerOverdue whether another box has since reported
+	// an overdue save in it.
+	listedAt    time.Time
+	peerOverdue bool
+	held        map[Key]int
+	// unfinished is the space, in tokens, taken by parts that were incomplete when the store box
+	// was last listed, and used the space taken by all parts.
 	unfinished map[Key]int
 	used       int
-	pace       pace
-	told       told
+	lateness   lateness
+	relay      relayState
 }
 
-// Index is what is known of all store boxes.
+// Index is the state of all store boxes as this box knows it.
 type Index struct {
 	cfg    Config
 	mu     sync.Mutex
 	stores []*store
-	// saving holds the parts that this box had saved and has not heard of yet.
-	saving map[Key]save
-	// forgotAt is when old ones among them were last forgotten.
-	forgotAt time.Time
-	// clock is the servers' clock at clockAt.
+	// pendingSaves holds the saves that this box requested and that no event has confirmed yet.
+	pendingSaves map[Key]save
+	// prunedAt is when old entries of pendingSaves were last removed.
+	prunedAt time.Time
+	// clock is the servers' clock at clockAt, in milliseconds.
 	clock   int64
 	clockAt time.Time
 
-	// askItself ends the waiting for the word of another box, and news wakes those who
-	// wait to tell other boxes what a store box said.
-	askItself waiting.Signal
-	news      *waiting.Signal
-	// asks says that this box is to ask the store boxes itself, and follows that another one
-	// tells it of them; neither is known when it starts.
-	asks    bool
-	follows bool
+	// resumePolling ends waits for updates from another box, and news wakes those that wait to send
+	// changes of store boxes to other boxes.
+	resumePolling waiting.Signal
+	news          *waiting.Signal
+	// polls reports whether this box polls the store boxes itself, and following whether another
+	// box sends it their state. Both are false at the start, until that is decided.
+	polls     bool
+	following bool
 }
 
-// Config sets up an Index.
+// Config configures an Index.
 type Config struct {
-	// News is woken when a store box or a runner says anything new; it may be nil.
+	// News is signalled when a store box or a runner reports a change; it may be nil.
 	News *waiting.Signal
-	// Off holds mechanisms that are switched off.
+	// Off holds the mechanisms that are switched off.
 	Off mechanism.Off
-	// PollDelay is how long store boxes that are new are not asked unless this box is to ask
-	// itself, so that one that will be told need not: when each of 295 boxes that started
-	// asked each of 47 store boxes, most were turned away.
+	// PollDelay is how long new store boxes are not polled unless this box polls for itself, so
+	// that a box that is about to follow another need not poll them. When each of 295 boxes polled
+	// each of 47 store boxes at startup, most were refused.
 	PollDelay time.Duration
 }
 
-// New makes an empty index.
+// New returns an empty index.
 func New(cfg Config) *Index {
 	cfg.News = cmp.Or(cfg.News, &waiting.Signal{})
-	return &Index{cfg: cfg, saving: map[Key]save{}, news: cfg.News}
+	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, news: cfg.News}
 }
 
-// Configure takes over which store boxes there are.
+// Configure replaces the set of store boxes.
 func (x *Index) Configure(services []catalog.Service) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var stores []*store
-	quickest := time.Duration(-1)
+	lowestLatency := time.Duration(-1)
 	for i := range services {
 		service := &services[i]
 		if service.Store == nil {
@@ -117,19 +115,19 @@
 		}
 		s := x.find(service.Store.Address)
 		if s == nil {
-			s = &store{held: map[Key]int{}, unfinished: map[Key]int{}, knownAt: boottime.Now()}
-			if x.cfg.PollDelay > 0 && !x.asks {
-				x.waitUntil(s, boottime.Now().Add(x.cfg.PollDelay))
+			s = &store{held: map[Key]int{}, unfinished: map[Key]int{}, addedAt: boottime.Now()}
+			if x.cfg.PollDelay > 0 && !x.polls {
+				x.pausePolling(s, boottime.Now().Add(x.cfg.PollDelay))
 			}
 		}
 		s.name, s.config = service.Name, *service.Store
 		stores = append(stores, s)
-		if quickest < 0 || s.config.FirstByte < quickest {
-			quickest = s.config.FirstByte
+		if lowestLatency < 0 || s.config.FirstByte < lowestLatency {
+			lowestLatency = s.config.FirstByte
 		}
 	}
 	for _, s := range stores {
-		s.quick = s.config.FirstByte == quickest || !x.cfg.Off.On(mechanism.StoreKinds)
+		s.fast = s.config.FirstByte == lowestLatency || !x.cfg.Off.On(mechanism.StoreKinds)
 	}
 	slices.SortFunc(stores, func(a, b *store) int { return compare(a.config.Address, b.config.Address) })
 	x.stores = stores
@@ -155,7 +153,7 @@
 	return nil
 }
 
-// Addresses lists the store boxes in a fixed order.
+// Addresses lists the store boxes, sorted by address.
 func (x *Index) Addresses() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -166,19 +164,19 @@
 	return addresses
 }
 
-// Position gives where the next question to a store box begins, and whether all
-// that it keeps must be asked for.
+// Position returns the position at which the next poll of a store box starts, and whether a list
+// is needed instead.
 func (x *Index) Position(address string) (next int64, list bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := x.find(address)
-	if s == nil || s.life == 0 {
+	if s == nil || s.epoch == 0 {
 		return 0, true
 	}
 	return s.next, false
 }
 
-// Replace takes over all that a store box keeps.
+// Replace replaces the state of a store box by a list of all that it holds.
 func (x *Index) Replace(address string, report Report) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -186,26 +184,27 @@
 	if s == nil {
 		return
 	}
-	before := s.heldIn(report.Epoch)
-	x.begin(s, report)
-	s.forget()
-	x.take(s, report)
-	s.takeUnfinished(report.Unfinished)
-	x.noteListed(s, report.AsOf)
-	s.told.mend(before, s.held)
+	before := s.heldInEpoch(report.Epoch)
+	x.beginEpoch(s, report)
+	s.reset()
+	x.applyReport(s, report)
+	s.setUnfinished(report.Unfinished)
+	x.markListed(s, report.AsOf)
+	s.relay.recordCorrections(before, s.held)
 	x.news.Send()
 }
 
-// heldIn gives what a store box is known to keep in a life; nothing in another one.
-func (s *store) heldIn(life int64) map[Key]int {
-	if s.life != life {
+// heldInEpoch returns a copy of the parts that a store box is known to hold, or nil if its known
+// epoch is another.
+func (s *store) heldInEpoch(epoch int64) map[Key]int {
+	if s.epoch != epoch {
 		return nil
 	}
 	return maps.Clone(s.held)
 }
 
-// takeUnfinished takes over which parts are not whole.
-func (s *store) takeUnfinished(parts []Change) {
+// setUnfinished replaces the unfinished parts.
+func (s *store) setUnfinished(parts []Change) {
 	for _, tokens := range s.unfinished {
 		s.used -= tokens
 	}
@@ -216,15 +215,15 @@
 	}
 }
 
-// forget forgets what a store box keeps.
-func (s *store) forget() {
+// reset clears all parts of a store box.
+func (s *store) reset() {
 	clear(s.held)
 	clear(s.unfinished)
 	s.used = 0
 }
 
-// Apply takes over what changed. It reports false when that does not follow what
-// is known, so that all must be asked for.
+// Apply applies the changes in a report. It returns false if they do not continue the known
+// state, in which case a list is needed.
 func (x *Index) Apply(address string, report Report) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -232,32 +231,32 @@
 	if s == nil {
 		return true
 	}
-	if report.Epoch != s.life || report.Gap {
-		s.life = 0
-		s.forget()
+	if report.Epoch != s.epoch || report.Gap {
+		s.epoch = 0
+		s.reset()
 		return false
 	}
-	s.told.note(s.next, report)
-	x.take(s, report)
+	s.relay.record(s.next, report)
+	x.applyReport(s, report)
 	if len(report.Changes) > 0 {
 		x.news.Send()
 	}
 	return true
 }
 
-// begin notes the life of a store box. One that is seen for the first time may
-// have restarted just now, so it counts as new too.
-func (x *Index) begin(s *store, report Report) {
-	if s.life != report.Epoch {
-		s.saveFrom = boottime.Now().Add(quietAfterRestart)
-		s.told = told{until: s.told.until, lapse: s.told.lapse}
+// beginEpoch records the epoch of a store box. A store box that is seen for the first time may
+// have restarted just before, so it is treated as restarted too.
+func (x *Index) beginEpoch(s *store, report Report) {
+	if s.epoch != report.Epoch {
+		s.saveFrom = boottime.Now().Add(saveDelayAfterRestart)
+		s.relay = relayState{pauseUntil: s.relay.pauseUntil, timer: s.relay.timer}
 	}
-	s.life = report.Epoch
+	s.epoch = report.Epoch
 }
 
-func (x *Index) take(s *store, report Report) {
+func (x *Index) applyReport(s *store, report Report) {
 	now := boottime.Now()
-	s.next, s.heardAt = report.Next, report.AsOf
+	s.next, s.asOf = report.Next, report.AsOf
 	if report.ClockMillis > 0 {
 		x.clock, x.clockAt = report.ClockMillis, now
 	}
@@ -269,6 +268,6 @@
 			continue
 		}
 		s.held[change.Key] = change.Tokens
-		delete(x.saving, change.Key)
+		delete(x.pendingSaves, change.Key)
 	}
 }
--- a/internal/partindex/partindex_test.go
+++ b/internal/partindex/partindex_test.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	quick = "10.0.0.1:1"
+	fast  = "10.0.0.1:1"
 	large = "10.0.0.2:1"
 )
 
 func services() []catalog.Service {
 	return []catalog.Service{
-		{Name: "quick", Store: &catalog.Store{Address: quick, CapacityTokens: 20_000, LinkMbps: 100_000, FirstByte: time.Millisecond}},
+		{Name: "quick", Store: &catalog.Store{Address: fast, CapacityTokens: 20_000, LinkMbps: 100_000, FirstByte: time.Millisecond}},
 		{Name: "large", Store: &catalog.Store{Address: large, CapacityTokens: 100_000, LinkMbps: 100_000, FirstByte: 6 * time.Millisecond}},
 		{Name: "runners"},
 	}
 }
 
-// settled makes an index whose store boxes have long been known, and keep nothing.
+// settled returns an index whose store boxes have been known for long and hold nothing.
 func settled() *partindex.Index {
 	x := partindex.New(partindex.Config{})
 	x.Configure(services())
-	for _, address := range []string{quick, large} {
+	for _, address := range []string{fast, large} {
 		x.Replace(address, partindex.Report{AsOf: time.Now(), Epoch: 1, ClockMillis: 1000})
 	}
 	time.Sleep(10 * time.Second)
@@ -38,10 +38,10 @@
 	return x
 }
 
-// refresh lets both store boxes say that nothing changed.
-func refresh(x *partindex.Index, life int64) {
-	for _, address := range []string{quick, large} {
-		x.Apply(address, partindex.Report{AsOf: time.Now(), Epoch: life, ClockMillis: 1000})
+// refresh applies a report without changes for both store boxes.
+func refresh(x *partindex.Index, epoch int64) {
+	for _, address := range []string{fast, large} {
+		x.Apply(address, partindex.Report{AsOf: time.Now(), Epoch: epoch, ClockMillis: 1000})
 	}
 }
 
@@ -49,7 +49,7 @@
 	return []partindex.Change{{Key: partindex.Key{Namespace: "m/1", ID: id}, Tokens: tokens}}
 }
 
-// plan asks for a prompt with one shared part and one of its own.
+// plan plans a prompt with one shared part and one private part.
 func plan(x *partindex.Index, id string, tokens int) partindex.Plan {
 	return x.Plan(partindex.Query{
 		Namespace: "m/1", Parts: []call.Part{{ID: id, Tokens: tokens}, {ID: "own", Tokens: 100}}, PromptTokens: tokens + 100,
@@ -57,20 +57,20 @@
 	})
 }
 
-func TestOnlyWhatAStoreBoxCallsWholeIsFetched(t *testing.T) {
+func TestOnlyCompletePartsAreFetched(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(x *partindex.Index)
 		fetch  string
 	}{
-		{"nothing kept", func(*partindex.Index) {}, ""},
-		{"kept", func(x *partindex.Index) {
+		{"nothing held", func(*partindex.Index) {}, ""},
+		{"held and complete", func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 		}, large},
-		{"gone again", func(x *partindex.Index) {
+		{"held, then removed", func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("p", 5000), held("p", 0)...)})
 		}, ""},
-		{"of another life", func(x *partindex.Index) {
+		{"in another epoch", func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 2, Changes: held("p", 5000)})
 		}, ""},
 		{"after a gap", func(x *partindex.Index) {
@@ -80,18 +80,18 @@
 		{"listed", func(x *partindex.Index) {
 			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 2, Changes: held("p", 5000)})
 		}, large},
-		{"not listed any more", func(x *partindex.Index) {
+		{"no longer in the list", func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1})
 		}, ""},
-		{"word too old", func(x *partindex.Index) {
+		{"state too old", func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 			time.Sleep(2 * time.Second)
 		}, ""},
-		{"a word that was on its way for long", func(x *partindex.Index) {
+		{"report long in transit", func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now().Add(-1300 * time.Millisecond), Epoch: 1, Changes: held("p", 5000)})
 		}, ""},
-		{"no store box any more", func(x *partindex.Index) {
+		{"store box no longer configured", func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 			x.Configure(services()[:1])
 		}, ""},
@@ -124,8 +124,8 @@
 	})
 }
 
-// After a restart a part may be written while another box still fetches what was
-// kept there before: nobody may save until no such fetch can be under way.
+// After a restart a part may be written while another box still fetches what the store box held
+// before, so no box may save until no such fetch can be in flight.
 func TestNothingIsSavedInAStoreBoxThatHasJustRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -157,20 +157,20 @@
 		parts := []call.Part{{ID: "p", Tokens: 5000}, {ID: "own", Tokens: 100}}
 		made := plan(x, "p", 5000)
 		g.Expect(made.Save).To(Equal([]string{large, ""}))
-		g.Expect(plan(x, "p", 5000).Save[0]).To(Equal(large), "a plan that is not carried out marks nothing")
+		g.Expect(plan(x, "p", 5000).Save[0]).To(Equal(large), "a plan that is not dispatched has no effect")
 		x.NoteDispatched("m/1", parts, made)
 		g.Expect(plan(x, "p", 5000).Save[0]).To(BeEmpty())
-		g.Expect(plan(x, "small", 200).Save[0]).To(Equal(quick))
+		g.Expect(plan(x, "small", 200).Save[0]).To(Equal(fast))
 
 		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("full", 99_000)})
 		refresh(x, 1)
-		g.Expect(plan(x, "q", 5000).Save[0]).To(Equal(quick))
-		x.Apply(quick, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("full2", 19_900)})
+		g.Expect(plan(x, "q", 5000).Save[0]).To(Equal(fast))
+		x.Apply(fast, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("full2", 19_900)})
 		g.Expect(plan(x, "q", 5000).Save[0]).To(BeEmpty())
 	})
 }
 
-func TestWhatACallDidNotSaveTheNextOneIsToldTo(t *testing.T) {
+func TestACallSavesWhatAnEarlierOneDidNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestPartsThatMayNotBeFetchedAreReadAndNotSavedAgain(t *testing.T) {
+func TestPartsThatMayNotBeFetchedAreNotSavedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
@@ -210,23 +210,23 @@
 	})
 }
 
-// A part whose writing broke off takes room until it is freed, though it is never whole.
-func TestPartsThatBrokeOffHoldTheirRoom(t *testing.T) {
+// A part whose write was aborted takes up space until it is freed, although it is never complete.
+func TestUnfinishedPartsTakeUpSpace(t *testing.T) {
 	broken := partindex.Key{Namespace: "m/1", ID: "broken"}
 	cases := []struct {
 		name string
 		then func(x *partindex.Index)
 		room bool
 	}{
-		{name: "as it is", then: func(*partindex.Index) {}},
-		{name: "whole after all", then: func(x *partindex.Index) {
+		{name: "still unfinished", then: func(*partindex.Index) {}},
+		{name: "completed later", then: func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("broken", 90_000)})
 		}},
-		{name: "whole after all, then gone", room: true, then: func(x *partindex.Index) {
+		{name: "completed later, then removed", room: true, then: func(x *partindex.Index) {
 			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("broken", 90_000), held("broken", 0)...)})
 		}},
 		{name: "freed", room: true, then: func(x *partindex.Index) { x.NoteFreed(large, 1, []partindex.Key{broken}) }},
-		{name: "freed in another life", then: func(x *partindex.Index) { x.NoteFreed(large, 2, []partindex.Key{broken}) }},
+		{name: "freed in another epoch", then: func(x *partindex.Index) { x.NoteFreed(large, 2, []partindex.Key{broken}) }},
 		{name: "no longer listed", room: true, then: func(x *partindex.Index) {
 			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1})
 		}},
@@ -237,12 +237,12 @@
 				g := NewWithT(t)
 				x := settled()
 				x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Unfinished: []partindex.Change{{Key: broken, Tokens: 90_000}}})
-				parts, life := x.Freeable(large, func(key partindex.Key) bool { return key == broken }, 10)
+				parts, epoch := x.Freeable(large, func(key partindex.Key) bool { return key == broken }, 10)
 				g.Expect(parts).To(Equal([]partindex.Key{broken}))
-				g.Expect(life).To(Equal(int64(1)))
-				g.Expect(plan(x, "broken", 90_000).Fetch[0]).To(BeEmpty(), "it is not whole")
+				g.Expect(epoch).To(Equal(int64(1)))
+				g.Expect(plan(x, "broken", 90_000).Fetch[0]).To(BeEmpty(), "it is not complete")
 				c.then(x)
-				// 19,000 tokens have no room in the quick store box, whatever it keeps.
+				// 19,000 tokens do not fit into the fast store box, whatever it holds.
 				g.Expect(plan(x, "new", 19_000).Save[0] != "").To(Equal(c.room))
 			})
 		})
@@ -254,11 +254,11 @@
 		g := NewWithT(t)
 		x := settled()
 		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("old", 100), held("new", 100)...)})
-		parts, life := x.Freeable(large, func(key partindex.Key) bool { return key.ID == "old" }, 10)
+		parts, epoch := x.Freeable(large, func(key partindex.Key) bool { return key.ID == "old" }, 10)
 		g.Expect(parts).To(Equal([]partindex.Key{{Namespace: "m/1", ID: "old"}}))
-		g.Expect(life).To(BeEquivalentTo(1))
+		g.Expect(epoch).To(BeEquivalentTo(1))
 		time.Sleep(time.Minute)
 		parts, _ = x.Freeable(large, func(partindex.Key) bool { return true }, 10)
-		g.Expect(parts).To(BeEmpty(), "its word is old")
+		g.Expect(parts).To(BeEmpty(), "its state is stale")
 	})
 }
--- a/internal/partindex/plan.go
+++ b/internal/partindex/plan.go
@@ -1,4 +1,4 @@
-// What of a prompt is fetched, from which store box, and what is saved.
+// Planning: which parts of a prompt are fetched, from which store box, and which are saved.
 
 package partindex
 
@@ -10,60 +10,61 @@
 	"github.com/cometlock/cometlock/internal/call"
 )
 
-// Plan says for one prompt under one namespace what is fetched and what is saved.
+// Plan lists for one prompt under one namespace what is fetched and what is saved: per part the
+// address of a store box, or the empty string.
 type Plan struct {
 	Fetch []string
 	Save  []string
-	// Until bounds the fetches on the servers' clock, in milliseconds.
+	// Until is the deadline of the fetches on the servers' clock, in milliseconds.
 	Until int64
-	// Missing is the number of tokens that a runner without any of the prompt
-	// would read.
+	// Missing is the number of tokens that a runner with nothing of the prompt in its cache would
+	// prefill.
 	Missing int
-	// FetchTime is the estimated time of the moves within a zone, and how late those of
-	// their store boxes come.
+	// FetchTime is the estimated time of the transfers within a zone, plus the lateness of fetches
+	// from their store boxes.
 	FetchTime time.Duration
-	// Source names the store box that the largest part comes from, and FetchZone is
-	// its zone; empty when nothing is fetched.
+	// Source names the store box that holds the largest fetched part, and FetchZone is its zone;
+	// both are empty when nothing is fetched.
 	Source    string
 	FetchZone string
-	// Miss says why the largest shared part is read rather than fetched; empty when it is
-	// fetched, or when there is none.
+	// Miss is why the largest shared part that is not fetched is prefilled; empty when all shared
+	// parts are fetched, or when there is none.
 	Miss Miss
 }
 
-// Miss is why a shared part is read.
+// Miss is the reason why a shared part is prefilled.
 type Miss string
 
-// Why shared parts are read.
+// Reasons why shared parts are prefilled.
 const (
-	MissUnknown Miss = "unknown" // nobody is known to keep it
-	MissStale   Miss = "stale"   // whoever kept it has said nothing lately
+	MissUnknown Miss = "unknown" // no store box is known to hold it
+	MissStale   Miss = "stale"   // the state of the store box that held it is out of date
 	MissRetired Miss = "retired" // it may be freed at any moment
 	MissSlow    Miss = "slow"    // the link of the store box is slow
 )
 
-// NoPlan is the plan that fetches and saves nothing.
+// NoPlan returns a plan that fetches and saves nothing.
 func NoPlan(parts []call.Part, promptTokens int) Plan {
 	return Plan{Fetch: make([]string, len(parts)), Save: make([]string, len(parts)), Missing: promptTokens}
 }
 
-// Query asks for a plan.
+// Query describes the prompt to plan for.
 type Query struct {
 	Namespace string
-	// Parts are those of the prompt, PromptTokens its length.
+	// Parts are the parts of the prompt, and PromptTokens is its length.
 	Parts        []call.Part
 	PromptTokens int
-	// BytesPerToken is what a token of kept context weighs.
+	// BytesPerToken is the size of the KV cache of one token.
 	BytesPerToken int
 	// MayFetch reports whether a part may be fetched.
 	MayFetch func(id string) bool
-	// Save says that parts that no store box keeps are worth saving.
+	// Save reports whether parts that no store box holds should be saved.
 	Save bool
-	// SaveIn reports whether parts may be saved in a zone; nil where they may in all.
+	// SaveIn reports whether parts may be saved in a zone; nil allows all zones.
 	SaveIn func(zone string) bool
 }
 
-// Plan looks up the shared parts of a prompt.
+// Plan plans the shared parts of a prompt, which are all but the last.
 func (x *Index) Plan(query Query) Plan {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -71,7 +72,7 @@
 	parts := query.Parts
 	plan := NoPlan(parts, query.PromptTokens)
 	if x.clockAt.IsZero() {
-		return plan // without the servers' clock a fetch could not be bounded
+		return plan // without the servers' clock a fetch would have no deadline
 	}
 	plan.Until = x.clock + now.Sub(x.clockAt).Milliseconds() + FetchTimeout.Milliseconds()
 	largest, largestMissed := 0, 0
@@ -79,14 +80,14 @@
 	for i := range max(len(parts)-1, 0) {
 		part := parts[i]
 		key := Key{query.Namespace, part.ID}
-		s := x.holding(key, now)
+		s := x.findHolder(key, now)
 		if query.Save && s == nil {
 			plan.Save[i] = x.place(key, part.Tokens, query.SaveIn, now)
 		}
-		if s == nil || !query.MayFetch(part.ID) || s.spare(now) {
+		if s == nil || !query.MayFetch(part.ID) || s.avoidsFetch(now) {
 			contiguous = false
 			if part.Tokens > largestMissed {
-				largestMissed, plan.Miss = part.Tokens, x.missOf(query, part, s)
+				largestMissed, plan.Miss = part.Tokens, x.missReason(query, part, s)
 			}
 			continue
 		}
@@ -94,9 +95,9 @@
 		if contiguous {
 			plan.Missing -= part.Tokens
 		}
-		// A fetch to another zone takes this long once more, so lateness makes calls
-		// prefer runners in the store box's own zone.
-		plan.FetchTime += moveTime(s, part.Tokens, query.BytesPerToken) + s.pace.least()
+		// A fetch from another zone takes this long once more, so lateness makes calls prefer
+		// runners in the store box's own zone.
+		plan.FetchTime += moveTime(s, part.Tokens, query.BytesPerToken) + s.lateness.minimum()
 		if part.Tokens > largest {
 			largest, plan.Source, plan.FetchZone = part.Tokens, s.name, s.config.Zone
 		}
@@ -104,13 +105,13 @@
 	return plan
 }
 
-// missOf says why a part is not fetched. The caller holds mu.
-func (x *Index) missOf(query Query, part call.Part, held *store) Miss {
+// missReason returns why a part is not fetched. The caller holds mu.
+func (x *Index) missReason(query Query, part call.Part, holder *store) Miss {
 	key := Key{query.Namespace, part.ID}
 	switch {
-	case held == nil && slices.ContainsFunc(x.stores, func(s *store) bool { return s.held[key] > 0 }):
+	case holder == nil && slices.ContainsFunc(x.stores, func(s *store) bool { return s.held[key] > 0 }):
 		return MissStale
-	case held == nil:
+	case holder == nil:
 		return MissUnknown
 	case !query.MayFetch(part.ID):
 		return MissRetired
@@ -119,7 +120,7 @@
 	}
 }
 
-// moveTime estimates how long a move takes within a zone, once it begins.
+// moveTime estimates the duration of a transfer within a zone, from its start.
 func moveTime(s *store, tokens, bytesPerToken int) time.Duration {
 	if s.config.LinkMbps <= 0 {
 		return s.config.FirstByte
@@ -128,10 +129,10 @@
 	return s.config.FirstByte + time.Duration(megabits/s.config.LinkMbps*float64(time.Second))
 }
 
-// holding finds a store box that keeps a part whole, by recent word.
-func (x *Index) holding(key Key, now time.Time) *store {
+// findHolder finds a store box that holds a complete part according to recent state.
+func (x *Index) findHolder(key Key, now time.Time) *store {
 	for _, s := range x.stores {
-		if s.held[key] > 0 && now.Sub(s.heardAt) <= freshFor {
+		if s.held[key] > 0 && now.Sub(s.asOf) <= freshFor {
 			return s
 		}
 	}
--- a/internal/partindex/rendezvous.go
+++ b/internal/partindex/rendezvous.go
@@ -1,5 +1,5 @@
-// Weighted rendezvous hashing: a store box that comes or goes moves only the parts
-// that are its own.
+// Weighted rendezvous hashing: adding or removing a store box moves only the parts assigned to
+// it.
 
 package partindex
 
@@ -9,12 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rendezvous gives a store box's score for a part: the highest wins, and store
-// boxes win in proportion to their weights.
+// rendezvous returns the score of a store box for a part. The highest score wins, and store boxes
+// win in proportion to their weights.
 func rendezvous(name string, key Key, weight float64) float64 {
 	h := xxhash.New()
 	for _, text := range [...]string{name, "\x00", key.Namespace, "\x00", key.ID} {
-		_, _ = h.WriteString(text) // a hash takes everything
+		_, _ = h.WriteString(text) // a hash never returns an error
 	}
 	unit := (float64(h.Sum64()>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(unit)
--- a/internal/partindex/save.go
+++ b/internal/partindex/save.go
@@ -1,6 +1,6 @@
-// Where a part is saved that no store box keeps. All boxes choose alike, by weighted
-// rendezvous hashing over the store boxes with room, so that boxes that know nothing
-// of each other save the same part in the same store box.
+// Placement of parts that no store box holds. Every box uses weighted rendezvous hashing over the
+// store boxes with free space, so boxes that do not communicate save the same part in the same
+// store box.
 
 package partindex
 
@@ -13,26 +13,26 @@
 )
 
 const (
-	// savingFor is how long a save that was planned is expected to come true.
-	savingFor = 4 * time.Second
-	// maxSaving bounds the saves that are remembered before old ones are dropped.
-	maxSaving = 4096
-	// smallPart is the size in tokens up to which a part goes to the store boxes
-	// that answer first: the move itself takes no time.
+	// saveTimeout is how long a requested save is expected to take.
+	saveTimeout = 4 * time.Second
+	// maxPendingSaves is the number of pending saves above which old ones are dropped.
+	maxPendingSaves = 4096
+	// smallPart is the size in tokens up to which a part goes to the store boxes with the lowest
+	// latency, since the transfer itself takes almost no time.
 	smallPart = 1000
-	// fillLimit is the part of a store box that is filled on purpose; the rest is
-	// for parts of other boxes that this one does not know of yet.
-	fillLimit = 0.97
-	// sparePart is the part of the quick store boxes that large parts may fill. A
-	// token of either kind of part is asked for about equally often, so only a
-	// little is kept free for the small ones.
-	sparePart = 0.9
+	// maxFill is the fraction of a store box that is filled on purpose. The rest is for parts saved
+	// by other boxes that this one does not know of yet.
+	maxFill = 0.97
+	// maxLargePartFill is the fraction of the fast store boxes that large parts may fill. Tokens of
+	// large and small parts are requested about equally often, so only a little is reserved for the
+	// small ones.
+	maxLargePartFill = 0.9
 )
 
-// place chooses the store box for a part that none keeps, or nothing when it is
-// being saved already or has no room anywhere. All boxes choose alike.
+// place chooses the store box for a part that none holds. It returns the empty string if the part
+// is already being saved or fits nowhere. All boxes make the same choice.
 func (x *Index) place(key Key, tokens int, in func(zone string) bool, now time.Time) string {
-	if asked, ok := x.saving[key]; ok && now.Sub(asked.at) < savingFor {
+	if pending, ok := x.pendingSaves[key]; ok && now.Sub(pending.at) < saveTimeout {
 		return ""
 	}
 	best := x.choose(key, tokens, in, now, tokens <= smallPart)
@@ -45,59 +45,59 @@
 	return best.config.Address
 }
 
-// NoteDispatched notes that a call with a plan was handed over: the saves that it asked for
-// are under way, and so is its fetch, the try of a slow store box.
-func (x *Index) NoteDispatched(name string, parts []call.Part, plan Plan) {
+// NoteDispatched records that a call with a plan was dispatched: the saves that it requested are
+// pending, and a fetch from a slow store box counts as a probe.
+func (x *Index) NoteDispatched(namespace string, parts []call.Part, plan Plan) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := boottime.Now()
 	for i, address := range plan.Save {
 		if address != "" {
-			x.saving[Key{name, parts[i].ID}] = save{address, now}
+			x.pendingSaves[Key{namespace, parts[i].ID}] = save{address, now}
 		}
 	}
 	for _, s := range x.stores {
-		if s.pace.slow && slices.Contains(plan.Fetch, s.config.Address) {
-			s.pace.triedAt = now
+		if s.lateness.slow && slices.Contains(plan.Fetch, s.config.Address) {
+			s.lateness.probedAt = now
 		}
 	}
 	switch {
-	case len(x.saving) > maxSaving:
-		x.forgetSaving(now, savingFor)
-	case now.Sub(x.forgotAt) > doubtFor:
-		x.forgetSaving(now, doubtFor)
+	case len(x.pendingSaves) > maxPendingSaves:
+		x.pruneSaves(now, saveTimeout)
+	case now.Sub(x.prunedAt) > overdueWindow:
+		x.pruneSaves(now, overdueWindow)
 	}
 }
 
-// DropSaves notes that a call with a plan was not served: what it was to save is
-// worth saving by the next one.
-func (x *Index) DropSaves(name string, parts []call.Part, plan Plan) {
+// DropSaves records that a call with a plan was not served, so that the next call saves the same
+// parts.
+func (x *Index) DropSaves(namespace string, parts []call.Part, plan Plan) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for i, address := range plan.Save {
 		if address != "" {
-			delete(x.saving, Key{name, parts[i].ID})
+			delete(x.pendingSaves, Key{namespace, parts[i].ID})
 		}
 	}
 }
 
-// forgetSaving forgets the saves that are older than an age.
-func (x *Index) forgetSaving(now time.Time, age time.Duration) {
-	x.forgotAt = now
-	for key, asked := range x.saving {
-		if now.Sub(asked.at) >= age {
-			delete(x.saving, key)
+// pruneSaves removes pending saves older than an age.
+func (x *Index) pruneSaves(now time.Time, age time.Duration) {
+	x.prunedAt = now
+	for key, pending := range x.pendingSaves {
+		if now.Sub(pending.at) >= age {
+			delete(x.pendingSaves, key)
 		}
 	}
 }
 
-// choose takes, among the quick or the other store boxes with room, the one that
-// weighted rendezvous hashing gives the part.
-func (x *Index) choose(key Key, tokens int, in func(zone string) bool, now time.Time, quick bool) *store {
+// choose picks a store box for the part by weighted rendezvous hashing, among the fast or the
+// other store boxes with free space.
+func (x *Index) choose(key Key, tokens int, in func(zone string) bool, now time.Time, fast bool) *store {
 	var best *store
 	var bestScore float64
 	for _, s := range x.stores {
-		if s.quick != quick || in != nil && !in(s.config.Zone) || !x.hasRoom(s, tokens, now) {
+		if s.fast != fast || in != nil && !in(s.config.Zone) || !x.hasRoom(s, tokens, now) {
 			continue
 		}
 		if score := rendezvous(s.name, key, float64(s.config.CapacityTokens)); best == nil || score > bestScore {
@@ -108,10 +108,10 @@
 }
 
 func (x *Index) hasRoom(s *store, tokens int, now time.Time) bool {
-	limit := fillLimit
-	if s.quick && tokens > smallPart && slices.ContainsFunc(x.stores, func(o *store) bool { return !o.quick }) {
-		limit = sparePart
+	limit := maxFill
+	if s.fast && tokens > smallPart && slices.ContainsFunc(x.stores, func(o *store) bool { return !o.fast }) {
+		limit = maxLargePartFill
 	}
-	return s.life != 0 && now.Sub(s.heardAt) <= freshFor && !now.Before(s.saveFrom) &&
+	return s.epoch != 0 && now.Sub(s.asOf) <= freshFor && !now.Before(s.saveFrom) &&
 		float64(s.used+tokens) <= limit*float64(s.config.CapacityTokens)
 }
--- a/internal/partindex/state.go
+++ b/internal/partindex/state.go
@@ -1,4 +1,4 @@
-// What the index knows, for metrics.
+// State of the index for metrics.
 
 package partindex
 
@@ -8,23 +8,24 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// State is what gauges show of one store box.
+// State is the state of one store box, for gauges.
 type State struct {
 	Name string
-	// Parts counts the parts that it keeps, Used their tokens.
+	// Parts is the number of parts that it holds, and Used the space in tokens that all its parts
+	// take up.
 	Parts int
 	Used  int
-	// Age is how old its last word is.
+	// Age is the age of this state.
 	Age time.Duration
 }
 
-// State describes the store boxes.
+// State returns the state of all store boxes.
 func (x *Index) State() []State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	states := make([]State, len(x.stores))
 	for i, s := range x.stores {
-		states[i] = State{s.name, len(s.held), s.used, boottime.Since(s.heardAt)}
+		states[i] = State{s.name, len(s.held), s.used, boottime.Since(s.asOf)}
 	}
 	return states
 }
--- a/internal/partindex/suspended_test.go
+++ b/internal/partindex/suspended_test.go
@@ -12,10 +12,10 @@
 	"github.com/cometlock/cometlock/internal/suspendtest"
 )
 
-// What a store box said counts for 1.2 s. A machine that was suspended after it was told took
-// the word for as fresh as before, and had parts fetched that are long gone, until a time that
-// lies in the past of the servers' clock.
-func TestAStoreBoxsWordIsOldAfterASuspension(t *testing.T) {
+// The state of a store box is valid for 1.2 s. A machine that was suspended after receiving it
+// treated the state as still fresh, and planned fetches of parts long freed, with a deadline in
+// the past of the servers' clock.
+func TestStoreBoxStateIsStaleAfterASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		machine := suspendtest.New(t)
