--- a/internal/retire/boxes_test.go
+++ b/internal/retire/boxes_test.go
@@ -1,5 +1,5 @@
-// Entry boxes as far as retirement goes, for the tests: each follows a log through a
-// link that a test may cut, and hears the others when a test lets it.
+// Simulated entry boxes for the retirement tests. Each one follows a log over a link that a test
+// can cut, and receives messages of the other boxes when a test delivers them.
 
 package retire_test
 
@@ -21,7 +21,7 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// decoder reads the version of model "m" from the length of a record.
+// decoder takes the length of a record as the version of the weights of model "m".
 type decoder struct{}
 
 func (decoder) Declaration(record sharedlog.Record) (*registry.Declaration, error) {
@@ -34,7 +34,7 @@
 
 func (decoder) Server(sharedlog.Record) (fleet.Update, error) { return fleet.Update{}, nil }
 
-// link is a box's way to the log, which a test may cut.
+// link is a box's connection to the log, which a test can cut.
 type link struct {
 	sharedlog.Log
 	mu  sync.Mutex
@@ -53,8 +53,8 @@
 	return l.cut
 }
 
-// Read implements sharedlog.Log. Through a cut nothing comes back, also of a read
-// that was asked before.
+// Read implements sharedlog.Log. While the link is cut no answer arrives, not even for a read
+// that was sent before the cut.
 func (l *link) Read(ctx context.Context, stream sharedlog.Stream, from int64, wait time.Duration) (sharedlog.Page, error) {
 	page, err := l.Log.Read(ctx, stream, from, wait)
 	if l.broken() {
@@ -71,55 +71,55 @@
 	return l.Log.Newest(ctx, stream)
 }
 
-// box is one entry box as far as retirement goes.
+// box is the part of an entry box that decides on retirement.
 type box struct {
 	link     *link
 	registry *registry.Registry
 	policy   *retire.Policy
 	stop     context.CancelFunc
 
-	mu    sync.Mutex
-	heard map[int]retire.Peer
+	mu      sync.Mutex
+	reports map[int]retire.Peer
 }
 
 func (b *box) peers() []retire.Peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var peers []retire.Peer
-	for _, peer := range b.heard {
+	for _, peer := range b.reports {
 		peers = append(peers, peer)
 	}
 	return peers
 }
 
-// word is what a box told another.
-type word struct {
-	told  map[string][]registry.Heard
-	named map[string]int
-	// asOf is the echo that came with it: it was said after that.
-	asOf time.Time
+// message is what one box sends another about weights.
+type message struct {
+	weights map[string][]registry.Heard
+	named   map[string]int
+	// echoAt is the time of the echo in the message, so the message was sent after it.
+	echoAt time.Time
 }
 
-// echoLag is how old an echo is when its message is sent.
+// echoLag is the age of an echo when its message is sent.
 const echoLag = 100 * time.Millisecond
 
-func (b *box) say() word {
-	return word{told: b.registry.Tell(), named: b.registry.Named(), asOf: time.Now().Add(-echoLag)}
+func (b *box) send() message {
+	return message{weights: b.registry.Tell(), named: b.registry.Named(), echoAt: time.Now().Add(-echoLag)}
 }
 
-// hear takes in the word of another box, which may have been on its way for long.
-func (b *box) hear(from int, w word) {
-	b.registry.Hear(w.told, w.asOf)
+// receive processes the message of another box, which may have been in transit for long.
+func (b *box) receive(from int, m message) {
+	b.registry.Hear(m.weights, m.echoAt)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	since := time.Now()
-	if before := b.heard[from]; before.Weights["m"] == w.named["m"] && !before.SentAfter.IsZero() {
+	if before := b.reports[from]; before.Weights["m"] == m.named["m"] && !before.SentAfter.IsZero() {
 		since = before.KnownSince["m"]
 	}
-	b.heard[from] = retire.Peer{SentAfter: w.asOf, Weights: w.named, KnownSince: map[string]time.Time{"m": since}}
+	b.reports[from] = retire.Peer{SentAfter: m.echoAt, Weights: m.named, KnownSince: map[string]time.Time{"m": since}}
 }
 
-// awaitRead waits until a held read of the operators' stream has just ended.
+// awaitRead waits until a long-poll read of the operators' stream has just ended.
 func (b *box) awaitRead() {
 	for time.Since(b.registry.OperatorReadAt()) > 100*time.Millisecond {
 		time.Sleep(10 * time.Millisecond)
@@ -130,7 +130,7 @@
 
 func startBox(ctx context.Context, log sharedlog.Log) *box {
 	ctx, stop := context.WithCancel(ctx)
-	b := &box{link: &link{Log: log}, heard: map[int]retire.Peer{}, stop: stop}
+	b := &box{link: &link{Log: log}, reports: map[int]retire.Peer{}, stop: stop}
 	b.registry = registry.New(registry.Config{
 		Log: b.link, Decoder: decoder{}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(),
 	})
@@ -139,22 +139,22 @@
 	return b
 }
 
-// playing runs a test with paused time, on a log in which the first weights of model
-// "m" are named. Its boxes run until it ends.
-func playing(t *testing.T, test func(ctx context.Context, g *WithT, log *fakesharedlog.Log)) {
+// simulate runs a test with paused time, on a log in which the first weights of model "m" are
+// declared. Its boxes run until the test ends.
+func simulate(t *testing.T, test func(ctx context.Context, g *WithT, log *fakesharedlog.Log)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
 		defer cancel()
 		log := fakesharedlog.New()
-		name(log, 1)
+		declare(log, 1)
 		test(ctx, NewWithT(t), log)
 	})
 }
 
-// name names a version of the weights of model "m".
-func name(log *fakesharedlog.Log, version int) {
+// declare appends a version of the weights of model "m" to the log.
+func declare(log *fakesharedlog.Log, version int) {
 	log.Put(sharedlog.Operator, "m", make([]byte, version))
 }
 
--- a/internal/retire/retire.go
+++ b/internal/retire/retire.go
@@ -1,28 +1,26 @@
-// Package retire says which kept parts of older weights may still be fetched, and
-// when they may be freed to make room for parts of newer ones.
+// Package retire decides which cached parts of older weights may still be fetched, and when they
+// may be freed to make room for parts of newer ones.
 //
-// A part that is freed while it is fetched gives a wrong answer, so all boxes must
-// have stopped fetching it before any box frees it. Each part of older weights has
-// its time of retirement, spread over some seconds after newer weights were named
-// and known from its name alone. A box may learn of the newer weights only long after, and
-// must have stopped fetching as well by then. So there are two rules:
+// A part that is freed while it is being fetched gives a wrong answer, so all boxes must have
+// stopped fetching it before any box frees it. Each part of older weights has a retirement time,
+// which is derived from its ID alone. The times are spread over some seconds after newer weights
+// were declared. A box may learn of them only long afterwards, and must have stopped fetching by
+// then as well. So there are two rules:
+//   - A box is in touch if it has recently read everything that operators declared, or has recent
+//     messages from more than half of the boxes and none of them knows newer weights. It fetches
+//     a part only if it was in touch within that part's retirement delay: if newer weights were
+//     declared since, the part has not retired yet. A zone that is cut off therefore keeps using
+//     most of the parts that it can reach for a while.
+//   - A box frees a part only if more than half of the boxes have confirmed that they know the
+//     newer weights, from before the part's retirement and for longer than any fetch takes.
 //
-//   - A box is in touch if it has lately read all that operators declared, or hears
-//     more than half of the boxes and none of them knows of newer weights. It fetches
-//     a part only if it was in touch within the time that such a part takes to
-//     retire: were newer weights named since, the part has not yet retired. So a
-//     zone that is cut off keeps the use of most parts that it reaches for a while.
-//   - A box frees a part only if it has heard more than half of the boxes know of
-//     the newer weights, since before the part's retirement and for longer than any
-//     fetch lasts.
+// Any two majorities have a box in common. That box confirmed the newer weights to the box that
+// frees. To the box that fetches it reported, earlier, that it did not know them, and by now that
+// report is too old to count.
 //
-// Any two groups of more than half have a box in common. The box that frees has
-// heard it know; the box that fetches has heard it not know, earlier, and its
-// belief is by now too old to count.
-//
-// A box that has merely not read of the newer weights yet fetches a part for up to
-// registry.ReadFresh after its retirement, and the freeing waits for that. A box that
-// knows of them may do the same.
+// A box that has merely not learned of the newer weights yet fetches a part for up to
+// registry.ReadFresh after its retirement, and freeing waits for that. A box that knows of them
+// may do the same.
 package retire
 
 import (
@@ -38,77 +36,74 @@
 )
 
 const (
-	// heardFresh is how old the word of another box may be; boxes tell each other
-	// several times a second, fewer when there are many.
-	heardFresh = 1500 * time.Millisecond
-	// confirmFor is how long more than half must have known of newer weights before
-	// a part is freed: a belief from just before is out of date by then, and the
-	// last fetch by it has ended.
-	confirmFor = heardFresh + partindex.FetchTimeout + confirmMargin
-	// freeMargin lies between a part's retirement and its freeing: a box may have
-	// learnt of the newer weights later by ReadFresh, and then fetch once more.
+	// peerFresh is the maximum age of another box's message. Boxes send messages several times a
+	// second, and less often when there are many boxes.
+	peerFresh = 1500 * time.Millisecond
+	// confirmFor is how long a majority must have known newer weights before a part is freed. By
+	// then any report from before that is out of date, and the last fetch based on it has ended.
+	confirmFor = peerFresh + partindex.FetchTimeout + confirmMargin
+	// freeMargin is the time between a part's retirement and its being freed. A box may learn of
+	// the newer weights up to ReadFresh later, and then start one more fetch.
 	freeMargin = registry.ReadFresh + partindex.FetchTimeout + lateMargin
-	// majorityFor is how long it counts since when more than half of the boxes have known
-	// of a version: it is asked for each part that might be freed, of which there are some
-	// thousands, and to look at 300 boxes each time would be most of a box's processor.
-	majorityFor = 50 * time.Millisecond
-	// confirmMargin and lateMargin are for boxes that run late.
+	// majorityCacheFor is how long the result of computeMajority is cached. It is needed for each
+	// part that might be freed, of which there are some thousands, and going through 300 boxes each
+	// time would take most of a box's CPU time.
+	majorityCacheFor = 50 * time.Millisecond
+	// confirmMargin and lateMargin allow for boxes that run late.
 	confirmMargin = 300 * time.Millisecond
 	lateMargin    = 200 * time.Millisecond
-	// Parts retire evenly from firstRetirement on, over spread. Until the first
-	// runners have changed weights, older parts serve all calls; when the last have,
-	// they serve none, and parts of newer weights have long wanted their room.
-	firstRetirement = 500 * time.Millisecond
-	spread          = 8 * time.Second
+	// Parts retire evenly over retirementSpread, from firstRetirement on. Until the first runners
+	// have changed weights, older parts serve all calls. Once the last runners have changed, they
+	// serve none, and parts of the newer weights have been waiting for their space.
+	firstRetirement  = 500 * time.Millisecond
+	retirementSpread = 8 * time.Second
 )
 
-// Peer is what another box last told of what it knows.
+// Peer is the latest report of another box.
 type Peer struct {
-	// Box names it. Each box counts once, however many ways its word came.
+	// Box is its name. Each box counts once, however many paths its messages take.
 	Box string
-	// SentAfter is a moment before which it did not say so. It is not when its word came:
-	// that may have been on its way for long.
+	// SentAfter is a time before which the report was not sent. It is not the time of arrival,
+	// since a message may be in transit for long.
 	SentAfter time.Time
-	// Weights are the newest versions that it knows of, by model, and Since when it
-	// was first heard to know of each.
+	// Weights are the newest versions that it knows, by model, and KnownSince is when this box
+	// first received a report that it knows each of them.
 	Weights    map[string]int
 	KnownSince map[string]time.Time
 }
 
-// Config sets up a Policy.
+// Config configures a Policy.
 type Config struct {
 	Registry *registry.Registry
-	// Peers gives the last word of each other box that was heard, and Boxes the
-	// number of boxes there are, this one included; zero while it is not known.
+	// Peers returns the latest report of each other box, and Boxes the number of boxes including
+	// this one; zero while that is not known.
 	Peers func() []Peer
 	Boxes func() int
 }
 
-// Policy decides.
+// Policy decides which parts may be fetched and freed.
 type Policy struct {
 	cfg Config
 
 	mu sync.Mutex
 	// inTouchAt is when this box was last in touch, by model.
 	inTouchAt map[string]time.Time
-	// majorities is since when more than half of the boxes have known of a version, by
-	// model.
+	// majorities caches by model since when a majority of the boxes has known a version.
 	majorities map[string]majority
 }
 
-// New makes a policy.
+// New returns a policy.
 func New(cfg Config) *Policy {
 	return &Policy{cfg: cfg, inTouchAt: map[string]time.Time{}, majorities: map[string]majority{}}
 }
 
-// MayFetch reports whether a part made by a version of a model's weights may be
-// fetched.
+// MayFetch reports whether a part made by a version of a model's weights may be fetched.
 func (p *Policy) MayFetch(model string, weights int, partID string) bool {
 	return boottime.Since(p.lastInTouch(model)) <= retirement(partID) && !p.retired(model, weights, partID)
 }
 
-// lastInTouch gives the last moment at which the box was in touch, as far as a model
-// goes; zero when another box knows of newer weights.
+// lastInTouch returns when this box was last in touch for a model, or zero if another box knows
+// newer weights.
 func (p *Policy) lastInTouch(model string) time.Time {
 	inTouch, outdated := p.inTouch(model)
 	p.mu.Lock()
@@ -122,8 +117,8 @@
 	return p.inTouchAt[model]
 }
 
-// inTouch reports whether the box knows of all weights that were named until lately;
-// outdated says that another box knows of newer ones.
+// inTouch reports whether this box knows all weights declared until recently; outdated reports
+// that another box knows newer ones.
 func (p *Policy) inTouch(model string) (inTouch, outdated bool) {
 	if boottime.Since(p.cfg.Registry.OperatorReadAt()) <= registry.ReadFresh {
 		return true, false
@@ -131,7 +126,7 @@
 	newest := p.cfg.Registry.Weights(model).Version
 	agreeing := 1
 	for _, peer := range p.cfg.Peers() {
-		if boottime.Since(peer.SentAfter) > heardFresh {
+		if boottime.Since(peer.SentAfter) > peerFresh {
 			continue
 		}
 		if peer.Weights[model] > newest {
@@ -143,8 +138,8 @@
 	return boxes > 0 && 2*agreeing > boxes, false
 }
 
-// retired reports whether a part made by a version of a model's weights is not to
-// be fetched any more, by what this box knows.
+// retired reports whether, as far as this box knows, a part made by a version of a model's
+// weights must no longer be fetched.
 func (p *Policy) retired(model string, weights int, partID string) bool {
 	since, outdated := p.cfg.Registry.OutdatedSince(model, weights)
 	if !outdated {
@@ -162,63 +157,63 @@
 	return boottime.Since(since.LearntAt) > FreeDelay(partID) && p.confirmed(model, since.Version, retirement(partID)+confirmFor)
 }
 
-// confirmed reports whether more than half of the boxes have known of a version for
-// a time.
+// confirmed reports whether a majority of the boxes has known a version for at least a given
+// duration.
 func (p *Policy) confirmed(model string, version int, length time.Duration) bool {
 	p.mu.Lock()
-	known, found := p.majorities[model]
+	cached, found := p.majorities[model]
 	p.mu.Unlock()
-	if !found || known.version != version || boottime.Since(known.workedOutAt) > majorityFor {
-		known = p.majority(model, version)
+	if !found || cached.version != version || boottime.Since(cached.computedAt) > majorityCacheFor {
+		cached = p.computeMajority(model, version)
 		p.mu.Lock()
-		p.majorities[model] = known
+		p.majorities[model] = cached
 		p.mu.Unlock()
 	}
-	return known.there && boottime.Since(known.since) >= length
+	return cached.reached && boottime.Since(cached.since) >= length
 }
 
-// majority is since when more than half of the boxes have known of a version.
+// majority is whether a majority of the boxes knows a version, and since when.
 type majority struct {
-	version     int
-	workedOutAt time.Time
-	there       bool
-	since       time.Time
+	version    int
+	computedAt time.Time
+	reached    bool
+	since      time.Time
 }
 
-// majority works out since when more than half of the boxes have known of a version, by
-// their recent word.
-func (p *Policy) majority(model string, version int) majority {
+// computeMajority determines from recent reports since when a majority of the boxes has known a
+// version.
+func (p *Policy) computeMajority(model string, version int) majority {
 	now := boottime.Now()
-	found := majority{version: version, workedOutAt: now}
+	result := majority{version: version, computedAt: now}
 	var since []time.Time
 	for _, peer := range p.cfg.Peers() {
-		if now.Sub(peer.SentAfter) <= heardFresh-majorityFor && peer.Weights[model] >= version {
+		if now.Sub(peer.SentAfter) <= peerFresh-majorityCacheFor && peer.Weights[model] >= version {
 			since = append(since, peer.KnownSince[model])
 		}
 	}
 	boxes := p.cfg.Boxes()
 	needed := boxes / 2 // besides this one
 	if boxes == 0 || len(since) < needed {
-		return found
+		return result
 	}
-	found.there = true
+	result.reached = true
 	if needed > 0 {
 		slices.SortFunc(since, time.Time.Compare)
-		found.since = since[needed-1]
+		result.since = since[needed-1]
 	}
-	return found
+	return result
 }
 
-// FetchWindow is for how long after newer weights were named a box that knows of them
-// fetches a part.
+// FetchWindow returns how long after the declaration of newer weights a box that knows of it
+// still fetches a part.
 func FetchWindow(partID string) time.Duration { return retirement(partID) + registry.ReadFresh }
 
-// FreeDelay is how long after a box learnt of newer weights it may free a part.
+// FreeDelay returns how long after this box learned of newer weights it may free a part.
 func FreeDelay(partID string) time.Duration { return retirement(partID) + freeMargin }
 
-// retirement is how long after newer weights were named a part retires, by its name alone.
-// It is still fetched for a while then; see FetchWindow.
+// retirement returns how long after the declaration of newer weights a part retires, derived from
+// its ID alone. Boxes still fetch it for a while after that; see FetchWindow.
 func retirement(partID string) time.Duration {
-	place := float64(xxhash.Sum64String(partID)>>11) / (1 << 53)
-	return firstRetirement + time.Duration(float64(spread)*place)
+	fraction := float64(xxhash.Sum64String(partID)>>11) / (1 << 53)
+	return firstRetirement + time.Duration(float64(retirementSpread)*fraction)
 }
--- a/internal/retire/retire_test.go
+++ b/internal/retire/retire_test.go
@@ -16,13 +16,12 @@
 	"github.com/cometlock/cometlock/internal/retire"
 )
 
-// Boxes that lose the log and each other, are frozen out and come back, or are
-// started anew, while new weights are named again and again: no part may be freed
-// while a fetch of it may be under way.
-func TestNothingIsFreedUnderAFetch(t *testing.T) {
+// Boxes lose the log and each other, reconnect, and restart, while new weights are declared
+// repeatedly. No part may be freed while a fetch of it may be in flight.
+func TestNoPartIsFreedDuringAFetch(t *testing.T) {
 	freed := 0
 	for seed := range uint64(6) {
-		playing(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) { freed += history(ctx, g, log, seed) })
+		simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) { freed += history(ctx, g, log, seed) })
 	}
 	NewWithT(t).Expect(freed).To(BeNumerically(">", 5))
 }
@@ -32,68 +31,68 @@
 	id      string
 }
 
-// history plays a minute and gives the number of parts that were freed.
+// history plays a minute and returns the number of parts that were freed.
 func history(ctx context.Context, g *WithT, log *fakesharedlog.Log, seed uint64) int {
 	random := rand.New(rand.NewPCG(seed, 3))
 	version := 1
 	all := startBoxes(ctx, log)
-	var apart [boxes][boxes]bool // who does not hear whom
-	var held [boxes][boxes]*word
-	alone := -1
+	var disconnected [boxes][boxes]bool // which pairs of boxes are disconnected
+	var held [boxes][boxes]*message
+	isolated := -1
 	fetchEnds, freedAt := map[part]time.Time{}, map[part]time.Time{}
 	for step := range 1200 {
 		time.Sleep(50 * time.Millisecond)
 		synctest.Wait()
 		if step%40 == 0 {
 			if random.IntN(3) == 0 {
-				alone = random.IntN(2*boxes) - boxes // often none
+				isolated = random.IntN(2*boxes) - boxes // often none
 			}
-			disturb(random, all, &apart, alone)
+			disturb(random, all, &disconnected, isolated)
 		}
 		if random.IntN(150) == 0 && version < 6 {
 			version++
-			name(log, version)
+			declare(log, version)
 		}
 		if random.IntN(300) == 0 {
 			one := random.IntN(boxes)
 			all[one].stop()
 			all[one] = startBox(ctx, log)
 		}
-		tellAll(all, &apart, &held)
+		exchange(all, &disconnected, &held)
 		fetchAndFree(g, seed, all, version, fetchEnds, freedAt)
 	}
 	return len(freedAt)
 }
 
-// tellAll lets each box hear the others. The first word into a cut link lies there, and
-// is heard when the link is whole again.
-func tellAll(all []*box, apart *[boxes][boxes]bool, held *[boxes][boxes]*word) {
+// exchange delivers messages between all boxes. A cut link holds the first message sent into it,
+// which is delivered when the link is restored.
+func exchange(all []*box, disconnected *[boxes][boxes]bool, held *[boxes][boxes]*message) {
 	for i, b := range all {
 		for j, other := range all {
 			switch {
 			case i == j:
-			case !apart[i][j] && held[i][j] != nil:
-				b.hear(j, *held[i][j]) // it lay in the cut link
+			case !disconnected[i][j] && held[i][j] != nil:
+				b.receive(j, *held[i][j]) // it was held in the cut link
 				held[i][j] = nil
-			case !apart[i][j]:
-				b.hear(j, other.say())
+			case !disconnected[i][j]:
+				b.receive(j, other.send())
 			case held[i][j] == nil:
-				said := other.say()
-				held[i][j] = &said
+				sent := other.send()
+				held[i][j] = &sent
 			}
 		}
 	}
 }
 
-// disturb cuts and heals links at random; now and then one box loses all of them for
-// several seconds.
-func disturb(random *rand.Rand, all []*box, apart *[boxes][boxes]bool, alone int) {
+// disturb cuts and restores links at random. At times one box loses all of them for several
+// seconds.
+func disturb(random *rand.Rand, all []*box, disconnected *[boxes][boxes]bool, isolated int) {
 	for i := range all {
-		all[i].link.set(random.IntN(4) == 0 || i == alone)
+		all[i].link.set(random.IntN(4) == 0 || i == isolated)
 		for j := range all {
 			if j > i {
-				cut := random.IntN(4) == 0 || i == alone || j == alone
-				apart[i][j], apart[j][i] = cut, cut
+				cut := random.IntN(4) == 0 || i == isolated || j == isolated
+				disconnected[i][j], disconnected[j][i] = cut, cut
 			}
 		}
 	}
@@ -120,24 +119,25 @@
 	}
 }
 
-// A box that frees may have known of newer weights for long when the others learn of
-// them. Until just before, these let a box that hears nobody else fetch.
-func TestWhatOthersHaveJustLearntFreesNothing(t *testing.T) {
-	playing(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
+// The box that frees may have known newer weights for long when the other boxes read the
+// declaration. Until just before that, their reports allow a box that receives no others to
+// fetch.
+func TestRecentConfirmationsDoNotAllowFreeing(t *testing.T) {
+	simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
 		fetcher, freer := startBox(ctx, log), startBox(ctx, log)
 		time.Sleep(time.Second)
 		fetcher.link.set(true)
 		time.Sleep(5 * time.Second)
-		name(log, 2)
+		declare(log, 2)
 		time.Sleep(20 * time.Second)
-		learnt := time.Now()
+		observedAt := time.Now()
 		for other := range boxes / 2 {
-			fetcher.heard[other] = retire.Peer{SentAfter: learnt, Weights: map[string]int{"m": 1}}
+			fetcher.reports[other] = retire.Peer{SentAfter: observedAt, Weights: map[string]int{"m": 1}}
 		}
 		fetchEnds, freed := map[string]time.Time{}, 0
-		for time.Since(learnt) < 30*time.Second {
+		for time.Since(observedAt) < 30*time.Second {
 			for other := range boxes / 2 {
-				freer.heard[other] = retire.Peer{SentAfter: time.Now(), Weights: map[string]int{"m": 2}, KnownSince: map[string]time.Time{"m": learnt}}
+				freer.reports[other] = retire.Peer{SentAfter: time.Now(), Weights: map[string]int{"m": 2}, KnownSince: map[string]time.Time{"m": observedAt}}
 			}
 			freed = 0
 			for number := range 50 {
@@ -157,15 +157,15 @@
 	})
 }
 
-// A zone that is cut off keeps the use of most kept parts that it reaches, of fewer the
+// A zone that is cut off keeps using most of the cached parts that it reaches, but fewer the
 // longer it is cut off.
-func TestABoxThatIsCutOffGoesOnFetchingForAWhile(t *testing.T) {
+func TestABoxThatIsCutOffKeepsFetchingForAWhile(t *testing.T) {
 	tests := []struct {
 		after       time.Duration
 		least, most int
 	}{{2 * time.Second, 100, 100}, {4 * time.Second, 70, 95}, {7 * time.Second, 30, 60}, {12 * time.Second, 0, 0}}
 	for _, test := range tests {
-		playing(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
+		simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
 			b := startBox(ctx, log)
 			time.Sleep(10 * time.Second)
 			b.awaitRead()
@@ -174,7 +174,7 @@
 			began := time.Now()
 			fetched := 0
 			for time.Since(began) < test.after {
-				fetched = 0 // as calls come
+				fetched = 0 // as calls arrive
 				for number := range 100 {
 					if b.policy.MayFetch("m", 1, fmt.Sprint("part-", number)) {
 						fetched++
@@ -187,27 +187,27 @@
 	}
 }
 
-// Boxes that are all in touch make room within a few seconds.
+// When all boxes are in touch, space is freed within a few seconds.
 func TestPartsAreFreedSoonWhenAllBoxesKnow(t *testing.T) {
-	playing(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
+	simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
 		all := startBoxes(ctx, log)
 		time.Sleep(3 * time.Second)
-		name(log, 2)
-		named := time.Now()
+		declare(log, 2)
+		declaredAt := time.Now()
 		freed := map[string]time.Duration{}
-		for len(freed) < 100 && time.Since(named) < time.Minute {
+		for len(freed) < 100 && time.Since(declaredAt) < time.Minute {
 			time.Sleep(100 * time.Millisecond)
 			for i, b := range all {
 				for j := range all {
 					if i != j {
-						b.hear(j, all[j].say())
+						b.receive(j, all[j].send())
 					}
 				}
 			}
 			for number := range 100 {
 				id := fmt.Sprint("part-", number)
 				if _, done := freed[id]; !done && all[0].policy.MayFree("m", 1, id) {
-					freed[id] = time.Since(named)
+					freed[id] = time.Since(declaredAt)
 				}
 			}
 		}
@@ -223,25 +223,25 @@
 	})
 }
 
-// The longest fetches against the soonest freeing: a box that knows of the newer weights
-// from the first moment, and one whose link to the log is cut right before they are named,
-// both at all moments of their held reads; the box that frees knows at once, and has
-// heard all others know at once.
-func TestTheSoonestFreeingWaitsForTheLastFetch(t *testing.T) {
+// Compares the longest possible fetches with the earliest possible freeing. One box knows the
+// newer weights from the start, and another has its link to the log cut right before they are
+// declared, each at every phase of its long-poll reads. The box that frees reads the declaration
+// at once and has reports that all others did too.
+func TestTheEarliestFreeingFollowsTheLastFetch(t *testing.T) {
 	for into := time.Duration(0); into < registry.DefaultHold+300*time.Millisecond; into += 200 * time.Millisecond {
-		playing(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
+		simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
 			knowing, cutOff := startBox(ctx, log), startBox(ctx, log)
 			time.Sleep(10*time.Second + into)
 			freer := startBox(ctx, log) // it reads at once
 			synctest.Wait()
 			cutOff.link.set(true)
 			time.Sleep(time.Millisecond)
-			name(log, 2)
-			named := time.Now()
+			declare(log, 2)
+			declaredAt := time.Now()
 			ends, freed := map[string]time.Time{}, map[string]bool{}
-			for time.Since(named) < 14*time.Second {
+			for time.Since(declaredAt) < 14*time.Second {
 				for other := range boxes - 1 {
-					freer.heard[other] = retire.Peer{SentAfter: time.Now(), Weights: map[string]int{"m": 2}, KnownSince: map[string]time.Time{"m": named}}
+					freer.reports[other] = retire.Peer{SentAfter: time.Now(), Weights: map[string]int{"m": 2}, KnownSince: map[string]time.Time{"m": declaredAt}}
 				}
 				synctest.Wait()
 				for number := range 30 {
@@ -263,24 +263,24 @@
 	}
 }
 
-// Runners change weights one after another, and those that still hold older ones go on
-// fetching for them: without that, none would be left after 5 s but three of ten.
-func TestABoxThatKnowsOfNewerWeightsGoesOnFetchingForOlderOnes(t *testing.T) {
+// Runners change weights one after another, and those with older weights keep fetching for them.
+// Without that, only three of ten parts would still be fetched after 5 s.
+func TestABoxThatKnowsNewerWeightsKeepsFetchingForOlderOnes(t *testing.T) {
 	tests := []struct {
 		after       time.Duration
 		least, most int
 	}{{2 * time.Second, 95, 100}, {5 * time.Second, 60, 85}, {8 * time.Second, 22, 48}, {11500 * time.Millisecond, 0, 0}}
-	playing(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
+	simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
 		b := startBox(ctx, log)
 		time.Sleep(5 * time.Second)
 		b.awaitRead()
 		time.Sleep(500 * time.Millisecond)
-		name(log, 2)
-		named := time.Now()
+		declare(log, 2)
+		declaredAt := time.Now()
 		for _, test := range tests {
 			fetched := 0
-			for time.Since(named) < test.after {
-				fetched = 0 // as calls come
+			for time.Since(declaredAt) < test.after {
+				fetched = 0 // as calls arrive
 				for number := range 100 {
 					if b.policy.MayFetch("m", 1, fmt.Sprint("part-", number)) {
 						fetched++
--- a/internal/retire/suspended_test.go
+++ b/internal/retire/suspended_test.go
@@ -12,11 +12,12 @@
 	"github.com/cometlock/cometlock/internal/suspendtest"
 )
 
-// A box that was in touch a moment before its machine was suspended for ten seconds has missed
-// that newer weights were named. The others have freed parts of the older ones since, and it
-// would read such a part by a belief that is ten seconds older than its steady clock says.
-func TestNothingOldIsFetchedAfterASuspensionUntilTheLogIsRead(t *testing.T) {
-	playing(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
+// A box was in touch just before its machine was suspended for ten seconds, and misses that newer
+// weights are declared meanwhile. The other boxes have freed parts of the older weights since. By
+// its monotonic clock, which stops during a suspension, its information looks ten seconds newer
+// than it is, and it would fetch such a part.
+func TestNoOldPartIsFetchedAfterASuspensionUntilTheLogIsRead(t *testing.T) {
+	simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
 		machine := suspendtest.New(t)
 		b := startBox(ctx, log)
 		time.Sleep(time.Second)
