--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -1,6 +1,6 @@
-// One runner's way to another version. It gets no new calls for a moment, waits for a
-// free place to load, is ordered, and is asked until it holds the version. An order that
-// got no answer may have been taken, so what counts is only what the runner reports.
+// The steps that bring one runner to another version. The runner gets no new calls for a moment,
+// waits for a free loading slot, receives an order, and is polled until it has the version. An
+// order without an answer may have been accepted, so only the reports of the runner count.
 
 package weightorders
 
@@ -16,135 +16,136 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// takeSlot moves a runner on to loading, if there is room.
-func (g *Controller) takeSlot(t task) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.count(loading) >= t.atOnce {
+// claimSlot moves a runner to the loading phase if there is a free slot.
+func (c *Controller) claimSlot(t task) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.countPhase(loading) >= t.maxLoading {
 		return false
 	}
-	g.under[t.server.Incarnation] = progress{loading, boottime.Now()}
+	c.tasks[t.server.Incarnation] = progress{loading, boottime.Now()}
 	return true
 }
 
-// runLoad carries out one task.
-func (g *Controller) runLoad(ctx context.Context, t task) {
-	ctx, cancel := context.WithTimeout(ctx, loadLimit)
+// runLoad performs one task.
+func (c *Controller) runLoad(ctx context.Context, t task) {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	started := boottime.Now()
 	name := t.server.Incarnation
-	g.cfg.Fleet.BeginOrder(name, started.Add(loadLimit))
-	if g.cfg.OnPause != nil {
-		g.cfg.OnPause()
+	c.cfg.Fleet.BeginOrder(name, started.Add(loadTimeout))
+	if c.cfg.OnPause != nil {
+		c.cfg.OnPause()
 	}
-	err := g.pause(ctx, t)
+	err := c.pause(ctx, t)
 	if err == nil {
-		err = g.load(ctx, &t)
+		err = c.load(ctx, &t)
 	}
-	g.cfg.Fleet.EndOrder(name)
-	event := g.cfg.Logger.Info()
+	c.cfg.Fleet.EndOrder(name)
+	event := c.cfg.Logger.Info()
 	if err != nil {
-		event = g.cfg.Logger.Warn().Str("error", err.Error())
+		event = c.cfg.Logger.Warn().Str("error", err.Error())
 	}
 	event.Str("server", name).Str("model", t.model).Int("weights", t.version).Dur("took", boottime.Since(started)).Msg("weights_ordered")
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	delete(g.under, name)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.tasks, name)
 	if err != nil {
-		g.notBefore[name] = boottime.Now().Add(retryAfter)
+		c.retryAt[name] = boottime.Now().Add(retryDelay)
 	}
 }
 
-// pause waits until all boxes keep new calls from a runner, and there is room to load.
-func (g *Controller) pause(ctx context.Context, t task) error {
-	if g.cfg.Off.On(mechanism.PausedLoading) {
-		waiting.For(ctx, pauseBefore)
+// pause waits until all boxes have stopped sending new calls to a runner and there is a free
+// loading slot.
+func (c *Controller) pause(ctx context.Context, t task) error {
+	if c.cfg.Off.On(mechanism.PausedLoading) {
+		waiting.For(ctx, pauseBeforeOrder)
 	}
-	for !g.takeSlot(t) {
-		if !waiting.For(ctx, slotEvery) {
+	for !c.claimSlot(t) {
+		if !waiting.For(ctx, slotInterval) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// load orders a runner, and waits until it holds the version. A version that was named
-// since the task began takes the place of the task's.
-func (g *Controller) load(ctx context.Context, t *task) error {
-	report, err := g.ask(ctx, t.server)
+// load orders a runner to load a version and waits until it has it. If a newer version was
+// declared since the task started, that one is loaded instead.
+func (c *Controller) load(ctx context.Context, t *task) error {
+	report, err := c.poll(ctx, t.server)
 	if err != nil {
 		return err
 	}
-	t.version = max(t.version, g.cfg.TargetVersion(t.model))
-	if g.reached(*t, report) {
+	t.version = max(t.version, c.cfg.TargetVersion(t.model))
+	if c.recordAndCheck(*t, report) {
 		return nil
 	}
 	if report.Busy {
-		return g.awaitLoad(ctx, *t) // when that load began is not known, so nothing is learnt of it
+		return c.awaitLoad(ctx, *t) // the start of that load is not known, so it cannot be used for the estimate
 	}
 	began := boottime.Now()
-	if done, err := g.order(ctx, *t, report.Orders); err != nil || done {
+	if done, err := c.order(ctx, *t, report.Orders); err != nil || done {
 		return err
 	}
-	waiting.For(ctx, shortestLoad)
-	if err := g.awaitLoad(ctx, *t); err != nil {
+	waiting.For(ctx, minLoadTime)
+	if err := c.awaitLoad(ctx, *t); err != nil {
 		return err
 	}
-	g.learnLoad(boottime.Since(began))
+	c.updateLoadEstimate(boottime.Since(began))
 	return nil
 }
 
-// awaitLoad asks a runner that loads until it holds the version.
-func (g *Controller) awaitLoad(ctx context.Context, t task) error {
+// awaitLoad polls a loading runner until it has the version.
+func (c *Controller) awaitLoad(ctx context.Context, t task) error {
 	for {
-		report, err := g.ask(ctx, t.server)
+		report, err := c.poll(ctx, t.server)
 		if err != nil {
 			return err
 		}
-		if g.reached(t, report) {
+		if c.recordAndCheck(t, report) {
 			return nil
 		}
 		if !report.Busy {
-			return merry.New("the order was lost")
+			return merry.New("runner is idle without the ordered version")
 		}
-		if !waiting.For(ctx, askEvery) {
+		if !waiting.For(ctx, pollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// learnLoad learns from a load how long the next ones take.
-func (g *Controller) learnLoad(took time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.usualLoad += time.Duration(loadWeight * float64(took-g.usualLoad))
+// updateLoadEstimate updates the estimated duration of a load from one that has ended.
+func (c *Controller) updateLoadEstimate(took time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.loadEstimate += time.Duration(loadSmoothing * float64(took-c.loadEstimate))
 }
 
-// reached notes what a runner holds, and reports whether that is enough.
-func (g *Controller) reached(t task, report Report) bool {
+// recordAndCheck records the version that a runner has and reports whether it is new enough.
+func (c *Controller) recordAndCheck(t task, report Report) bool {
 	held := report.Weights[t.model]
-	g.cfg.Fleet.NoteWeights(t.server.Incarnation, t.model, held)
+	c.cfg.Fleet.NoteWeights(t.server.Incarnation, t.model, held)
 	return held >= t.version
 }
 
-func (g *Controller) ask(ctx context.Context, server fleet.Server) (Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+func (c *Controller) poll(ctx context.Context, server fleet.Server) (Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return g.cfg.Runners.Report(ctx, server)
+	return c.cfg.Runners.Report(ctx, server)
 }
 
-// order gives the order. Whether this box may is asked last, right before.
-func (g *Controller) order(ctx context.Context, t task, after int64) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// order sends the order. The permission of the lease is checked last, right before sending.
+func (c *Controller) order(ctx context.Context, t task, accepted int64) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	fence, may := g.cfg.Lease.Permit(ctx)
-	if !may {
-		return false, merry.New("another box may be giving orders")
+	fence, permitted := c.cfg.Lease.Permit(ctx)
+	if !permitted {
+		return false, merry.New("lease not held: another box may be sending orders")
 	}
-	order := Order{Model: t.model, Version: t.version, Holder: g.cfg.Holder, Fence: fence, AfterOrders: after}
-	done, err := g.cfg.Runners.Order(ctx, t.server, order)
+	order := Order{Model: t.model, Version: t.version, Holder: c.cfg.Holder, Fence: fence, AfterOrders: accepted}
+	done, err := c.cfg.Runners.Order(ctx, t.server, order)
 	if done {
-		g.cfg.Fleet.NoteWeights(t.server.Incarnation, t.model, t.version)
+		c.cfg.Fleet.NoteWeights(t.server.Incarnation, t.model, t.version)
 	}
 	return done, err
 }
--- a/internal/weightorders/load_test.go
+++ b/internal/weightorders/load_test.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// lateRunner is found in the middle of a load, which ends at a moment.
+// lateRunner is a runner that is already loading when it is first polled, until a given time.
 type lateRunner struct{ ends time.Time }
 
 func (r lateRunner) Report(context.Context, fleet.Server) (Report, error) {
@@ -23,19 +23,19 @@
 }
 
 func (lateRunner) Order(context.Context, fleet.Server, Order) (bool, error) {
-	panic("a runner that loads gets no order")
+	panic("a loading runner must not get an order")
 }
 
-// The rest of a load that another box ordered says nothing of how long loads take; the
-// next pauses would begin too early.
-func TestNothingIsLearntOfALoadThatHadBegunBefore(t *testing.T) {
+// The remainder of a load that another box ordered must not lower the estimated duration of
+// loads; the next pauses would begin too early.
+func TestALoadInProgressDoesNotChangeTheLoadEstimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		giver := New(Config{
+		controller := New(Config{
 			Runners: lateRunner{time.Now().Add(50 * time.Millisecond)}, Fleet: fleet.New(fleet.Config{Logger: zerolog.Nop()}), Logger: zerolog.Nop(),
 			TargetVersion: func(string) int { return 2 },
 		})
-		g.Expect(giver.load(context.Background(), &task{model: "m", version: 2})).To(Succeed())
-		g.Expect(giver.usualLoad).To(Equal(firstLoad))
+		g.Expect(controller.load(context.Background(), &task{model: "m", version: 2})).To(Succeed())
+		g.Expect(controller.loadEstimate).To(Equal(initialLoadEstimate))
 	})
 }
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -1,16 +1,14 @@
-// Package weightorders brings the runners to the weight versions that operators
-// name.
+// Package weightorders brings the runners to the weight versions that operators declare.
 //
-// One box at a time gives the orders, by a lease through the platform's log
-// (package orderlease), since runners do not check who orders them. An order names
-// the life of the runner that it is for and how many orders that runner had taken,
-// so an order that is carried out late finds another count and is refused. One that
-// got no answer may have been taken: the runner is asked what it holds before it is
-// ordered again.
+// One box at a time sends the orders, under a lease in the platform's log (package orderlease),
+// since runners do not check which box an order comes from. An order names the incarnation of its
+// runner and the number of orders that this runner had accepted before. An order that is executed
+// late therefore finds another number and is rejected. An order without an answer may have been
+// accepted, so the runner is polled for its state before it is ordered again.
 //
-// Few runners load at once, because more would slow each other down and leave too
-// few to serve. Those with the oldest weights go first, of these those with the least
-// work; a run that is under way ends before its runner loads.
+// Only a few runners load at the same time, because more would slow each other down and leave too
+// few to serve. Those with the oldest weights come first, and among these those with the least
+// work. Runs in flight at a runner end before it loads.
 package weightorders
 
 import (
@@ -28,24 +26,25 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Errors of an order that was certainly not taken.
+// Errors of an order that was certainly not accepted.
 var (
-	// ErrConflict says that the runner is carrying out another order, or had taken
-	// more orders than expected.
-	ErrConflict = merry.Sentinel("the runner has other orders")
-	// ErrOtherIncarnation says that another runner, or another life of it, answers there.
-	ErrOtherIncarnation = merry.Sentinel("another incarnation answers")
-	// ErrRefused says that the runner does not take such an order.
-	ErrRefused = merry.Sentinel("the runner refused the order")
+	// ErrConflict reports that the runner is executing another order, or had accepted more orders
+	// than expected.
+	ErrConflict = merry.Sentinel("runner has accepted other orders")
+	// ErrOtherIncarnation reports that another runner, or another incarnation of this one, answers
+	// at the address.
+	ErrOtherIncarnation = merry.Sentinel("another incarnation answers at the address")
+	// ErrRefused reports that the runner does not accept such an order.
+	ErrRefused = merry.Sentinel("runner refused the order")
 )
 
-// Report is what a runner says of itself.
+// Report is the state that a runner reports.
 type Report struct {
-	// Weights are the versions of its models.
+	// Weights are the loaded versions, by model.
 	Weights map[string]int
-	// Busy says that an order is being carried out.
+	// Busy reports that an order is being executed.
 	Busy bool
-	// Orders counts the orders that it has taken in this life.
+	// Orders is the number of orders accepted in this incarnation.
 	Orders int64
 }
 
@@ -53,84 +52,83 @@
 type Order struct {
 	Model   string
 	Version int
-	// Holder names the box that orders, Fence the tenure of the lease by
-	// which it does.
+	// Holder is the name of the box that sends the order, and Fence the fencing token of its lease.
 	Holder string
 	Fence  int64
-	// AfterOrders is the number of orders that the runner must have taken.
+	// AfterOrders is the number of orders that the runner must have accepted before this one.
 	AfterOrders int64
 }
 
-// RunnerClient speaks to runners.
+// RunnerClient sends requests to runners.
 type RunnerClient interface {
-	// Report asks a runner for its state.
+	// Report requests the state of a runner.
 	Report(ctx context.Context, server fleet.Server) (Report, error)
-	// Order gives an order. done says that the runner already holds the version.
+	// Order sends an order. done reports that the runner already has the version.
 	Order(ctx context.Context, server fleet.Server, order Order) (done bool, err error)
 }
 
-// Config sets up a Controller.
+// Config configures a Controller.
 type Config struct {
 	Runners RunnerClient
 	Fleet   *fleet.Fleet
 	Lease   *orderlease.Lease
 	Logger  zerolog.Logger
-	// Off holds mechanisms that are switched off.
+	// Off holds the mechanisms that are switched off.
 	Off mechanism.Off
-	// OnPause is told that a runner gets no new calls from now on; it may be nil.
+	// OnPause is called when a runner stops getting new calls; it may be nil.
 	OnPause func()
-	// Holder names this box in orders.
+	// Holder is the name of this box in orders.
 	Holder string
-	// Models lists the models with a named version, and Wanted gives it.
+	// Models lists the models that have a declared version, and TargetVersion returns that version.
 	Models        func() []string
 	TargetVersion func(model string) int
 }
 
 const (
-	// lookEvery is the time between two looks for runners that are behind.
-	lookEvery = 100 * time.Millisecond
-	// idleLookEvery is the same in a box that gives no orders now.
-	idleLookEvery = 250 * time.Millisecond
-	// callLimit bounds a question or an order to a runner.
-	callLimit = 800 * time.Millisecond
-	// loadLimit is how long a runner may take to load before it is looked at
-	// anew; a load takes 1.1 s, and several times that when many load.
-	loadLimit = 6 * time.Second
-	// askEvery is the time between two questions to a loading runner. Each
-	// question has a price; its report is 100 to 200 ms old anyway.
-	askEvery = 120 * time.Millisecond
-	// shortestLoad is how long a load takes at least; nobody asks before.
-	shortestLoad = 1100 * time.Millisecond
-	// firstLoad is how long a load is taken to last before any has been seen, with the
-	// runs that end before it, and loadWeight the weight of the newest that was.
-	firstLoad  = 1400 * time.Millisecond
-	loadWeight = 0.3
-	// retryAfter is the pause before a runner that failed an order gets another.
-	retryAfter = 700 * time.Millisecond
-	// pauseBefore is how long a runner gets no new calls before it is ordered, so that
-	// all boxes learn of it. The runs under way then end at the runner, which loads as
-	// soon as they have; its own report tells of that 100 ms late.
-	pauseBefore = 200 * time.Millisecond
-	// slotEvery is the time between two looks for a free place to load.
-	slotEvery = 30 * time.Millisecond
+	// scanInterval is the time between two scans for runners with an older version.
+	scanInterval = 100 * time.Millisecond
+	// idleScanInterval is the same interval in a box that currently sends no orders.
+	idleScanInterval = 250 * time.Millisecond
+	// callTimeout bounds a request to a runner.
+	callTimeout = 800 * time.Millisecond
+	// loadTimeout is how long a runner may take to load before the task ends and a later scan
+	// starts a new one. A load takes 1.1 s, and several times that when many runners load.
+	loadTimeout = 6 * time.Second
+	// pollInterval is the time between two polls of a loading runner. Each poll costs the runner
+	// time, and its report is 100 to 200 ms old anyway.
+	pollInterval = 120 * time.Millisecond
+	// minLoadTime is the shortest duration of a load; no runner is polled earlier.
+	minLoadTime = 1100 * time.Millisecond
+	// initialLoadEstimate is the estimated duration of a load before any has been observed,
+	// including the runs that end before it. loadSmoothing is the weight of the newest observation.
+	initialLoadEstimate = 1400 * time.Millisecond
+	loadSmoothing       = 0.3
+	// retryDelay is the pause before a runner whose order failed gets another.
+	retryDelay = 700 * time.Millisecond
+	// pauseBeforeOrder is how long a runner gets no new calls before it is ordered, so that all
+	// boxes know of the pause. Runs in flight then end at the runner, which starts loading as soon
+	// as they have; its own report would show that 100 ms late.
+	pauseBeforeOrder = 200 * time.Millisecond
+	// slotInterval is the time between two checks for a free loading slot.
+	slotInterval = 30 * time.Millisecond
 )
 
-// runnersPerLoad gives how many runners load at once: one of five. More of them load
-// more slowly, and fewer are left to serve; fewer leave older weights answering for
-// longer.
+// runnersPerLoad limits how many runners of a model load at the same time: one in five. With
+// more, each load is slower and fewer runners are left to serve. With fewer, older weights serve
+// for longer.
 const runnersPerLoad = 5
 
-// phase says how far a runner under orders is.
+// phase is the state of a runner with a task.
 type phase uint8
 
 const (
 	// pausing runners get no new calls.
 	pausing phase = iota + 1
-	// loading runners have an order.
+	// loading runners have received an order.
 	loading
 )
 
-// progress is a phase and when it began.
+// progress is a phase and the time at which it began.
 type progress struct {
 	phase phase
 	since time.Time
@@ -141,80 +139,81 @@
 	server  fleet.Server
 	model   string
 	version int
-	// atOnce is how many runners of the model may load at once.
-	atOnce int
+	// maxLoading is how many runners of the model may load at the same time.
+	maxLoading int
 }
 
-// Controller gives the orders while the lease lets this box.
+// Controller sends the orders while this box holds the lease.
 type Controller struct {
 	cfg Config
 
 	mu sync.Mutex
-	// under are the runners under orders, and how far each is; notBefore holds
-	// those back that failed one.
-	under     map[string]progress
-	notBefore map[string]time.Time
-	// usualLoad is how long loads lately took.
-	usualLoad time.Duration
-	orders    sync.WaitGroup
+	// tasks holds the progress of runners with a task, by incarnation, and retryAt when runners
+	// whose task failed may get another.
+	tasks   map[string]progress
+	retryAt map[string]time.Time
+	// loadEstimate is the estimated duration of a load, from recent ones.
+	loadEstimate time.Duration
+	orders       sync.WaitGroup
 }
 
-// New makes a giver.
+// New returns a controller.
 func New(cfg Config) *Controller {
-	return &Controller{cfg: cfg, under: map[string]progress{}, notBefore: map[string]time.Time{}, usualLoad: firstLoad}
+	return &Controller{cfg: cfg, tasks: map[string]progress{}, retryAt: map[string]time.Time{}, loadEstimate: initialLoadEstimate}
 }
 
-// Loop looks for runners that are behind until ctx ends.
-func (g *Controller) Loop(ctx context.Context) {
-	defer g.orders.Wait()
-	for waiting.For(ctx, g.pauseBetweenLooks()) {
-		g.look(ctx)
+// Loop scans for runners with an older version until ctx ends.
+func (c *Controller) Loop(ctx context.Context) {
+	defer c.orders.Wait()
+	for waiting.For(ctx, c.scanPause()) {
+		c.scan(ctx)
 	}
 }
 
-// pauseBetweenLooks is longer in a box that another one reads for, which gives no orders.
-func (g *Controller) pauseBetweenLooks() time.Duration {
-	if g.cfg.Lease.Idle() {
-		return idleLookEvery
+// scanPause returns the interval between scans, which is longer in a box that follows another one
+// and sends no orders.
+func (c *Controller) scanPause() time.Duration {
+	if c.cfg.Lease.Idle() {
+		return idleScanInterval
 	}
-	return lookEvery
+	return scanInterval
 }
 
-func (g *Controller) look(ctx context.Context) {
-	for _, model := range g.cfg.Models() {
-		version := g.cfg.TargetVersion(model)
-		behind := g.cfg.Fleet.Behind(model, version)
+func (c *Controller) scan(ctx context.Context) {
+	for _, model := range c.cfg.Models() {
+		version := c.cfg.TargetVersion(model)
+		behind := c.cfg.Fleet.Behind(model, version)
 		if len(behind) == 0 {
 			continue
 		}
-		if _, may := g.cfg.Lease.Permit(ctx); !may {
+		if _, permitted := c.cfg.Lease.Permit(ctx); !permitted {
 			return
 		}
-		atOnce := (g.cfg.Fleet.Holders(model) + runnersPerLoad - 1) / runnersPerLoad
+		maxLoading := (c.cfg.Fleet.Holders(model) + runnersPerLoad - 1) / runnersPerLoad
 		for _, server := range behind {
-			g.begin(ctx, task{server, model, version, atOnce})
+			c.start(ctx, task{server, model, version, maxLoading})
 		}
 	}
 }
 
-// begin starts with one runner if there is room. A runner's pause begins shortly
-// before a load of another ends, so that loads follow each other at once.
-func (g *Controller) begin(ctx context.Context, t task) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// start starts a task for one runner if there is a slot. The pause of a runner begins shortly
+// before the load of another ends, so that loads follow each other without a gap.
+func (c *Controller) start(ctx context.Context, t task) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	name := t.server.Incarnation
-	if g.under[name].phase != 0 || boottime.Now().Before(g.notBefore[name]) || g.occupied() >= t.atOnce {
+	if c.tasks[name].phase != 0 || boottime.Now().Before(c.retryAt[name]) || c.occupied() >= t.maxLoading {
 		return
 	}
-	delete(g.notBefore, name)
-	g.under[name] = progress{pausing, boottime.Now()}
-	g.orders.Go(func() { g.runLoad(ctx, t) })
+	delete(c.retryAt, name)
+	c.tasks[name] = progress{pausing, boottime.Now()}
+	c.orders.Go(func() { c.runLoad(ctx, t) })
 }
 
-// count counts the runners in a phase. The caller holds mu.
-func (g *Controller) count(wanted phase) int {
+// countPhase returns the number of runners in a phase. The caller holds mu.
+func (c *Controller) countPhase(wanted phase) int {
 	count := 0
-	for _, reached := range g.under {
+	for _, reached := range c.tasks {
 		if reached.phase == wanted {
 			count++
 		}
@@ -222,12 +221,12 @@
 	return count
 }
 
-// occupied counts the runners under orders but for those whose loads are about to
-// end. The caller holds mu.
-func (g *Controller) occupied() int {
+// occupied returns the number of runners with a task, except those whose loads are about to end.
+// The caller holds mu.
+func (c *Controller) occupied() int {
 	count := 0
-	for _, reached := range g.under {
-		if reached.phase == pausing || boottime.Since(reached.since) < g.usualLoad-pauseBefore {
+	for _, reached := range c.tasks {
+		if reached.phase == pausing || boottime.Since(reached.since) < c.loadEstimate-pauseBeforeOrder {
 			count++
 		}
 	}
--- a/internal/weightorders/weightorders_test.go
+++ b/internal/weightorders/weightorders_test.go
@@ -21,18 +21,18 @@
 
 const loadTime = 1100 * time.Millisecond
 
-// runners are runners of model "m" in memory.
+// runners simulates runners of model "m" in memory.
 type runners struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	weights map[string]int
-	orders  map[string]int64
-	busy    map[string]bool
-	loading int
-	most    int
-	given   []weightorders.Order
-	// unanswered is the share of orders that get no answer; half of these are
-	// carried out seconds later, if their condition still holds.
+	mu         sync.Mutex
+	random     *rand.Rand
+	weights    map[string]int
+	orders     map[string]int64
+	busy       map[string]bool
+	loading    int
+	maxLoading int
+	received   []weightorders.Order
+	// unanswered is the fraction of orders that get no answer. Half of these are executed seconds
+	// later, if their condition still holds.
 	unanswered float64
 }
 
@@ -54,28 +54,28 @@
 func (r *runners) Order(_ context.Context, server fleet.Server, order weightorders.Order) (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.given = append(r.given, order)
+	r.received = append(r.received, order)
 	if r.random.Float64() < r.unanswered {
 		if r.random.IntN(2) == 0 {
 			time.AfterFunc(time.Duration(2+r.random.IntN(9))*time.Second, func() {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				_, _ = r.carryOut(server.Incarnation, order)
+				_, _ = r.execute(server.Incarnation, order)
 			})
 		}
 		return false, errors.New("no answer")
 	}
-	return r.carryOut(server.Incarnation, order)
+	return r.execute(server.Incarnation, order)
 }
 
-func (r *runners) carryOut(name string, order weightorders.Order) (bool, error) {
+func (r *runners) execute(name string, order weightorders.Order) (bool, error) {
 	if r.busy[name] || order.AfterOrders != r.orders[name] {
 		return false, weightorders.ErrConflict
 	}
 	r.orders[name]++
 	r.busy[name] = true
 	r.loading++
-	r.most = max(r.most, r.loading)
+	r.maxLoading = max(r.maxLoading, r.loading)
 	time.AfterFunc(loadTime, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -96,8 +96,8 @@
 	return lowest
 }
 
-// startGivers starts boxes that all would give orders.
-func startGivers(ctx context.Context, r *runners, count int, wanted func() int) {
+// startControllers starts boxes that all try to send orders.
+func startControllers(ctx context.Context, r *runners, count int, target func() int) {
 	log := fakesharedlog.New()
 	for i := range count {
 		name := fmt.Sprint("box-", i)
@@ -106,28 +106,28 @@
 			f.Apply([]fleet.Update{{Key: runner, Offset: 1, Server: &fleet.Server{Incarnation: runner, Service: "s", Weights: map[string]int{"m": 1}}}})
 		}
 		lease := orderlease.New(orderlease.Config{Log: log, Logger: zerolog.Nop(), Holder: name, Gap: 3 * time.Second})
-		giver := weightorders.New(weightorders.Config{
+		controller := weightorders.New(weightorders.Config{
 			Runners: r, Fleet: f, Lease: lease, Logger: zerolog.Nop(), Holder: name,
-			Models: func() []string { return []string{"m"} }, TargetVersion: func(string) int { return wanted() },
+			Models: func() []string { return []string{"m"} }, TargetVersion: func(string) int { return target() },
 		})
 		go lease.Loop(ctx)
-		go giver.Loop(ctx)
+		go controller.Loop(ctx)
 	}
 }
 
-// rollOut plays a rollout, by the version wanted at each moment, and gives how long
-// it took until all runners held the last.
-func rollOut(r *runners, last int, wanted func(passed time.Duration) int) time.Duration {
+// rollOut plays a rollout of the version that target returns at each moment. It returns how long
+// it took until all runners had the last version.
+func rollOut(r *runners, last int, target func(passed time.Duration) int) time.Duration {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer synctest.Wait()
 	defer cancel()
 	began := time.Now()
-	startGivers(ctx, r, 3, func() int { return wanted(time.Since(began)) })
+	startControllers(ctx, r, 3, func() int { return target(time.Since(began)) })
 	for r.lowest() < last && time.Since(began) < time.Minute {
 		time.Sleep(50 * time.Millisecond)
 	}
 	took := time.Since(began)
-	time.Sleep(15 * time.Second) // loads and late orders end
+	time.Sleep(15 * time.Second) // wait for remaining loads and late orders
 	return took
 }
 
@@ -138,17 +138,17 @@
 		took := rollOut(r, 2, func(time.Duration) int { return 2 })
 		g.Expect(r.lowest()).To(Equal(2))
 		g.Expect(took).To(BeNumerically("<", 9*time.Second))
-		g.Expect(r.most).To(BeNumerically("<=", 3))
-		g.Expect(r.given).To(HaveLen(14), "each runner is ordered once")
+		g.Expect(r.maxLoading).To(BeNumerically("<=", 3))
+		g.Expect(r.received).To(HaveLen(14), "each runner is ordered once")
 		holders := map[string]bool{}
-		for _, order := range r.given {
+		for _, order := range r.received {
 			holders[order.Holder] = true
 		}
 		g.Expect(holders).To(HaveLen(1))
 	})
 }
 
-func TestTwoVersionsInARowEndAtTheLast(t *testing.T) {
+func TestTwoVersionsInARowReachTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r := newRunners(14)
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestOrdersThatAreLostOrCarriedOutLateDoNotTurnWeightsBack(t *testing.T) {
+func TestOrdersThatAreLostOrExecutedLateDoNotRevertWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r := newRunners(14)
