--- a/internal/orderlease/orderlease.go
+++ b/internal/orderlease/orderlease.go
@@ -1,22 +1,22 @@
-// Package orderlease lets one entry box at a time give orders to runners.
+// Package orderlease implements a lease that lets one entry box at a time send orders to runners.
 //
-// Runners do not check who orders them, so the orders of two boxes must lie apart
-// by a given gap. The platform's log decides. A box that has orders to give
-// appends a record to a stream of their own, on the condition that the stream ends
-// where the box believes; of several that try, one succeeds. Each record permits
-// its box to order for a short time, counted by the box's own steady clock from
-// before the append was sent. While it has orders left it appends the next record;
-// a box that sees no record for a while may try to take over.
+// Runners do not check which box an order comes from, so orders of two boxes must be separated by
+// a given gap. The platform's log arbitrates. A box that has orders to send appends a record to a
+// dedicated stream, on the condition that the stream ends where the box expects; of several
+// concurrent appends one succeeds. Each record permits its box to send orders for a short time,
+// measured with the box's own clock (package boottime) from before the append was sent. While the
+// box has orders left it appends further records; a box that sees no record for a while may try
+// to take over.
 //
-// Why two boxes never order within the gap: a box that takes over saw the last
-// record of the one before, at a moment after it was appended. Permission by that
-// record ended within permitFor of its append. The box waits for permitFor and the
-// gap from that moment on, and its own append proves that no other record came in
-// between. A box that starts does not know when the records it finds were
-// appended, and counts them as new.
+// Two boxes never send orders within the gap of each other, for this reason. A box that takes
+// over observed the last record of the previous holder after it was appended, and the permission
+// of that record ended within permitFor of its append. The new box waits for permitFor plus the
+// gap from that observation, and its own conditional append proves that no other record came in
+// between. A box that starts does not know when the records that it finds were appended, and
+// treats them as new.
 //
-// Nothing is renewed while there is nothing to order, so the first order after a
-// quiet time waits for one append only.
+// The lease is not renewed while there is nothing to order, so the first order after an idle
+// period waits for a single append.
 package orderlease
 
 import (
@@ -34,66 +34,67 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Config sets up a Lease.
+// Config configures a Lease.
 type Config struct {
 	Log    sharedlog.Log
 	Logger zerolog.Logger
-	// Holder tells this life of this box from all others.
+	// Holder identifies this incarnation of this box.
 	Holder string
-	// Gap is how far the orders of two boxes must lie apart.
+	// Gap is the minimum time between orders of two boxes.
 	Gap time.Duration
-	// Idle reports that another box reads for this one, so that it need not follow the
-	// stream unless it holds the lease: each record ends a held read of every box that
-	// follows. Nil means that it always follows.
+	// Idle reports that another box reads for this one, so that it need not follow the stream
+	// unless it holds the lease: each record ends the long-poll read of every box that follows it.
+	// Nil means that it always follows.
 	Idle func() bool
 }
 
 const (
-	// permitFor is how long a record permits orders: a few times an append's answer
-	// (4 ms), and short, since whoever takes over waits for it.
+	// permitFor is how long a record permits orders. It is much longer than the answer to an append
+	// takes (4 ms), and short because a box that takes over waits for it.
 	permitFor = 500 * time.Millisecond
-	// takeoverAfter is how long a holder may be silent before another tries. A
-	// holder with orders left appends twice a second.
+	// takeoverAfter is how long a holder may append nothing before another box tries to take over.
+	// A holder with orders left appends twice a second.
 	takeoverAfter = 1200 * time.Millisecond
-	// gapMargin is added to the gap for orders that are on their way.
+	// gapMargin is added to the gap for orders in transit.
 	gapMargin = 250 * time.Millisecond
-	// callLimit bounds an append, readHold how long a read waits for a record, and
-	// failurePause lies after a call that failed.
-	callLimit    = 700 * time.Millisecond
+	// callTimeout bounds an append, readHold is how long a read waits for a record, and
+	// failurePause is the pause after a failed call.
+	callTimeout  = 700 * time.Millisecond
 	readHold     = 5 * time.Second
 	failurePause = 250 * time.Millisecond
-	// idlePause lies between two looks whether the stream is to be followed.
+	// idlePause is the time between two checks whether the stream must be followed.
 	idlePause = 250 * time.Millisecond
 )
 
-// record is what the stream holds.
+// record is the value of a record in the stream.
 type record struct {
 	Holder string `msgpack:"h"`
 }
 
-// Lease is this box's view of who may order.
+// Lease is this box's view of which box may send orders.
 type Lease struct {
 	cfg Config
 
-	// asking lets one goroutine append at a time.
-	asking sync.Mutex
+	// appendMu lets one goroutine append at a time.
+	appendMu sync.Mutex
 
 	mu sync.Mutex
-	// next is the offset after the last record seen; known says that it was read.
-	next  int64
-	known bool
-	// last is the holder of the last record, lastAt when this box saw it.
+	// next is the offset after the last observed record; caughtUp reports that the stream has been
+	// read to its end once.
+	next     int64
+	caughtUp bool
+	// last is the holder of the last record, and lastAt the time at which this box observed it.
 	last   string
 	lastAt time.Time
-	// othersAt is when the last record of another box was seen.
-	othersAt time.Time
-	// fence is the offset of the first of this box's records since then.
+	// otherAt is when this box last observed a record of another box.
+	otherAt time.Time
+	// fence is the offset of the first record of this box since then.
 	fence int64
-	// permitted is until when this box may order.
-	permitted time.Time
+	// permittedUntil is until when this box may send orders.
+	permittedUntil time.Time
 }
 
-// New makes a lease that nobody holds.
+// New returns a lease that this box does not hold.
 func New(cfg Config) *Lease { return &Lease{cfg: cfg} }
 
 // Loop follows the stream until ctx ends.
@@ -110,62 +111,62 @@
 	}
 }
 
-// Idle reports whether this box leaves the orders to others.
+// Idle reports whether this box leaves sending orders to others.
 func (l *Lease) Idle() bool { return l.cfg.Idle != nil && l.cfg.Idle() && !l.Held() }
 
 func (l *Lease) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readHold+callLimit)
+	ctx, cancel := context.WithTimeout(ctx, readHold+callTimeout)
 	defer cancel()
 	l.mu.Lock()
 	from, hold := l.next, readHold
-	if !l.known {
+	if !l.caughtUp {
 		hold = 0
 	}
 	l.mu.Unlock()
 	page, err := l.cfg.Log.Read(ctx, sharedlog.Orders, from, hold)
-	if gone, ok := errors.AsType[*sharedlog.GoneError](err); ok {
-		l.skip(gone.First)
+	if trimmed, ok := errors.AsType[*sharedlog.GoneError](err); ok {
+		l.skip(trimmed.First)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	l.take(page)
+	l.apply(page)
 	return nil
 }
 
-// skip goes on after records that are no longer kept. They were another's as far
-// as this box can tell.
+// skip continues after records that the log no longer retains. This box has to assume that they
+// were another box's.
 func (l *Lease) skip(first int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if first > l.next {
-		l.next, l.othersAt, l.last = first, boottime.Now(), ""
+		l.next, l.otherAt, l.last = first, boottime.Now(), ""
 	}
 }
 
-func (l *Lease) take(page sharedlog.Page) {
+func (l *Lease) apply(page sharedlog.Page) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range page.Records {
 		var decoded record
 		if err := safepack.Unmarshal(r.Value, &decoded); err != nil {
-			l.cfg.Logger.Error().Int64("offset", r.Offset).Str("error", err.Error()).Msg("order_lease_not_understood")
+			l.cfg.Logger.Error().Int64("offset", r.Offset).Str("error", err.Error()).Msg("order_lease_not_decoded")
 		}
-		l.note(decoded.Holder, r.Offset)
+		l.observe(decoded.Holder, r.Offset)
 	}
-	l.known = l.known || page.Next >= page.End
+	l.caughtUp = l.caughtUp || page.Next >= page.End
 }
 
-// note takes in the record at an offset, once. The caller holds mu.
-func (l *Lease) note(holder string, offset int64) {
+// observe processes the record at an offset, once. The caller holds mu.
+func (l *Lease) observe(holder string, offset int64) {
 	if offset < l.next {
 		return
 	}
 	now := boottime.Now()
 	if holder != l.cfg.Holder {
-		l.othersAt = now
-		l.permitted = time.Time{}
+		l.otherAt = now
+		l.permittedUntil = time.Time{}
 	} else if l.last != l.cfg.Holder {
 		l.fence = offset
 	}
@@ -182,21 +183,21 @@
 	return l.last == l.cfg.Holder
 }
 
-// Permit asks to give orders now. It gives the fence that the orders carry, and
-// false when another box may be giving orders or the log did not agree.
+// Permit requests permission to send orders now. It returns the fencing token for the orders, and
+// false if another box may be sending orders or the append failed.
 func (l *Lease) Permit(ctx context.Context) (fence int64, ok bool) {
 	if l.Idle() {
 		return 0, false
 	}
-	l.asking.Lock()
-	defer l.asking.Unlock()
+	l.appendMu.Lock()
+	defer l.appendMu.Unlock()
 	l.mu.Lock()
 	now := boottime.Now()
-	if l.last == l.cfg.Holder && now.Before(l.permitted) && l.apart(now) {
+	if l.last == l.cfg.Holder && now.Before(l.permittedUntil) && l.gapElapsed(now) {
 		defer l.mu.Unlock()
 		return l.fence, true
 	}
-	if !l.known || (l.last != l.cfg.Holder && l.last != "" && now.Sub(l.lastAt) < takeoverAfter) {
+	if !l.caughtUp || (l.last != l.cfg.Holder && l.last != "" && now.Sub(l.lastAt) < takeoverAfter) {
 		l.mu.Unlock()
 		return 0, false
 	}
@@ -208,18 +209,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now = boottime.Now()
-	return l.fence, l.last == l.cfg.Holder && now.Before(l.permitted) && l.apart(now)
+	return l.fence, l.last == l.cfg.Holder && now.Before(l.permittedUntil) && l.gapElapsed(now)
 }
 
-// apart reports whether orders of this box now lie apart from all of others. The
-// caller holds mu.
-func (l *Lease) apart(now time.Time) bool {
-	return l.othersAt.IsZero() || now.Sub(l.othersAt) > permitFor+l.cfg.Gap+gapMargin
+// gapElapsed reports whether the gap to the orders of all other boxes has elapsed. The caller
+// holds mu.
+func (l *Lease) gapElapsed(now time.Time) bool {
+	return l.otherAt.IsZero() || now.Sub(l.otherAt) > permitFor+l.cfg.Gap+gapMargin
 }
 
-// append adds a record of this box at an end.
+// append appends a record of this box if the stream ends at the given offset.
 func (l *Lease) append(ctx context.Context, end int64) bool {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	value, err := msgpack.Marshal(record{Holder: l.cfg.Holder})
 	if err != nil {
@@ -234,9 +235,9 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.note(l.cfg.Holder, offset)
+	l.observe(l.cfg.Holder, offset)
 	if l.next == offset+1 {
-		l.permitted = sent.Add(permitFor)
+		l.permittedUntil = sent.Add(permitFor)
 	}
 	return true
 }
--- a/internal/orderlease/orderlease_test.go
+++ b/internal/orderlease/orderlease_test.go
@@ -27,7 +27,7 @@
 	return lease
 }
 
-func TestTheFirstOrderAfterAQuietTimeWaitsForOneAppend(t *testing.T) {
+func TestTheFirstOrderAfterAnIdlePeriodWaitsForOneAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestABoxThatStartsCountsWhatItFindsAsNew(t *testing.T) {
+func TestABoxThatStartsTreatsExistingRecordsAsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -76,20 +76,20 @@
 		log.Faults().SetFaults(fakelog.Faults{})
 		g.Expect(permitted(ctx, b)).To(BeTrue())
 		time.Sleep(2500 * time.Millisecond)
-		g.Expect(permitted(ctx, a)).To(BeFalse(), "its append's condition does not hold any more")
+		g.Expect(permitted(ctx, a)).To(BeFalse(), "the condition of its append no longer holds")
 	})
 }
 
-// order is an order that some box gave.
+// order is an order that a box sent.
 type order struct {
 	holder string
 	fence  int64
 	at     time.Time
 }
 
-// Boxes that want to order all the time, and a log that fails in every way: the
-// orders of two boxes must lie apart, and fences must rise from box to box.
-func TestOrdersOfTwoBoxesLieApart(t *testing.T) {
+// Several boxes want to send orders all the time, and the log fails in every possible way. Orders
+// of two boxes must be separated by the gap, and fencing tokens must increase from box to box.
+func TestOrdersOfTwoBoxesAreSeparatedByTheGap(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
@@ -108,7 +108,7 @@
 	}
 }
 
-// history lets four boxes order for two minutes of virtual time.
+// history lets four boxes send orders for two minutes of virtual time.
 func history(random *rand.Rand) []order {
 	ctx, cancel := context.WithCancel(context.Background())
 	log := fakesharedlog.New()
@@ -128,7 +128,7 @@
 				}
 				pause := 100 * time.Millisecond
 				if pauses.IntN(30) == 0 {
-					pause = time.Duration(pauses.IntN(6000)) * time.Millisecond // as a frozen process
+					pause = time.Duration(pauses.IntN(6000)) * time.Millisecond // like a frozen process
 				}
 				time.Sleep(pause)
 			}
--- a/internal/orderlease/suspended_test.go
+++ b/internal/orderlease/suspended_test.go
@@ -13,11 +13,11 @@
 	"github.com/cometlock/cometlock/internal/suspendtest"
 )
 
-// A machine that was suspended for five seconds wakes with a steady clock that did not move, so
-// the permission that it had looked as fresh as before. Another box has long taken over by
-// then, and runners do not check who orders them. The box must ask the log first, which here
-// does not answer.
-func TestAPermissionIsOverAfterASuspension(t *testing.T) {
+// A monotonic clock stops while the machine is suspended, so after a suspension of five seconds a
+// permission looked as valid as before. Another box has taken over long before, and runners do
+// not check which box an order comes from. The box must append to the log again, which does not
+// answer here.
+func TestAPermissionExpiresDuringASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		machine := suspendtest.New(t)
@@ -27,7 +27,7 @@
 		lease := start(ctx, log, "a")
 		g.Expect(permitted(ctx, lease)).To(BeTrue())
 		log.Faults().SetFaults(fakelog.Faults{Down: true})
-		g.Expect(permitted(ctx, lease)).To(BeTrue(), "by what it has")
+		g.Expect(permitted(ctx, lease)).To(BeTrue(), "within the permission that it has")
 		machine.Suspend(5 * time.Second)
 		g.Expect(permitted(ctx, lease)).To(BeFalse())
 	})
