--- a/internal/storewatch/storewatch.go
+++ b/internal/storewatch/storewatch.go
@@ -1,6 +1,6 @@
-// Package storewatch asks the store boxes what they keep, and has them let go of
-// what was made by weights that are no longer used. Any box may free that: nobody
-// reads it any more, and freeing it twice does no harm.
+// Package storewatch polls the store boxes for the parts that they hold, and frees parts that
+// were made by weights no longer in use. Any box may free such parts: no box reads them any more,
+// and freeing them twice does no harm.
 package storewatch
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// StoreClient speaks to store boxes.
+// StoreClient sends requests to store boxes.
 type StoreClient interface {
-	// Changes asks for what changed since a position, waiting for the first.
+	// Changes requests the changes after a position, waiting for the first one.
 	Changes(ctx context.Context, address string, since int64, wait time.Duration) (partindex.Report, error)
-	// List asks for all that is kept.
+	// List requests a list of all parts that a store box holds.
 	List(ctx context.Context, address string) (partindex.Report, error)
-	// Free lets parts go that were kept in a life of the store box.
-	Free(ctx context.Context, address string, parts []partindex.Key, life int64) error
+	// Free frees parts that were held in a given epoch of the store box.
+	Free(ctx context.Context, address string, parts []partindex.Key, epoch int64) error
 }
 
-// Config sets up a Watcher.
+// Config configures a Watcher.
 type Config struct {
 	Stores StoreClient
 	Index  *partindex.Index
@@ -36,47 +36,47 @@
 }
 
 const (
-	// askWait is how long a question waits for a change. With its pause and the way to
-	// boxes that are told (some 400 ms) it must stay below what partindex takes for fresh.
-	askWait = 350 * time.Millisecond
-	// heldLeast is how long an answer without changes must have taken to count as
-	// held. timerMargin is for timers of store boxes, which are a little off.
-	heldLeast   = askWait - timerMargin
+	// pollHold is how long a poll waits for a change. Together with the pause between polls and the
+	// time until an update reaches followers (some 400 ms) it must stay below the time for which
+	// partindex considers state fresh.
+	pollHold = 350 * time.Millisecond
+	// minHeld is how long an answer without changes must have taken to count as a full wait.
+	// timerMargin allows for inaccurate timers of store boxes.
+	minHeld     = pollHold - timerMargin
 	timerMargin = 60 * time.Millisecond
-	// leastAskPause lies between two questions to a store box, so that under load an answer
-	// brings several changes. Where there are many store boxes it is longer, so that a box
-	// asks all of them together questionsPerSecond times a second at the most: each question
-	// that is answered at once has a price, and 47 store boxes all have news all the time.
-	leastAskPause      = 100 * time.Millisecond
-	questionsPerSecond = 250
-	// callLimit bounds a call besides its wait.
-	callLimit = 700 * time.Millisecond
-	// listLimit bounds the list of all that is kept, which may be some hundred KB.
-	listLimit = 1200 * time.Millisecond
-	// listEvery is the mean time between two lists of a store box. Only a list tells of
-	// parts that broke off while they were written, and of changes whose events were
-	// lost; it holds the store box up, so it is rare. Boxes list at random moments.
-	listEvery = time.Minute
-	// lostLimit bounds a question to a store box that was lost. It is short, so that
-	// the first answer after a cut comes soon; a store box answers in a few
-	// milliseconds.
-	lostLimit = 400 * time.Millisecond
-	// failurePause lies after a call that failed.
+	// minPollPause is the pause between two polls of a store box, so that under load an answer
+	// carries several changes. With many store boxes the pause is longer, so that a box sends at
+	// most maxPollsPerSecond polls in total: each poll that is answered at once has a cost, and 47
+	// store boxes have changes all the time.
+	minPollPause      = 100 * time.Millisecond
+	maxPollsPerSecond = 250
+	// callTimeout bounds a call in addition to its wait.
+	callTimeout = 700 * time.Millisecond
+	// listTimeout bounds the list of all parts, which may be some hundred KB.
+	listTimeout = 1200 * time.Millisecond
+	// listInterval is the mean time between two lists of a store box. Only a list shows parts whose
+	// write was aborted and changes whose events were lost. It blocks the store box, so it is rare.
+	// Boxes list at random times.
+	listInterval = time.Minute
+	// retryTimeout bounds a poll of an unreachable store box. It is short, so that the first answer
+	// after a network cut comes soon; a store box answers within a few milliseconds.
+	retryTimeout = 400 * time.Millisecond
+	// failurePause is the pause after a failed call.
 	failurePause = 200 * time.Millisecond
-	// leastFollowerPause and spreadFollowerPause make up the same pause in a box that another
-	// one asks for: a store box answers a dozen askers, and those that ask for a zone come
-	// first.
-	leastFollowerPause  = time.Second
-	spreadFollowerPause = 2 * time.Second
-	// cleanEvery is the mean time between two looks for parts to free, and cleanMost
-	// bounds the parts of one look. Only boxes that ask a store box themselves look, so in
-	// a zone with a reader that is one; parts of new weights wait for the room.
-	cleanEvery        = 400 * time.Millisecond
-	restingCleanEvery = time.Second
-	cleanMost         = 500
+	// minFollowerPause and followerPauseSpread define the same pause in a box that follows another
+	// one. A store box answers a dozen clients, and those that poll for a zone have priority.
+	minFollowerPause    = time.Second
+	followerPauseSpread = 2 * time.Second
+	// freeInterval is the mean time between two checks for parts to free, followerFreeInterval the
+	// same in a box that follows another one, and maxFreed bounds the parts freed in one check.
+	// Only boxes that poll a store box themselves check, which is one box in a zone with a reader;
+	// parts of new weights wait for the space.
+	freeInterval         = 400 * time.Millisecond
+	followerFreeInterval = time.Second
+	maxFreed             = 500
 )
 
-// Watcher has one loop for each store box.
+// Watcher runs one polling loop for each store box.
 type Watcher struct {
 	cfg Config
 
@@ -85,10 +85,10 @@
 	loops sync.WaitGroup
 }
 
-// New makes a watcher that watches nothing.
+// New returns a watcher without loops.
 func New(cfg Config) *Watcher { return &Watcher{cfg: cfg, stops: map[string]context.CancelFunc{}} }
 
-// Configure starts and ends loops, so that each store box of the index has one.
+// Configure starts and stops loops so that each store box of the index has one.
 func (w *Watcher) Configure(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,7 +100,7 @@
 		}
 		storeCtx, stop := context.WithCancel(ctx)
 		w.stops[address] = stop
-		w.loops.Go(func() { w.loopAsk(storeCtx, address) })
+		w.loops.Go(func() { w.pollLoop(storeCtx, address) })
 	}
 	for address, stop := range w.stops {
 		if !wanted[address] {
@@ -113,150 +113,151 @@
 // Wait waits until all loops have ended.
 func (w *Watcher) Wait() { w.loops.Wait() }
 
-// question says how a store box is asked next.
-type question struct {
-	// wait is how long it may hold its answer for a change.
+// pollRequest defines the next poll of a store box.
+type pollRequest struct {
+	// wait is how long the store box may hold its answer until there is a change.
 	wait time.Duration
-	// limit bounds the call besides.
-	limit time.Duration
+	// timeout bounds the call in addition to wait.
+	timeout time.Duration
 }
 
-// Questions to store boxes.
+// Kinds of polls.
 var (
-	// usual questions are held, since an answer at once has a price.
-	usual = question{wait: askWait, limit: callLimit}
-	// afterList is the question after all was listed: the list does not tell the
-	// servers' clock, without which nothing can be fetched.
-	afterList = question{limit: callLimit}
-	// afterLoss finds out soon whether a store box is back.
-	afterLoss = question{limit: lostLimit}
+	// normalPoll waits for changes, since an immediate answer has a cost.
+	normalPoll = pollRequest{wait: pollHold, timeout: callTimeout}
+	// pollAfterList follows a list immediately: a list does not contain the servers' clock, without
+	// which nothing can be fetched.
+	pollAfterList = pollRequest{timeout: callTimeout}
+	// pollAfterFailure detects soon that a store box is reachable again.
+	pollAfterFailure = pollRequest{timeout: retryTimeout}
 )
 
-// loopAsk asks one store box until ctx ends.
-func (w *Watcher) loopAsk(ctx context.Context, address string) {
-	next, lost := usual, false
+// pollLoop polls one store box until ctx ends.
+func (w *Watcher) pollLoop(ctx context.Context, address string) {
+	next, unreachable := normalPoll, false
 	listAt := nextList()
 	for ctx.Err() == nil {
 		if w.cfg.Index.WaitToPoll(ctx, address) {
-			next, lost = usual, false
+			next, unreachable = normalPoll, false
 		}
 		due := boottime.Now().After(listAt) || w.cfg.Index.NeedsList(address)
-		listed, err := w.ask(ctx, address, next, due)
+		listed, err := w.poll(ctx, address, next, due)
 		if due && err == nil {
 			listAt = nextList()
 		}
-		if failed := err != nil; failed != lost && ctx.Err() == nil {
-			lost = failed
-			w.log(address, err)
+		if failed := err != nil; failed != unreachable && ctx.Err() == nil {
+			unreachable = failed
+			w.logReachable(address, err)
 		}
 		switch {
 		case err != nil:
-			next = afterLoss
-			waiting.For(ctx, w.pauseAfterLoss())
+			next = pollAfterFailure
+			waiting.For(ctx, w.pauseAfterFailure())
 		case listed:
-			next = afterList
+			next = pollAfterList
 		default:
-			next = usual
-			waiting.For(ctx, askPause(len(w.cfg.Index.Addresses())))
+			next = normalPoll
+			waiting.For(ctx, pollPause(len(w.cfg.Index.Addresses())))
 		}
 	}
 }
 
-// nextList says when a store box is to be listed again.
-// askPause gives the pause between two questions to one of a number of store boxes.
-func askPause(stores int) time.Duration {
-	return max(leastAskPause, time.Duration(stores)*time.Second/questionsPerSecond)
+// pollPause returns the pause between two polls of a store box, given the number of store boxes.
+func pollPause(stores int) time.Duration {
+	return max(minPollPause, time.Duration(stores)*time.Second/maxPollsPerSecond)
 }
 
-// pauseAfterLoss gives the pause after a call that failed.
-func (w *Watcher) pauseAfterLoss() time.Duration {
+// pauseAfterFailure returns the pause after a failed call.
+func (w *Watcher) pauseAfterFailure() time.Duration {
 	if w.cfg.Index.Follows() {
-		return leastFollowerPause + rand.N(spreadFollowerPause)
+		return minFollowerPause + rand.N(followerPauseSpread)
 	}
 	return failurePause
 }
 
-func nextList() time.Time { return boottime.Now().Add(listEvery/2 + rand.N(listEvery)) }
+// nextList returns when a store box is to be listed next.
+func nextList() time.Time { return boottime.Now().Add(listInterval/2 + rand.N(listInterval)) }
 
-// log tells that a store box was lost, or that it is back when err is nil.
-func (w *Watcher) log(address string, err error) {
+// logReachable logs that a store box became unreachable, or that it is reachable again if err is
+// nil.
+func (w *Watcher) logReachable(address string, err error) {
 	if err != nil {
 		w.cfg.Logger.Warn().Str("address", address).Str("error", err.Error()).Msg("store_box_lost")
 		return
 	}
-	w.cfg.Logger.Info().Str("address", address).Msg("store_box_back")
+	w.cfg.Logger.Info().Str("address", address).Msg("store_box_recovered")
 }
 
-// ask asks a store box for what changed, or for all that it keeps when that is not
-// known or due; listed says that it did the latter.
-func (w *Watcher) ask(ctx context.Context, address string, q question, due bool) (listed bool, err error) {
+// poll requests the changes of a store box, or a list if its state is not known or a list is due.
+// listed reports that it requested a list.
+func (w *Watcher) poll(ctx context.Context, address string, request pollRequest, due bool) (listed bool, err error) {
 	next, list := w.cfg.Index.Position(address)
 	if list || due {
 		return true, w.list(ctx, address)
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.wait+q.limit)
+	ctx, cancel := context.WithTimeout(ctx, request.wait+request.timeout)
 	defer cancel()
-	asked := boottime.Now()
-	report, err := w.cfg.Stores.Changes(ctx, address, next, q.wait)
+	sentAt := boottime.Now()
+	report, err := w.cfg.Stores.Changes(ctx, address, next, request.wait)
 	if err != nil {
 		return false, err
 	}
-	report.AsOf = asked
-	if q.wait > 0 && len(report.Changes) == 0 && boottime.Since(asked) >= heldLeast {
-		report.AsOf = asked.Add(heldLeast)
+	report.AsOf = sentAt
+	if request.wait > 0 && len(report.Changes) == 0 && boottime.Since(sentAt) >= minHeld {
+		report.AsOf = sentAt.Add(minHeld)
 	}
 	if !w.cfg.Index.Apply(address, report) {
-		w.cfg.Logger.Info().Str("address", address).Int64("life", report.Epoch).Bool("gap", report.Gap).Msg("store_box_changed_life")
+		w.cfg.Logger.Info().Str("address", address).Int64("life", report.Epoch).Bool("gap", report.Gap).Msg("store_box_state_reset")
 	}
 	return false, nil
 }
 
-// list asks a store box for all that it keeps.
+// list requests a list of all parts that a store box holds.
 func (w *Watcher) list(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, listLimit)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	asked := boottime.Now()
+	sentAt := boottime.Now()
 	report, err := w.cfg.Stores.List(ctx, address)
 	if err != nil {
 		return err
 	}
-	report.AsOf = asked
+	report.AsOf = sentAt
 	w.cfg.Index.Replace(address, report)
 	w.cfg.Logger.Info().Str("address", address).Int64("life", report.Epoch).Int("parts", len(report.Changes)).Int("unfinished", len(report.Unfinished)).Msg("store_box_listed")
 	return nil
 }
 
-// LoopFree frees parts under namespaces that are out of use until ctx ends.
+// LoopFree frees parts of namespaces that are no longer in use until ctx ends.
 func (w *Watcher) LoopFree(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := cleanEvery
+		interval := freeInterval
 		if w.cfg.Index.Follows() {
-			every = restingCleanEvery // nothing is its to free
+			interval = followerFreeInterval // its reader frees parts
 		}
-		waiting.For(ctx, every/2+rand.N(every))
+		waiting.For(ctx, interval/2+rand.N(interval))
 		for _, address := range w.cfg.Index.Addresses() {
 			if ctx.Err() == nil {
-				w.clean(ctx, address)
+				w.freeUnused(ctx, address)
 			}
 		}
 	}
 }
 
-func (w *Watcher) clean(ctx context.Context, address string) {
+func (w *Watcher) freeUnused(ctx context.Context, address string) {
 	if w.cfg.Index.PollPaused(address) {
-		return // the box that asks it frees
+		return // the box that polls the store box frees its parts
 	}
-	parts, life := w.cfg.Index.Freeable(address, w.cfg.MayFree, cleanMost)
+	parts, epoch := w.cfg.Index.Freeable(address, w.cfg.MayFree, maxFreed)
 	if len(parts) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	event := w.cfg.Logger.Info()
-	if err := w.cfg.Stores.Free(ctx, address, parts, life); err != nil {
+	if err := w.cfg.Stores.Free(ctx, address, parts, epoch); err != nil {
 		event = w.cfg.Logger.Warn().Str("error", err.Error())
 	} else {
-		w.cfg.Index.NoteFreed(address, life, parts)
+		w.cfg.Index.NoteFreed(address, epoch, parts)
 	}
-	event.Str("address", address).Int64("life", life).Int("parts", len(parts)).Msg("parts_freed")
+	event.Str("address", address).Int64("life", epoch).Int("parts", len(parts)).Msg("parts_freed")
 }
--- a/internal/storewatch/storewatch_test.go
+++ b/internal/storewatch/storewatch_test.go
@@ -17,21 +17,21 @@
 	"github.com/cometlock/cometlock/internal/storewatch"
 )
 
-// stores is one store box that keeps one part and tells nothing new.
+// stores simulates one store box that holds one part and has no changes.
 type stores struct {
-	mu     sync.Mutex
-	life   int64
-	down   bool
-	lists  int
-	freed  []partindex.Key
-	answer time.Duration // how much sooner than asked it answers
-	// cut swallows questions.
+	mu    sync.Mutex
+	epoch int64
+	down  bool
+	lists int
+	freed []partindex.Key
+	early time.Duration // how much earlier than requested it answers
+	// cut drops requests without an answer.
 	cut bool
-	// listWithoutClock says that lists do not tell the servers' clock.
+	// listWithoutClock omits the servers' clock from lists.
 	listWithoutClock bool
 }
 
-var kept = partindex.Key{Namespace: "m/1", ID: "p"}
+var heldPart = partindex.Key{Namespace: "m/1", ID: "p"}
 
 func (s *stores) set(change func(*stores)) {
 	s.mu.Lock()
@@ -39,13 +39,13 @@
 	change(s)
 }
 
-func (s *stores) state() (life int64, err error) {
+func (s *stores) state() (epoch int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return 0, errors.New("down")
 	}
-	return s.life, nil
+	return s.epoch, nil
 }
 
 func (s *stores) isCut() bool {
@@ -59,15 +59,15 @@
 		<-ctx.Done()
 		return partindex.Report{}, ctx.Err()
 	}
-	time.Sleep(wait - s.answer)
-	life, err := s.state()
-	return partindex.Report{Epoch: life, ClockMillis: 1}, err
+	time.Sleep(wait - s.early)
+	epoch, err := s.state()
+	return partindex.Report{Epoch: epoch, ClockMillis: 1}, err
 }
 
 func (s *stores) List(context.Context, string) (partindex.Report, error) {
-	life, err := s.state()
+	epoch, err := s.state()
 	s.set(func(s *stores) { s.lists++ })
-	report := partindex.Report{Epoch: life, ClockMillis: 1, Changes: []partindex.Change{{Key: kept, Tokens: 50}}}
+	report := partindex.Report{Epoch: epoch, ClockMillis: 1, Changes: []partindex.Change{{Key: heldPart, Tokens: 50}}}
 	if s.listWithoutClock {
 		report.ClockMillis = 0
 	}
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// bubble runs a test with a watched store box and paused time.
-func bubble(t *testing.T, s *stores, mayFree bool, test func(g *WithT, fetches func() bool)) {
+// run runs a test with a watched store box and paused time.
+func run(t *testing.T, s *stores, mayFree bool, test func(g *WithT, fetches func() bool)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -103,11 +103,11 @@
 	})
 }
 
-// A store box that has nothing to tell answers when the wait is over, or a little
-// sooner; its word must not age meanwhile.
-func TestTheWordOfAnIdleStoreBoxStaysFresh(t *testing.T) {
+// A store box without changes answers when the wait is over, or slightly earlier. Its state must
+// not become stale in the meantime.
+func TestTheStateOfAnIdleStoreBoxStaysFresh(t *testing.T) {
 	for _, sooner := range []time.Duration{0, 10 * time.Millisecond} {
-		bubble(t, &stores{life: 1, answer: sooner}, false, func(g *WithT, fetches func() bool) {
+		run(t, &stores{epoch: 1, early: sooner}, false, func(g *WithT, fetches func() bool) {
 			time.Sleep(time.Second)
 			for range 1000 {
 				time.Sleep(10 * time.Millisecond)
@@ -117,9 +117,9 @@
 	}
 }
 
-func TestASilentStoreBoxIsNotFetchedFrom(t *testing.T) {
-	s := &stores{life: 1}
-	bubble(t, s, false, func(g *WithT, fetches func() bool) {
+func TestAnUnreachableStoreBoxIsNotFetchedFrom(t *testing.T) {
+	s := &stores{epoch: 1}
+	run(t, s, false, func(g *WithT, fetches func() bool) {
 		time.Sleep(time.Second)
 		s.set(func(s *stores) { s.down = true })
 		time.Sleep(1500 * time.Millisecond)
@@ -130,20 +130,20 @@
 	})
 }
 
-// A list does not tell the servers' clock. A box that has just started must not wait
-// for a held answer to learn it.
-func TestABoxThatStartsSoonFetches(t *testing.T) {
-	bubble(t, &stores{life: 1, listWithoutClock: true}, false, func(g *WithT, fetches func() bool) {
+// A list does not contain the servers' clock. A box that has just started must not wait for a
+// held answer to obtain it.
+func TestABoxFetchesSoonAfterItsStart(t *testing.T) {
+	run(t, &stores{epoch: 1, listWithoutClock: true}, false, func(g *WithT, fetches func() bool) {
 		time.Sleep(50 * time.Millisecond)
 		g.Expect(fetches()).To(BeTrue())
 	})
 }
 
-// A cut swallows questions: the one that is under way when it ends gets no answer.
-func TestAStoreBoxThatWasCutOffSoonCounts(t *testing.T) {
+// A network cut drops requests, so the poll in flight when the cut ends gets no answer.
+func TestAStoreBoxIsUsedSoonAfterACut(t *testing.T) {
 	for length := 5 * time.Second; length < 7*time.Second; length += 100 * time.Millisecond {
-		s := &stores{life: 1}
-		bubble(t, s, false, func(g *WithT, fetches func() bool) {
+		s := &stores{epoch: 1}
+		run(t, s, false, func(g *WithT, fetches func() bool) {
 			time.Sleep(time.Second)
 			s.set(func(s *stores) { s.cut = true })
 			time.Sleep(length)
@@ -155,11 +155,11 @@
 	}
 }
 
-func TestANewLifeIsListedAnew(t *testing.T) {
-	s := &stores{life: 1}
-	bubble(t, s, false, func(g *WithT, _ func() bool) {
+func TestANewEpochIsListed(t *testing.T) {
+	s := &stores{epoch: 1}
+	run(t, s, false, func(g *WithT, _ func() bool) {
 		time.Sleep(time.Second)
-		s.set(func(s *stores) { s.life = 2 })
+		s.set(func(s *stores) { s.epoch = 2 })
 		time.Sleep(3 * time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -167,14 +167,14 @@
 	})
 }
 
-// Events get lost, and none tells of parts that broke off, so even a store box that is
-// always there is listed now and then.
-func TestAStoreBoxIsListedNowAndThen(t *testing.T) {
-	s := &stores{life: 1}
-	bubble(t, s, false, func(g *WithT, fetches func() bool) {
+// Events get lost, and there are none for parts whose write was aborted, so a store box that is
+// always reachable is listed periodically as well.
+func TestAStoreBoxIsListedPeriodically(t *testing.T) {
+	s := &stores{epoch: 1}
+	run(t, s, false, func(g *WithT, fetches func() bool) {
 		for range 1000 {
 			time.Sleep(time.Second)
-			g.Expect(fetches()).To(BeTrue(), "meanwhile it is fetched from")
+			g.Expect(fetches()).To(BeTrue(), "fetches continue")
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -184,14 +184,15 @@
 
 func TestOnlyWhatMayBeFreedIsFreed(t *testing.T) {
 	for _, may := range []bool{true, false} {
-		s := &stores{life: 1}
-		bubble(t, s, may, func(g *WithT, _ func() bool) {
+		s := &stores{epoch: 1}
+		run(t, s, may, func(g *WithT, _ func() bool) {
 			time.Sleep(10 * time.Second)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if may {
-				// The stand-in tells of no part that goes, as when its events are lost.
-				g.Expect(s.freed).To(Equal([]partindex.Key{kept}), "once")
+				// The simulated store box sends no event for the freed part, as when events are
+				// lost.
+				g.Expect(s.freed).To(Equal([]partindex.Key{heldPart}), "once")
 			} else {
 				g.Expect(s.freed).To(BeEmpty())
 			}
