--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -1,5 +1,6 @@
-// What boxes tell each other. A word is all that is known of one request; words that changed
-// since what the other box has are told, in the order of their changes.
+// Exchange of records between boxes. A RequestRecord holds the complete record of one request.
+// Each box sends the records that changed since the generation that the other box has, in the
+// order of their changes.
 
 package quarantine
 
@@ -11,30 +12,30 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// mostWords bounds the requests of one message: some 100 bytes each.
-const mostWords = 64
+// maxRecordsPerMessage bounds the records in one message, at some 100 bytes each.
+const maxRecordsPerMessage = 64
 
-// RequestRecord tells of one request.
+// RequestRecord is the wire form of the record of one request.
 type RequestRecord struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+	_msgpack struct{} `msgpack:",as_array"` // field names would be half of the message
 
 	Request Request
 	Caller  uint64
 	Crashes []CrashRecord
 }
 
-// CrashRecord tells of a server that ended.
+// CrashRecord is the wire form of the crash of a server.
 type CrashRecord struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Incarnation uint64
-	// Age is how long ago, by the box that tells.
+	// Age is how long ago the crash was, by the clock of the sender.
 	Age     time.Duration
 	Excused bool
 }
 
-// ChangesSince gives what changed after a generation, at most mostWords of it, and the generation
-// that it leads to.
+// ChangesSince returns the records that changed after a generation, at most maxRecordsPerMessage,
+// and the generation up to which they are complete.
 func (s *Set) ChangesSince(since uint64) ([]RequestRecord, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,51 +43,51 @@
 		return nil, since
 	}
 	var changed []*record
-	for _, known := range s.records {
-		if known.changed > since {
-			changed = append(changed, known)
+	for _, entry := range s.records {
+		if entry.changed > since {
+			changed = append(changed, entry)
 		}
 	}
 	slices.SortFunc(changed, func(a, b *record) int { return cmp.Compare(a.changed, b.changed) })
 	next := s.generation
-	if len(changed) > mostWords {
-		changed = changed[:mostWords]
-		next = changed[mostWords-1].changed
+	if len(changed) > maxRecordsPerMessage {
+		changed = changed[:maxRecordsPerMessage]
+		next = changed[maxRecordsPerMessage-1].changed
 	}
 	now := boottime.Now()
-	words := make([]RequestRecord, len(changed))
-	for i, known := range changed {
-		words[i] = known.word(now)
+	records := make([]RequestRecord, len(changed))
+	for i, entry := range changed {
+		records[i] = entry.export(now)
 	}
-	return words, next
+	return records, next
 }
 
-func (r *record) word(now time.Time) RequestRecord {
-	word := RequestRecord{Request: r.request, Caller: r.caller, Crashes: make([]CrashRecord, len(r.ends))}
-	for i, e := range r.ends {
-		word.Crashes[i] = CrashRecord{Incarnation: e.life, Age: now.Sub(e.at), Excused: e.excused}
+func (r *record) export(now time.Time) RequestRecord {
+	exported := RequestRecord{Request: r.request, Caller: r.caller, Crashes: make([]CrashRecord, len(r.crashes))}
+	for i, e := range r.crashes {
+		exported.Crashes[i] = CrashRecord{Incarnation: e.incarnation, Age: now.Sub(e.at), Excused: e.excused}
 	}
-	return word
+	return exported
 }
 
-// Merge takes over what another box tells.
-func (s *Set) Merge(words []RequestRecord) {
+// Merge merges records from another box.
+func (s *Set) Merge(records []RequestRecord) {
 	now := boottime.Now()
-	for _, word := range words {
-		change, changed := s.hear(word, now)
+	for _, received := range records {
+		change, changed := s.mergeRecord(received, now)
 		if changed {
 			change.FromPeer = true
-			s.tellChanged(change)
+			s.notify(change)
 		}
 	}
 }
 
-func (s *Set) hear(word RequestRecord, now time.Time) (Change, bool) {
-	ends := make([]end, 0, min(len(word.Crashes), mostEnds))
-	for _, e := range word.Crashes[:min(len(word.Crashes), mostEnds)] {
-		ends = append(ends, end{life: e.Incarnation, at: now.Add(-max(e.Age, 0)), excused: e.Excused})
+func (s *Set) mergeRecord(received RequestRecord, now time.Time) (Change, bool) {
+	crashes := make([]crash, 0, min(len(received.Crashes), maxCrashes))
+	for _, e := range received.Crashes[:min(len(received.Crashes), maxCrashes)] {
+		crashes = append(crashes, crash{incarnation: e.Incarnation, at: now.Add(-max(e.Age, 0)), excused: e.Excused})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.join(word.Request, word.Caller, ends, now)
+	return s.merge(received.Request, received.Caller, crashes, now)
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,19 +1,20 @@
-// Package quarantine says which requests end the servers that run them, so that no server is
-// handed such a request again.
+// Package quarantine detects requests that crash the servers that run them, and holds them so
+// that no server gets such a request again.
 //
-// A server that ends takes along all calls that it was running, and only one of them may be to
-// blame. What tells that one from the others is what becomes of the same request elsewhere:
-// whoever is to blame ends each server, and whoever was beside it is served by the next. So a
-// request is held when three lives of servers ended under it and it was served by none since,
-// nor just before the first of them. A request that is served is believed again at once.
+// A server that crashes takes down all calls that it was running, of which only one may be the
+// cause. The outcome of the same request elsewhere tells them apart: the one that is the cause
+// crashes every server, while the others are served by the next server. A request is therefore
+// held when three incarnations of servers crashed under it and it was served neither since, nor
+// shortly before the first of these crashes. A request that is served is released at once.
 //
-// Boxes count together. What is told is never a number but a set: under which request which
-// life of a server ended, and whether that is excused. Sets are joined, so a word that comes
-// twice, late or by two ways changes nothing, and an end that is excused stays so.
+// Boxes count crashes together. They exchange sets instead of counts: under which request which
+// incarnation of a server crashed, and whether that crash is excused. Sets are merged by union,
+// so a message that arrives twice, late or by two paths changes nothing, and an excused crash
+// stays excused.
 //
-// All is kept in memory, and bounded. When all boxes start anew at once nothing is known, and
-// a request that was held ends three more servers. It would take the platform's log to
-// prevent that, which may be away just then.
+// All state is in memory and bounded. When all boxes restart at once it is lost, and a request
+// that was held crashes three more servers. Preventing that would require the platform's log,
+// which may be unavailable at that moment.
 package quarantine
 
 import (
@@ -24,95 +25,94 @@
 	"github.com/cometlock/cometlock/internal/fingerprint"
 )
 
-// HoldThreshold is how many servers end under a request until it is held. One and two may be
-// chance: a call of 0.3 s beside a request that ends one of 18 servers each second is cut off
-// with 2 in 100, three times in a row with 8 in a million.
+// HoldThreshold is how many servers must crash under a request before it is held. One or two may
+// be chance: a call of 0.3 s that runs next to a request that crashes one of 18 servers each
+// second is cut off with a probability of 2 in 100, and three times in a row with 8 in a million.
 const HoldThreshold = 3
 
 const (
-	// servedBefore is how long before an end a request counts as sound that was served: a page
-	// that everybody asks for is under way at several servers, which may end together.
-	servedBefore = 2 * time.Second
-	// triedAfter is how long after its last end a request that is held may be tried once, by
-	// one box; after each further end it is heldGrowth times as long. Three tries take two
-	// hours.
-	triedAfter = 5 * time.Minute
-	heldGrowth = 4
-	// longestHeld is when a request that is held is forgotten, and suspectFor when one is under
-	// which fewer servers ended.
-	longestHeld = 24 * time.Hour
-	suspectFor  = 10 * time.Minute
+	// servedGrace is how long after a request was served further crashes under it are excused. A
+	// page that many callers request is in flight at several servers, which may crash together.
+	servedGrace = 2 * time.Second
+	// firstRetryDelay is how long after its latest crash a held request may be tried once, by one
+	// box. Each further crash multiplies the delay by retryBackoff. Three tries take two hours.
+	firstRetryDelay = 5 * time.Minute
+	retryBackoff    = 4
+	// maxHold is when a held request is forgotten, and suspectTTL when a request with fewer crashes
+	// is.
+	maxHold    = 24 * time.Hour
+	suspectTTL = 10 * time.Minute
 )
 
-// Request names a request.
+// Request identifies a request.
 type Request = fingerprint.Fingerprint
 
-// Config sets up a Set.
+// Config configures a Set.
 type Config struct {
-	// MayRetry reports whether it is up to this box to try a request that has been held for
+	// MayRetry reports whether this box is the one that may try a request that has been held for
 	// long. Nil means never.
 	MayRetry func(Request) bool
-	// OnChange is told of each change of what is known of a request, outside of all locks; it
-	// may be nil.
+	// OnChange is called for each change in the state of a request, without any lock held; it may
+	// be nil.
 	OnChange func(Change)
 }
 
-// Change is a change of what is known of a request.
+// Change is a change in the state of a request.
 type Change struct {
 	Request Request
-	// Crashes counts the servers that ended under it and were not excused.
+	// Crashes is the number of crashes under the request that are not excused.
 	Crashes int
-	// Held says that the request is held from now on, and Released that it no longer is.
+	// Held reports that the request is held from now on, and Released that it no longer is.
 	Held     bool
 	Released bool
-	// FromPeer says that another box told it.
+	// FromPeer reports that the change was received from another box.
 	FromPeer bool
 }
 
-// Crash says that a life of a server ended under a request.
+// Crash is the crash of an incarnation of a server under a request.
 type Crash struct {
 	Request Request
-	// Caller is a number that stands for the request's caller.
+	// Caller is a number that identifies the request's caller.
 	Caller uint64
-	// Incarnation is a number that stands for the life of the server.
+	// Incarnation is a number that identifies the incarnation of the server.
 	Incarnation uint64
 }
 
-// Set is what a box knows of requests that end servers.
+// Set is the crash records of requests that a box has.
 type Set struct {
 	cfg Config
 
 	mu      sync.Mutex
 	records map[Request]*record
-	served  servedLately
-	// generation counts the changes that others are to be told.
+	served  recentlyServed
+	// generation counts the changes to send to other boxes.
 	generation uint64
 }
 
-// New makes a set that knows nothing.
+// New returns an empty set.
 func New(cfg Config) *Set {
 	return &Set{cfg: cfg, records: map[Request]*record{}}
 }
 
-// NoteCrash notes that a server ended under a request.
-func (s *Set) NoteCrash(ended Crash) {
-	change, changed := s.noteEnd(ended, boottime.Now())
+// NoteCrash records that a server crashed under a request.
+func (s *Set) NoteCrash(crash Crash) {
+	change, changed := s.noteCrash(crash, boottime.Now())
 	if changed {
-		s.tellChanged(change)
+		s.notify(change)
 	}
 }
 
-func (s *Set) noteEnd(ended Crash, now time.Time) (Change, bool) {
+func (s *Set) noteCrash(c Crash, now time.Time) (Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.join(ended.Request, ended.Caller, []end{{life: ended.Incarnation, at: now}}, now)
+	return s.merge(c.Request, c.Caller, []crash{{incarnation: c.Incarnation, at: now}}, now)
 }
 
-// NoteServed notes that a server ran a request to a good end.
+// NoteServed records that a server completed a request.
 func (s *Set) NoteServed(request Request) {
 	change, changed := s.noteServed(request, boottime.Now())
 	if changed {
-		s.tellChanged(change)
+		s.notify(change)
 	}
 }
 
@@ -120,26 +120,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served.note(request, now)
-	known := s.records[request]
-	if known == nil || known.count() == 0 {
+	entry := s.records[request]
+	if entry == nil || entry.count() == 0 {
 		return Change{}, false
 	}
-	held := known.held()
-	known.excuseUntil(now)
-	s.post(known)
+	held := entry.held()
+	entry.excuseUntil(now)
+	s.markChanged(entry)
 	return Change{Request: request, Released: held}, true
 }
 
-// join takes over ends under a request. The caller holds mu.
-func (s *Set) join(request fingerprint.Fingerprint, caller uint64, ends []end, now time.Time) (Change, bool) {
-	known := s.records[request]
-	if known == nil || known.over(now) {
+// merge adds crashes to the record of a request. The caller holds mu.
+func (s *Set) merge(request fingerprint.Fingerprint, caller uint64, crashes []crash, now time.Time) (Change, bool) {
+	entry := s.records[request]
+	if entry == nil || entry.expired(now) {
 		delete(s.records, request)
-		known = &record{request: request, caller: caller}
+		entry = &record{request: request, caller: caller}
 	}
-	before, changed := known.count(), false
-	for _, next := range ends {
-		if now.Sub(next.at) < longestHeld && known.add(next) {
+	before, changed := entry.count(), false
+	for _, c := range crashes {
+		if now.Sub(c.at) < maxHold && entry.add(c) {
 			changed = true
 		}
 	}
@@ -147,91 +147,91 @@
 		return Change{}, false
 	}
 	if at := s.served.last(request, now); !at.IsZero() {
-		known.excuseUntil(at.Add(servedBefore))
+		entry.excuseUntil(at.Add(servedGrace))
 	}
 	if s.records[request] == nil {
 		s.makeRoom(now)
-		s.records[request] = known
+		s.records[request] = entry
 	}
-	s.post(known)
-	after := known.count()
+	s.markChanged(entry)
+	after := entry.count()
 	return Change{Request: request, Crashes: after, Held: before < HoldThreshold && after >= HoldThreshold, Released: before >= HoldThreshold && after < HoldThreshold}, true
 }
 
-// post has the others told of a record. The caller holds mu.
-func (s *Set) post(known *record) {
+// markChanged marks a record to be sent to other boxes. The caller holds mu.
+func (s *Set) markChanged(entry *record) {
 	s.generation++
-	known.changed = s.generation
+	entry.changed = s.generation
 }
 
-// Admit reports whether a request may be handed to a server, and for how long it is held
-// otherwise. One that has been held for long enough is admitted once, by the box whose turn
-// that is.
+// Admit reports whether a request may be sent to a server, and otherwise for how long it is held.
+// A request that has been held for long enough is admitted once, by the box that may retry it.
 func (s *Set) Admit(request Request) (heldFor time.Duration, admitted bool) {
 	left, held := s.HeldFor(request)
 	if !held || left > 0 {
 		return left, !held
 	}
 	if s.cfg.MayRetry == nil || !s.cfg.MayRetry(request) {
-		return triedAfter, false
+		return firstRetryDelay, false
 	}
-	return s.try(request)
+	return s.admitRetry(request)
 }
 
-// HeldFor reports whether a request is held, and for how much longer; for no longer when one
+// HeldFor reports whether a request is held, and for how much longer; the time is zero when one
 // box may try it.
 func (s *Set) HeldFor(request Request) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.records[request]
-	if known == nil || !known.held() {
+	entry := s.records[request]
+	if entry == nil || !entry.held() {
 		return 0, false
 	}
-	return max(boottime.Until(known.heldUntil()), 0), true
+	return max(boottime.Until(entry.heldUntil()), 0), true
 }
 
-// try admits a request that may be tried, once. Until it has told anything the next try is as
-// far away again.
-func (s *Set) try(request Request) (heldFor time.Duration, admitted bool) {
+// admitRetry admits a held request once if it may be tried. Until the outcome is known, the next
+// try is delayed by the same time again.
+func (s *Set) admitRetry(request Request) (heldFor time.Duration, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, now := s.records[request], boottime.Now()
-	if known == nil || !known.held() {
+	entry, now := s.records[request], boottime.Now()
+	if entry == nil || !entry.held() {
 		return 0, true
 	}
-	if left := known.heldUntil().Sub(now); left > 0 {
-		return left, false // another call was admitted meanwhile
+	if left := entry.heldUntil().Sub(now); left > 0 {
+		return left, false // another call was admitted in the meantime
 	}
-	known.triedAt = now
+	entry.triedAt = now
 	return 0, true
 }
 
-// Crashes counts the servers that ended under a request and were not excused.
+// Crashes returns the number of crashes under a request that are not excused.
 func (s *Set) Crashes(request Request) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.records[request]; known != nil {
-		return known.count()
+	if entry := s.records[request]; entry != nil {
+		return entry.count()
 	}
 	return 0
 }
 
-// Counts says how many requests are held, and how many others are remembered.
+// Counts returns how many requests are held, and how many others have crashes that are not
+// excused.
 func (s *Set) Counts() (held, suspected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, known := range s.records {
+	for _, entry := range s.records {
 		switch {
-		case known.held():
+		case entry.held():
 			held++
-		case known.count() > 0:
+		case entry.count() > 0:
 			suspected++
 		}
 	}
 	return held, suspected
 }
 
-func (s *Set) tellChanged(change Change) {
+func (s *Set) notify(change Change) {
 	if s.cfg.OnChange != nil {
 		s.cfg.OnChange(change)
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -14,7 +14,7 @@
 	"github.com/cometlock/cometlock/internal/quarantine"
 )
 
-// Times that the promises name.
+// Retry delays that the package guarantees.
 const (
 	firstTry = 5 * time.Minute
 	second   = time.Second
@@ -24,10 +24,10 @@
 	return fingerprint.Of(fingerprint.Request{Target: name})
 }
 
-// end notes that some lives of servers ended under a request.
-func end(s *quarantine.Set, name string, lives ...uint64) {
-	for _, life := range lives {
-		s.NoteCrash(quarantine.Crash{Request: request(name), Caller: 1, Incarnation: life})
+// crash records that some incarnations of servers crashed under a request.
+func crash(s *quarantine.Set, name string, incarnations ...uint64) {
+	for _, incarnation := range incarnations {
+		s.NoteCrash(quarantine.Crash{Request: request(name), Caller: 1, Incarnation: incarnation})
 	}
 }
 
@@ -36,12 +36,12 @@
 	return isHeld
 }
 
-// tell has a box hear all that another knows.
-func tell(from, to *quarantine.Set) {
+// send merges everything that one box has into another.
+func send(from, to *quarantine.Set) {
 	for since := uint64(0); ; {
-		words, next := from.ChangesSince(since)
-		to.Merge(words)
-		if next == since || len(words) == 0 {
+		records, next := from.ChangesSince(since)
+		to.Merge(records)
+		if next == since || len(records) == 0 {
 			return
 		}
 		since = next
@@ -55,40 +55,40 @@
 		held  bool
 		count int
 	}{
-		{"one under which two servers ended", func(s *quarantine.Set) { end(s, "r", 1, 2) }, false, 2},
-		{"one under which three ended", func(s *quarantine.Set) { end(s, "r", 1, 2, 3) }, true, 3},
-		{"one of whose calls ran three times in a life that ended", func(s *quarantine.Set) { end(s, "r", 1, 1, 1, 2) }, false, 2},
-		{"one that is served between the ends", func(s *quarantine.Set) {
-			end(s, "r", 1, 2)
+		{"two servers crashed under it", func(s *quarantine.Set) { crash(s, "r", 1, 2) }, false, 2},
+		{"three servers crashed under it", func(s *quarantine.Set) { crash(s, "r", 1, 2, 3) }, true, 3},
+		{"three of its calls ran on one incarnation that crashed", func(s *quarantine.Set) { crash(s, "r", 1, 1, 1, 2) }, false, 2},
+		{"served between the crashes", func(s *quarantine.Set) {
+			crash(s, "r", 1, 2)
 			s.NoteServed(request("r"))
 			time.Sleep(3 * second)
-			end(s, "r", 3)
+			crash(s, "r", 3)
 		}, false, 1},
-		{"one that is served after the ends", func(s *quarantine.Set) {
-			end(s, "r", 1, 2, 3)
+		{"served after the crashes", func(s *quarantine.Set) {
+			crash(s, "r", 1, 2, 3)
 			s.NoteServed(request("r"))
 		}, false, 0},
-		{"a page that everybody asks for, under way at servers that end together", func(s *quarantine.Set) {
+		{"a popular page in flight at servers that crash together", func(s *quarantine.Set) {
 			s.NoteServed(request("r"))
 			time.Sleep(second)
-			end(s, "r", 1, 2, 3, 4)
+			crash(s, "r", 1, 2, 3, 4)
 		}, false, 0},
-		{"one that was served until lately and ends servers since", func(s *quarantine.Set) {
+		{"served until recently, and crashes servers since", func(s *quarantine.Set) {
 			s.NoteServed(request("r"))
 			time.Sleep(3 * second)
-			end(s, "r", 1, 2, 3)
+			crash(s, "r", 1, 2, 3)
 		}, true, 3},
-		{"one that was served, and the ends came in the seconds after", func(s *quarantine.Set) {
+		{"served, and servers crash in the seconds after that", func(s *quarantine.Set) {
 			s.NoteServed(request("r"))
-			for life := range uint64(6) {
+			for incarnation := range uint64(6) {
 				time.Sleep(second)
-				end(s, "r", life)
+				crash(s, "r", incarnation)
 			}
 		}, true, 4},
-		{"another one than that under which servers ended", func(s *quarantine.Set) { end(s, "other", 1, 2, 3) }, false, 0},
-		{"one whose ends lie far apart", func(s *quarantine.Set) {
-			for life := range uint64(3) {
-				end(s, "r", life)
+		{"servers crashed under another request", func(s *quarantine.Set) { crash(s, "other", 1, 2, 3) }, false, 0},
+		{"crashes far apart", func(s *quarantine.Set) {
+			for incarnation := range uint64(3) {
+				crash(s, "r", incarnation)
 				time.Sleep(time.Minute)
 			}
 		}, true, 3},
@@ -106,30 +106,30 @@
 	}
 }
 
-// A request that is held may be sound again: other software may run, or chance was to blame.
-// One box tries it, once, and each further end makes the next try later. Three tries take two
+// A held request may be harmless by now: other software may be running, or it was held by chance.
+// One box tries it, once, and each further crash makes the next try later. Three tries take two
 // hours.
-func TestARequestThatIsHeldIsTriedSeldomAndByOneBox(t *testing.T) {
+func TestAHeldRequestIsRetriedRarelyAndByOneBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ours := quarantine.New(quarantine.Config{MayRetry: func(quarantine.Request) bool { return true }})
 		theirs := quarantine.New(quarantine.Config{MayRetry: func(quarantine.Request) bool { return false }})
-		end(ours, "r", 1, 2, 3)
-		tell(ours, theirs)
+		crash(ours, "r", 1, 2, 3)
+		send(ours, theirs)
 		left, admitted := ours.Admit(request("r"))
 		g.Expect(admitted).To(BeFalse())
 		g.Expect(left).To(Equal(firstTry))
 		wait := firstTry
-		for life := uint64(4); life < 7; life++ {
+		for incarnation := uint64(4); incarnation < 7; incarnation++ {
 			time.Sleep(wait)
 			_, admitted = theirs.Admit(request("r"))
-			g.Expect(admitted).To(BeFalse(), "it is up to the other box")
+			g.Expect(admitted).To(BeFalse(), "the other box retries it")
 			_, admitted = ours.Admit(request("r"))
 			g.Expect(admitted).To(BeTrue())
 			_, admitted = ours.Admit(request("r"))
 			g.Expect(admitted).To(BeFalse(), "once")
-			end(ours, "r", life)
-			tell(ours, theirs)
+			crash(ours, "r", incarnation)
+			send(ours, theirs)
 			wait *= 4
 			left, _ = ours.HeldFor(request("r"))
 			g.Expect(left).To(Equal(wait))
@@ -138,23 +138,23 @@
 		_, admitted = ours.Admit(request("r"))
 		g.Expect(admitted).To(BeTrue())
 		ours.NoteServed(request("r"))
-		tell(ours, theirs)
+		send(ours, theirs)
 		_, admitted = theirs.Admit(request("r"))
 		g.Expect(admitted).To(BeTrue(), "it was served")
 	})
 }
 
-// One caller can make up as many requests as it likes. They take no room from what is known
-// of other callers' requests, and there is a bound to all.
-func TestAFloodOfOneCallersRequestsPushesOutNoOthers(t *testing.T) {
+// One caller can make up any number of requests. They must not evict the records of other
+// callers' requests, and the total is bounded.
+func TestAFloodOfOneCallersRequestsEvictsNoOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := quarantine.New(quarantine.Config{})
-		end(s, "r", 1, 2, 3)
+		crash(s, "r", 1, 2, 3)
 		for number := range uint64(5000) {
 			name := fmt.Sprint("flood-", number)
-			for life := range uint64(3) {
-				s.NoteCrash(quarantine.Crash{Request: request(name), Caller: 2, Incarnation: life})
+			for incarnation := range uint64(3) {
+				s.NoteCrash(quarantine.Crash{Request: request(name), Caller: 2, Incarnation: incarnation})
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -165,21 +165,22 @@
 	})
 }
 
-// Requests beside those that end servers are forgotten after a while.
-func TestWhatWasBesideIsForgotten(t *testing.T) {
+// Requests that ran next to one that crashes servers are forgotten after a while.
+func TestRequestsWithFewCrashesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := quarantine.New(quarantine.Config{})
-		end(s, "r", 1, 2)
+		crash(s, "r", 1, 2)
 		time.Sleep(11 * time.Minute)
-		end(s, "r", 3)
+		crash(s, "r", 3)
 		g.Expect(held(s, "r")).To(BeFalse())
 	})
 }
 
-// Whatever boxes hear, in which order and how often, those that have heard all agree, count no
-// end twice, and hold what ended three servers and was served by none.
-func TestBoxesAgreeWhateverTheOrderOfWords(t *testing.T) {
+// Whatever messages boxes receive, in any order and any number of times, boxes that have received
+// all of them agree. They count no crash twice, and hold a request that crashed three servers and
+// was never served.
+func TestBoxesAgreeInAnyOrderOfMessages(t *testing.T) {
 	for seed := range uint64(200) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
@@ -190,47 +191,47 @@
 			}
 			box := func() *quarantine.Set { return boxes[random.IntN(len(boxes))] }
 			names := []string{"guilty", "beside"}
-			ended := map[string]map[uint64]bool{"guilty": {}, "beside": {}}
+			crashed := map[string]map[uint64]bool{"guilty": {}, "beside": {}}
 			for range 60 {
 				name := names[random.IntN(2)]
 				switch random.IntN(5) {
 				case 0:
-					life := random.Uint64N(6)
-					ended[name][life] = true
-					end(box(), name, life)
+					incarnation := random.Uint64N(6)
+					crashed[name][incarnation] = true
+					crash(box(), name, incarnation)
 				case 1:
 					box().NoteServed(request("beside"))
 				default:
-					tell(box(), box())
+					send(box(), box())
 				}
 				time.Sleep(time.Duration(random.IntN(int(second))))
 			}
 			for range len(boxes) {
 				for i := range boxes {
-					tell(boxes[i], boxes[(i+1)%len(boxes)])
+					send(boxes[i], boxes[(i+1)%len(boxes)])
 				}
 			}
 			for _, b := range boxes {
-				g.Expect(b.Crashes(request("guilty"))).To(Equal(len(ended["guilty"])), "seed %d", seed)
-				g.Expect(held(b, "guilty")).To(Equal(len(ended["guilty"]) >= quarantine.HoldThreshold), "seed %d", seed)
+				g.Expect(b.Crashes(request("guilty"))).To(Equal(len(crashed["guilty"])), "seed %d", seed)
+				g.Expect(held(b, "guilty")).To(Equal(len(crashed["guilty"]) >= quarantine.HoldThreshold), "seed %d", seed)
 				g.Expect(b.Crashes(request("beside"))).To(Equal(boxes[0].Crashes(request("beside"))), "seed %d", seed)
-				g.Expect(b.Crashes(request("beside"))).To(BeNumerically("<=", len(ended["beside"])), "seed %d", seed)
+				g.Expect(b.Crashes(request("beside"))).To(BeNumerically("<=", len(crashed["beside"])), "seed %d", seed)
 			}
 		})
 	}
 }
 
-// Changes are told so that others can act on them at once.
-func TestChangesAreTold(t *testing.T) {
+// Changes are reported so that the caller can act on them at once.
+func TestChangesAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var changes []quarantine.Change
 		s := quarantine.New(quarantine.Config{OnChange: func(change quarantine.Change) { changes = append(changes, change) }})
 		other := quarantine.New(quarantine.Config{})
-		end(s, "r", 1, 1, 2)
-		end(other, "r", 3)
-		tell(other, s)
-		tell(other, s)
+		crash(s, "r", 1, 1, 2)
+		crash(other, "r", 3)
+		send(other, s)
+		send(other, s)
 		s.NoteServed(request("r"))
 		g.Expect(changes).To(Equal([]quarantine.Change{
 			{Request: request("r"), Crashes: 1},
@@ -241,34 +242,33 @@
 	})
 }
 
-// Only what changed is told, and a message holds a bounded part of it.
-func TestOnlyChangesAreTold(t *testing.T) {
+// Only changes are sent, and the size of a message is bounded.
+func TestOnlyChangesAreSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := quarantine.New(quarantine.Config{})
-		words, next := s.ChangesSince(0)
-		g.Expect(words).To(BeEmpty())
+		records, next := s.ChangesSince(0)
+		g.Expect(records).To(BeEmpty())
 		for number := range uint64(100) {
-			end(s, fmt.Sprint(number), 1)
+			crash(s, fmt.Sprint(number), 1)
 		}
-		words, next = s.ChangesSince(next)
-		g.Expect(len(words)).To(BeNumerically("<", 100))
+		records, next = s.ChangesSince(next)
+		g.Expect(len(records)).To(BeNumerically("<", 100))
 		rest, last := s.ChangesSince(next)
-		g.Expect(len(words) + len(rest)).To(Equal(100))
+		g.Expect(len(records) + len(rest)).To(Equal(100))
 		again, _ := s.ChangesSince(last)
 		g.Expect(again).To(BeEmpty())
-		end(s, "7", 2)
+		crash(s, "7", 2)
 		again, _ = s.ChangesSince(last)
 		g.Expect(again).To(HaveLen(1))
 	})
 }
 
-// BenchmarkServed is what each call that is served costs, in a box that remembers many
-// requests.
+// BenchmarkServed measures the cost of each served call in a box that has many records.
 func BenchmarkServed(b *testing.B) {
 	s := quarantine.New(quarantine.Config{})
 	for number := range uint64(1000) {
-		end(s, fmt.Sprint(number), 1)
+		crash(s, fmt.Sprint(number), 1)
 	}
 	var each quarantine.Request
 	for number := uint64(0); b.Loop(); number++ {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -1,4 +1,4 @@
-// What is kept of one request, and which requests are forgotten when there are too many.
+// The crash record of a request, and the eviction of records when there are too many.
 
 package quarantine
 
@@ -9,65 +9,64 @@
 )
 
 const (
-	// mostRecords bounds the requests that are remembered. A server that ends takes some ten
-	// calls along, and each of them is one.
-	mostRecords = 1024
-	// mostEnds bounds the ends that are remembered of one request; with more, the earliest
-	// are forgotten.
-	mostEnds = 8
+	// maxRecords bounds the number of records. A server that crashes takes down some ten calls, and
+	// each of them gets a record.
+	maxRecords = 1024
+	// maxCrashes bounds the crashes in one record; above that the earliest are dropped.
+	maxCrashes = 8
 )
 
-// end is the end of a life of a server under a request.
-type end struct {
-	life uint64
-	at   time.Time
-	// excused says that the request was served about then or later.
+// crash is the crash of an incarnation of a server under a request.
+type crash struct {
+	incarnation uint64
+	at          time.Time
+	// excused reports that the request was served at about that time or later.
 	excused bool
 }
 
-// record is what is known of one request.
+// record is the crash record of one request.
 type record struct {
 	request Request
 	caller  uint64
-	ends    []end
+	crashes []crash
 	// triedAt is when this box tried the request again.
 	triedAt time.Time
-	// changed is the generation of the last change.
+	// changed is the generation of the latest change.
 	changed uint64
 }
 
-// add takes over an end, and reports whether that is news.
-func (r *record) add(next end) bool {
-	at := slices.IndexFunc(r.ends, func(e end) bool { return e.life == next.life })
+// add adds a crash, and reports whether that changes the record.
+func (r *record) add(c crash) bool {
+	at := slices.IndexFunc(r.crashes, func(e crash) bool { return e.incarnation == c.incarnation })
 	if at >= 0 {
-		news := next.excused && !r.ends[at].excused
-		r.ends[at].excused = r.ends[at].excused || next.excused
-		return news
+		changed := c.excused && !r.crashes[at].excused
+		r.crashes[at].excused = r.crashes[at].excused || c.excused
+		return changed
 	}
-	if len(r.ends) >= mostEnds {
-		if next.at.Before(r.ends[0].at) {
+	if len(r.crashes) >= maxCrashes {
+		if c.at.Before(r.crashes[0].at) {
 			return false
 		}
-		r.ends = slices.Delete(r.ends, 0, 1)
+		r.crashes = slices.Delete(r.crashes, 0, 1)
 	}
-	r.ends = append(r.ends, next)
-	slices.SortStableFunc(r.ends, func(a, b end) int { return a.at.Compare(b.at) })
+	r.crashes = append(r.crashes, c)
+	slices.SortStableFunc(r.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 	return true
 }
 
-// excuseUntil excuses the ends up to a moment.
+// excuseUntil excuses the crashes up to a given time.
 func (r *record) excuseUntil(moment time.Time) {
-	for i := range r.ends {
-		if !r.ends[i].at.After(moment) {
-			r.ends[i].excused = true
+	for i := range r.crashes {
+		if !r.crashes[i].at.After(moment) {
+			r.crashes[i].excused = true
 		}
 	}
 }
 
-// count counts the ends that are not excused.
+// count returns the number of crashes that are not excused.
 func (r *record) count() int {
 	count := 0
-	for _, e := range r.ends {
+	for _, e := range r.crashes {
 		if !e.excused {
 			count++
 		}
@@ -77,86 +76,86 @@
 
 func (r *record) held() bool { return r.count() >= HoldThreshold }
 
-// lastAt is when a server last ended under the request, or it was tried again.
+// lastAt returns the time of the latest crash, or of the latest try if that is later.
 func (r *record) lastAt() time.Time {
 	last := r.triedAt
-	if n := len(r.ends); n > 0 && r.ends[n-1].at.After(last) {
-		last = r.ends[n-1].at
+	if n := len(r.crashes); n > 0 && r.crashes[n-1].at.After(last) {
+		last = r.crashes[n-1].at
 	}
 	return last
 }
 
-// heldUntil is when a request that is held may be tried again.
+// heldUntil returns when a held request may be tried again.
 func (r *record) heldUntil() time.Time {
-	length := triedAfter
+	length := firstRetryDelay
 	for range r.count() - HoldThreshold {
-		length = min(heldGrowth*length, longestHeld)
+		length = min(retryBackoff*length, maxHold)
 	}
 	return r.lastAt().Add(length)
 }
 
-// over reports whether the record says nothing any more.
-func (r *record) over(now time.Time) bool {
+// expired reports whether the record no longer has any effect.
+func (r *record) expired(now time.Time) bool {
 	age := now.Sub(r.lastAt())
-	return age > longestHeld || age > suspectFor && !r.held()
+	return age > maxHold || age > suspectTTL && !r.held()
 }
 
-// makeRoom forgets what is over and, where that is not enough, a record of the caller with
-// the most of them, so that a flood of one caller's requests pushes out no other's: of these
-// the one with the fewest ends, and the oldest. The caller holds mu.
+// makeRoom removes expired records and, if that is not enough, evicts one record of the caller
+// with the most records: the one with the fewest crashes, and among those the oldest. A flood of
+// one caller's requests thereby evicts no records of others. The caller holds mu.
 func (s *Set) makeRoom(now time.Time) {
-	if len(s.records) < mostRecords {
+	if len(s.records) < maxRecords {
 		return
 	}
 	byCaller := map[uint64]int{}
-	for request, known := range s.records {
-		if known.over(now) {
+	for request, entry := range s.records {
+		if entry.expired(now) {
 			delete(s.records, request)
 			continue
 		}
-		byCaller[known.caller]++
+		byCaller[entry.caller]++
 	}
-	if len(s.records) < mostRecords {
+	if len(s.records) < maxRecords {
 		return
 	}
-	first := func(a, b *record) int {
+	evictFirst := func(a, b *record) int {
 		return cmp.Or(-cmp.Compare(byCaller[a.caller], byCaller[b.caller]), cmp.Compare(a.count(), b.count()), a.lastAt().Compare(b.lastAt()))
 	}
 	var victim *record
-	for _, known := range s.records {
-		if victim == nil || first(known, victim) < 0 {
-			victim = known
+	for _, entry := range s.records {
+		if victim == nil || evictFirst(entry, victim) < 0 {
+			victim = entry
 		}
 	}
 	delete(s.records, victim.request)
 }
 
-// mostServed bounds the requests that are remembered as served in each half of servedBefore.
-const mostServed = 4096
+// maxServed bounds the requests in each of the two maps of recentlyServed.
+const maxServed = 4096
 
-// servedLately remembers which requests were served lately.
-type servedLately struct {
-	now, before map[Request]time.Time
-	// since is when now was begun.
+// recentlyServed records which requests were served recently.
+type recentlyServed struct {
+	current, previous map[Request]time.Time
+	// since is when current was started.
 	since time.Time
 }
 
-func (s *servedLately) note(request Request, now time.Time) {
-	if now.Sub(s.since) > servedBefore {
-		s.before, s.now, s.since = s.now, map[Request]time.Time{}, now
+func (s *recentlyServed) note(request Request, now time.Time) {
+	if now.Sub(s.since) > servedGrace {
+		s.previous, s.current, s.since = s.current, map[Request]time.Time{}, now
 	}
-	if _, there := s.now[request]; there || len(s.now) < mostServed {
-		s.now[request] = now
+	if _, there := s.current[request]; there || len(s.current) < maxServed {
+		s.current[request] = now
 	}
 }
 
-// last gives when a request was last served; zero when that is long ago.
-func (s *servedLately) last(request Request, now time.Time) time.Time {
-	at, found := s.now[request]
+// last returns when a request was last served, or zero if that was long ago.
+func (s *recentlyServed) last(request Request, now time.Time) time.Time {
+	at, found := s.current[request]
 	if !found {
-		at = s.before[request]
+		at = s.previous[request]
 	}
-	if now.Sub(at) > 2*servedBefore {
+	if now.Sub(at) > 2*servedGrace {
 		return time.Time{}
 	}
 	return at
