--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -1,17 +1,19 @@
-// Package crash tells whether a server that broke off a call has ended without a word.
+// Package crash detects whether a server that broke off a call has crashed.
 //
-// A call breaks off for many reasons: a connection is reset, a link is cut, a planned stop
-// ends it, an answer cannot be read. Only one of them is the server's own end, and two things
-// prove it. At once: the server's address refuses a new connection, while another server of its
-// zone takes one, so its machine is there and the process is not. Later: the registry names
-// another life of the server, or another server at its address. Neither counts for a server
-// that was to end, as its entry said, and a server that merely cannot be reached proves nothing.
+// A call can break off for many reasons: a connection is reset, a link is cut, a planned stop
+// ends it, an answer cannot be read. Only one of them is a crash of the server, and there are two
+// proofs of that. The first is available at once: the server's address refuses a new connection
+// while another server of its zone accepts one, so the machine is reachable and the process is
+// gone. The second comes later: the registry lists another incarnation of the server, or another
+// server at its address. Neither counts for a server whose entry announced that it would stop,
+// and a server that is merely unreachable proves nothing.
 //
-// The other server is asked since a cut between zones may refuse connections, too: two boxes of
-// a zone that was cut off took 14 living servers each for ended, and held a request for it.
+// The other server is probed because a network cut between zones may refuse connections as well:
+// two boxes of a zone that was cut off each took 14 running servers for crashed, and held a
+// request for it.
 //
-// The second proof is for a server that is back before the first is looked for, or a box that
-// comes late to look.
+// The second proof covers a server that restarted before the first proof was sought, and a box
+// that sought it late.
 package crash
 
 import (
@@ -31,207 +33,210 @@
 )
 
 const (
-	// lookEvery is the time between two looks at what the registry says of servers that broke
-	// off calls, and lookFor how long it is looked at: an entry goes after three heartbeats,
-	// and is read within a second.
-	lookEvery = 250 * time.Millisecond
-	lookFor   = 6 * time.Second
-	// rememberFor is how long a server that has ended is remembered, so that it is asked once
-	// and not for each call that it took along. It may be back soon, in a life that does not
-	// tell itself from the one before.
-	rememberFor = 2 * time.Second
-	// mostLosses bounds the calls for which the registry is looked at; more come only of an
-	// outage, which ends no servers.
-	mostLosses = 512
+	// registryInterval is the time between two checks of the registry for servers that broke off
+	// calls, and registryWatch how long they are checked. An entry is removed after three missed
+	// heartbeats, and that is read within a second.
+	registryInterval = 250 * time.Millisecond
+	registryWatch    = 6 * time.Second
+	// crashCacheFor is how long the result for a crashed server is cached, so that it is probed
+	// once and not for each call that it took down. It may be back soon, in an incarnation that
+	// cannot be told apart from the previous one.
+	crashCacheFor = 2 * time.Second
+	// maxUnresolved bounds the calls for which the registry is checked. More of them come only from
+	// a network outage, which crashes no servers.
+	maxUnresolved = 512
 )
 
 // BrokenCall is a call that broke off.
 type BrokenCall struct {
 	Server fleet.Server
-	// Request is what the call asked, Caller stands for who asked it.
+	// Request identifies the request of the call, and Caller its caller.
 	Request fingerprint.Fingerprint
 	Caller  uint64
 }
 
-// Config sets up a Detector.
+// Config configures a Detector.
 type Config struct {
 	Logger zerolog.Logger
-	// Connect connects to an address, and gives the system's error if it cannot.
+	// Connect connects to an address, and returns the error of the operating system if that fails.
 	Connect func(ctx context.Context, address string) error
-	// Neighbours gives the addresses of other servers that are reached as a server is, the likeliest
-	// first. Nil is for servers of the box's own zone alone, where no cut lies between.
+	// Neighbours returns the addresses of other servers on the same network path as a server, the
+	// most likely to be running first. Nil is for servers in the box's own zone only, where no cut
+	// can lie between.
 	Neighbours func(server fleet.Server) []string
-	// Fate says what the registry knows of a life of a server.
+	// Fate returns the state of an incarnation of a server in the registry.
 	Fate func(incarnation string) fleet.Fate
-	// OnCrash is told of each call under which a server ended.
+	// OnCrash is called for each call under which a server crashed.
 	OnCrash func(BrokenCall)
 }
 
-// Detector tells crashes.
+// Detector detects crashes of servers.
 type Detector struct {
 	cfg Config
 
 	mu sync.Mutex
-	// lives are those that were asked about lately.
-	lives map[string]*life
-	// open are losses of which nothing is proved.
-	open  []openLoss
-	added waiting.Signal
+	// probes holds recent probes, by incarnation.
+	probes map[string]*probe
+	// unresolved holds the calls whose server is not known to have crashed.
+	unresolved []unresolvedCall
+	added      waiting.Signal
 }
 
-// life is what is known of a life of a server that broke off a call.
-type life struct {
-	askedAt time.Time
-	// asked is closed when it is known whether the server refuses connections.
-	asked chan struct{}
-	ended bool
+// probe is a connection attempt to a server that broke off a call, and its result.
+type probe struct {
+	startedAt time.Time
+	// done is closed when the result is known.
+	done    chan struct{}
+	crashed bool
 }
 
-type openLoss struct {
+type unresolvedCall struct {
 	BrokenCall
 	until time.Time
 }
 
-// New makes a detector.
-func New(cfg Config) *Detector { return &Detector{cfg: cfg, lives: map[string]*life{}} }
+// New returns a detector.
+func New(cfg Config) *Detector { return &Detector{cfg: cfg, probes: map[string]*probe{}} }
 
-// Check reports whether the server of a call that broke off has ended. What is not known now
-// may be found out later; either way OnCrash is told.
-func (d *Detector) Check(ctx context.Context, loss BrokenCall) bool {
-	if d.cfg.Fate(loss.Server.Incarnation) == fleet.FateLeft {
+// Check reports whether the server of a call that broke off has crashed. What is not known yet
+// may be detected later; in both cases OnCrash is called.
+func (d *Detector) Check(ctx context.Context, call BrokenCall) bool {
+	if d.cfg.Fate(call.Server.Incarnation) == fleet.FateLeft {
 		return false
 	}
-	if d.ended(ctx, loss.Server) {
-		d.cfg.OnCrash(loss)
+	if d.hasCrashed(ctx, call.Server) {
+		d.cfg.OnCrash(call)
 		return true
 	}
-	d.lookLater(loss)
+	d.watchRegistry(call)
 	return false
 }
 
-// ended asks a server whether it has ended, once for all calls that it broke off at a time.
-func (d *Detector) ended(ctx context.Context, server fleet.Server) bool {
-	known, first := d.life(server.Incarnation)
+// hasCrashed probes whether a server has crashed, once for all calls that it broke off at the
+// same time.
+func (d *Detector) hasCrashed(ctx context.Context, server fleet.Server) bool {
+	result, first := d.probe(server.Incarnation)
 	if first {
-		known.ended = d.refuses(context.WithoutCancel(ctx), server) // for all, whoever leaves
-		close(known.asked)
-		if known.ended {
+		result.crashed = d.refusesConnections(context.WithoutCancel(ctx), server) // shared by all callers, whichever of them leaves
+		close(result.done)
+		if result.crashed {
 			d.cfg.Logger.Warn().Str("server", server.Incarnation).Str("service", server.Service).Str("address", server.Address).Str("proof", "refused").Msg("server_crashed")
 		}
-		return known.ended
+		return result.crashed
 	}
 	select {
-	case <-known.asked:
-		return known.ended
+	case <-result.done:
+		return result.crashed
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// mostNear bounds the other servers that are asked: one that answers is enough, and some may have
-// ended as well.
-const mostNear = 3
+// maxNeighbours bounds the other servers that are probed: one that accepts is enough, and some
+// may have crashed as well.
+const maxNeighbours = 3
 
-// refuses reports whether a server refuses connections that others of its zone take.
-func (d *Detector) refuses(ctx context.Context, server fleet.Server) bool {
+// refusesConnections reports whether a server refuses connections while another one of its zone
+// accepts them.
+func (d *Detector) refusesConnections(ctx context.Context, server fleet.Server) bool {
 	if err := d.cfg.Connect(ctx, server.Address); !errors.Is(err, syscall.ECONNREFUSED) {
 		return false
 	}
 	if d.cfg.Neighbours == nil {
 		return true
 	}
-	near := d.cfg.Neighbours(server)
-	return slices.ContainsFunc(near[:min(len(near), mostNear)], func(address string) bool { return d.cfg.Connect(ctx, address) == nil })
+	neighbours := d.cfg.Neighbours(server)
+	return slices.ContainsFunc(neighbours[:min(len(neighbours), maxNeighbours)], func(address string) bool { return d.cfg.Connect(ctx, address) == nil })
 }
 
-// askedAgain is how long the answer of a server that has not ended holds.
-const askedAgain = 20 * time.Millisecond
+// reprobeAfter is how long the result for a server that has not crashed is cached.
+const reprobeAfter = 20 * time.Millisecond
 
-// life gives what is known of a life, and whether the caller is to ask. What was asked too
-// long ago is asked again.
-func (d *Detector) life(incarnation string) (known *life, first bool) {
+// probe returns the probe of an incarnation, and whether the caller must perform it. Results that
+// are too old are replaced.
+func (d *Detector) probe(incarnation string) (result *probe, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := boottime.Now()
-	for name, other := range d.lives {
-		if now.Sub(other.askedAt) > rememberFor {
-			delete(d.lives, name)
+	for name, other := range d.probes {
+		if now.Sub(other.startedAt) > crashCacheFor {
+			delete(d.probes, name)
 		}
 	}
-	if known = d.lives[incarnation]; known != nil && (!known.isAsked() || known.ended || now.Sub(known.askedAt) < askedAgain) {
-		return known, false
+	if result = d.probes[incarnation]; result != nil && (!result.isDone() || result.crashed || now.Sub(result.startedAt) < reprobeAfter) {
+		return result, false
 	}
-	known = &life{askedAt: now, asked: make(chan struct{})}
-	d.lives[incarnation] = known
-	return known, true
+	result = &probe{startedAt: now, done: make(chan struct{})}
+	d.probes[incarnation] = result
+	return result, true
 }
 
-func (l *life) isAsked() bool {
+func (p *probe) isDone() bool {
 	select {
-	case <-l.asked:
+	case <-p.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// lookLater has the registry looked at for a while.
-func (d *Detector) lookLater(loss BrokenCall) {
+// watchRegistry adds a call for which the registry is checked for a while.
+func (d *Detector) watchRegistry(call BrokenCall) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.open) < mostLosses {
-		d.open = append(d.open, openLoss{loss, boottime.Now().Add(lookFor)})
+	if len(d.unresolved) < maxUnresolved {
+		d.unresolved = append(d.unresolved, unresolvedCall{call, boottime.Now().Add(registryWatch)})
 		d.added.Send()
 	}
 }
 
-// Loop looks at the registry until ctx ends.
+// Loop checks the registry until ctx ends.
 func (d *Detector) Loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		added := d.added.Wait()
-		if !d.anyOpen() {
+		if !d.anyUnresolved() {
 			select {
 			case <-added:
 			case <-ctx.Done():
 				return
 			}
 		}
-		waiting.For(ctx, lookEvery)
-		for _, loss := range d.takeProved() {
-			d.cfg.OnCrash(loss)
+		waiting.For(ctx, registryInterval)
+		for _, call := range d.takeCrashed() {
+			d.cfg.OnCrash(call)
 		}
 	}
 }
 
-func (d *Detector) anyOpen() bool {
+func (d *Detector) anyUnresolved() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.open) > 0
+	return len(d.unresolved) > 0
 }
 
-// takeProved takes out the losses whose servers have ended, and drops those of which nothing
-// more will be known.
-func (d *Detector) takeProved() []BrokenCall {
+// takeCrashed removes and returns the calls whose servers have crashed, and drops those that can
+// no longer be resolved.
+func (d *Detector) takeCrashed() []BrokenCall {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := boottime.Now()
-	var proved []BrokenCall
-	kept := d.open[:0]
-	told := map[string]bool{}
-	for _, loss := range d.open {
-		fate := d.cfg.Fate(loss.Server.Incarnation)
+	var crashed []BrokenCall
+	kept := d.unresolved[:0]
+	logged := map[string]bool{}
+	for _, call := range d.unresolved {
+		fate := d.cfg.Fate(call.Server.Incarnation)
 		switch {
 		case fate == fleet.FateReplaced:
-			proved = append(proved, loss.BrokenCall)
-			if incarnation := loss.Server.Incarnation; !told[incarnation] {
-				told[incarnation] = true
-				d.cfg.Logger.Warn().Str("server", incarnation).Str("service", loss.Server.Service).Str("address", loss.Server.Address).Str("proof", "registry").Msg("server_crashed")
+			crashed = append(crashed, call.BrokenCall)
+			if incarnation := call.Server.Incarnation; !logged[incarnation] {
+				logged[incarnation] = true
+				d.cfg.Logger.Warn().Str("server", incarnation).Str("service", call.Server.Service).Str("address", call.Server.Address).Str("proof", "registry").Msg("server_crashed")
 			}
-		case fate != fleet.FateLeft && now.Before(loss.until):
-			kept = append(kept, loss)
+		case fate != fleet.FateLeft && now.Before(call.until):
+			kept = append(kept, call)
 		}
 	}
-	clear(d.open[len(kept):])
-	d.open = kept
-	return proved
+	clear(d.unresolved[len(kept):])
+	d.unresolved = kept
+	return crashed
 }
