--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -123,13 +123,13 @@
 				o := &environment{refuses: test.refuses, neighbour: test.neighbour, fate: test.fate}
 				crashed := o.start(t).Check(t.Context(), brokenCall("r"))
 				g.Expect(crashed).To(Equal(test.atOnce == 1))
-				_, ended := o.counts()
-				g.Expect(ended).To(Equal(test.atOnce))
+				_, reported := o.counts()
+				g.Expect(reported).To(Equal(test.atOnce))
 				time.Sleep(2 * time.Second)
 				o.set(test.refuses, test.later)
 				time.Sleep(10 * time.Second)
-				_, ended = o.counts()
-				g.Expect(ended).To(Equal(test.all))
+				_, reported = o.counts()
+				g.Expect(reported).To(Equal(test.all))
 			})
 		})
 	}
@@ -148,9 +148,9 @@
 		calls.Wait()
 		time.Sleep(time.Second)
 		detector.Check(t.Context(), brokenCall("late"))
-		asked, ended := o.counts()
-		g.Expect(asked).To(Equal(1))
-		g.Expect(ended).To(Equal(11))
+		probes, crashed := o.counts()
+		g.Expect(probes).To(Equal(1))
+		g.Expect(crashed).To(Equal(11))
 	})
 }
 
@@ -180,7 +180,7 @@
 		leave()
 		g.Expect(detector.Check(t.Context(), brokenCall("second"))).To(BeTrue())
 		time.Sleep(time.Second)
-		_, ended := o.counts()
-		g.Expect(ended).To(Equal(2))
+		_, reported := o.counts()
+		g.Expect(reported).To(Equal(2))
 	})
 }
--- a/internal/partindex/relay.go
+++ b/internal/partindex/relay.go
@@ -19,7 +19,8 @@
 
 	Epoch int64 `msgpack:"l"`
 	Next  int64 `msgpack:"n"`
-	// Lists counts the lists of the store box whose corrections the sender's updates have included.
+	// Lists is how many lists of the store box, as counted by the sender of the updates, the state
+	// includes.
 	Lists int `msgpack:"m,omitempty"`
 }
 
--- a/internal/partindex/relay_test.go
+++ b/internal/partindex/relay_test.go
@@ -158,7 +158,7 @@
 			case 7:
 				boxes[box] = &follower{index: emptyIndex()}
 			default:
-				source := (box + rapid.IntRange(1, 2).Draw(random, "teller")) % 3
+				source := (box + rapid.IntRange(1, 2).Draw(random, "source")) % 3
 				boxes[box].lists = 0 // as on a new connection
 				boxes[box].update(boxes[source].index, large, 0)
 			}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -190,8 +190,8 @@
 				boxes[i] = quarantine.New(quarantine.Config{})
 			}
 			box := func() *quarantine.Set { return boxes[random.IntN(len(boxes))] }
-			names := []string{"guilty", "beside"}
-			crashed := map[string]map[uint64]bool{"guilty": {}, "beside": {}}
+			names := []string{"guilty", "bystander"}
+			crashed := map[string]map[uint64]bool{"guilty": {}, "bystander": {}}
 			for range 60 {
 				name := names[random.IntN(2)]
 				switch random.IntN(5) {
@@ -200,7 +200,7 @@
 					crashed[name][incarnation] = true
 					crash(box(), name, incarnation)
 				case 1:
-					box().NoteServed(request("beside"))
+					box().NoteServed(request("bystander"))
 				default:
 					send(box(), box())
 				}
@@ -214,8 +214,8 @@
 			for _, b := range boxes {
 				g.Expect(b.Crashes(request("guilty"))).To(Equal(len(crashed["guilty"])), "seed %d", seed)
 				g.Expect(held(b, "guilty")).To(Equal(len(crashed["guilty"]) >= quarantine.HoldThreshold), "seed %d", seed)
-				g.Expect(b.Crashes(request("beside"))).To(Equal(boxes[0].Crashes(request("beside"))), "seed %d", seed)
-				g.Expect(b.Crashes(request("beside"))).To(BeNumerically("<=", len(crashed["beside"])), "seed %d", seed)
+				g.Expect(b.Crashes(request("bystander"))).To(Equal(boxes[0].Crashes(request("bystander"))), "seed %d", seed)
+				g.Expect(b.Crashes(request("bystander"))).To(BeNumerically("<=", len(crashed["bystander"])), "seed %d", seed)
 			}
 		})
 	}
--- a/internal/retire/retire_test.go
+++ b/internal/retire/retire_test.go
@@ -223,10 +223,10 @@
 	})
 }
 
-// Compares the longest possible fetches with the earliest possible freeing. One box knows the
-// newer weights from the start, and another has its link to the log cut right before they are
-// declared, each at every phase of its long-poll reads. The box that frees reads the declaration
-// at once and has reports that all others did too.
+// Compares the longest possible fetches with the earliest possible freeing. One box learns of the
+// newer weights at once, and another has its link to the log cut right before they are declared,
+// each at every phase of its long-poll reads. The box that frees reads the declaration at once
+// and has reports that all others did too.
 func TestTheEarliestFreeingFollowsTheLastFetch(t *testing.T) {
 	for into := time.Duration(0); into < registry.DefaultHold+300*time.Millisecond; into += 200 * time.Millisecond {
 		simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
