--- a/internal/entrybox/upkeep.go
+++ b/internal/entrybox/upkeep.go
@@ -35,16 +35,16 @@
 // is as much older from now on (package boottime).
 func (b *Box) noteSuspension(length time.Duration) {
 	b.logger.Warn().Dur("length", length).Msg("machine_suspended")
-	b.woke.Send()
+	b.woke.Broadcast()
 }
 
 // loopWake ends the calls whose time passed in a suspension, until ctx ends.
 func (b *Box) loopWake(ctx context.Context) {
 	for ctx.Err() == nil {
-		woke := b.woke.Wait()
+		woke := b.woke.Chan()
 		select {
 		case <-woke:
-			b.gateway.EndOverdue()
+			b.gateway.CancelExpired()
 		case <-ctx.Done():
 		}
 	}
@@ -81,7 +81,7 @@
 
 // retryBurst is this box's part of the retries that need no calls.
 func (b *Box) retryBurst() float64 {
-	return max(1, retrySlackPart*b.settings.RetrySlack/float64(b.share.Boxes()))
+	return max(1, retrySlackPart*b.settings.RetrySlack/float64(b.share.BoxCount()))
 }
 
 func (b *Box) showGauges() {
@@ -89,22 +89,22 @@
 	scope.Gauge("calls_in_flight").Update(float64(b.gateway.InFlight()))
 	scope.Gauge("calls_waiting").Update(float64(b.gateway.Waiting()))
 	budget := b.budget.State()
-	scope.Gauge("retries_saved").Update(budget.Saved)
+	scope.Gauge("retries_saved").Update(budget.Balance)
 	scope.Gauge("retries_denied").Update(float64(budget.Denied))
 	held, suspected := b.quarantine.Counts()
 	scope.Gauge("requests_held").Update(float64(held))
 	scope.Gauge("requests_suspected").Update(float64(suspected))
 	scope.Gauge("order_lease_held").Update(oneIf(b.lease.Held()))
-	scope.Gauge("servers_known").Update(float64(b.fleet.Known()))
-	cold, own := b.fleet.Cold()
+	scope.Gauge("servers_known").Update(float64(b.fleet.CountListed()))
+	cold, own := b.fleet.CountCold()
 	scope.Gauge("servers_cold").Update(float64(cold))
 	scope.Gauge("servers_cold_called").Update(float64(own))
-	limited, shared := b.fleet.Limited()
+	limited, shared := b.fleet.CountLimited()
 	scope.Gauge("servers_limited").Update(float64(limited))
 	scope.Gauge("servers_limited_shared").Update(float64(shared))
-	scope.Gauge("zones_evacuated").Update(float64(len(b.fleet.Evacuated())))
+	scope.Gauge("zones_evacuated").Update(float64(len(b.fleet.EvacuatedZones())))
 	scope.Gauge("servers_read_age_seconds").Update(b.registry.ServersAge().Seconds())
-	scope.Gauge("boxes_known").Update(float64(b.share.Boxes()))
+	scope.Gauge("boxes_known").Update(float64(b.share.BoxCount()))
 	scope.Gauge("is_hub").Update(oneIf(b.share.Hub() == ""))
 	scope.Gauge("reads_for_itself").Update(oneIf(b.readers.Following() == ""))
 	scope.Gauge("boxes_heard").Update(float64(len(b.share.Peers()) + 1))
@@ -112,10 +112,10 @@
 		scope.Gauge("configuration_version").Update(float64(catalog.Version()))
 		scope.Gauge("operators_read_age_seconds").Update(boottime.Since(b.registry.OperatorReadAt()).Seconds())
 	}
-	for model, version := range b.registry.Named() {
+	for model, version := range b.registry.NewestVersions() {
 		named := scope.Tagged(map[string]string{"model": model})
 		named.Gauge("weights_named").Update(float64(version))
-		named.Gauge("runners_behind").Update(float64(len(b.fleet.Behind(model, version))))
+		named.Gauge("runners_behind").Update(float64(len(b.fleet.ServersBehind(model, version))))
 	}
 	for _, store := range b.parts.State() {
 		tagged := scope.Tagged(map[string]string{"store_box": store.Name})
--- a/internal/fleet/server_test.go
+++ b/internal/fleet/server_test.go
@@ -10,7 +10,7 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-func TestAServerThatCannotBeReachedIsLeftAloneForLongerAndLonger(t *testing.T) {
+func TestSuspectTimeGrowsWithEachFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("bad")
@@ -18,9 +18,9 @@
 		var pauses []time.Duration
 		for range 4 {
 			_, hold := choose(f)
-			hold.Done(fleet.EndUnreachable)
+			hold.Done(fleet.OutcomeUnreachable)
 			failed := time.Now()
-			for witness.Heard(); !witness.Speaks(); witness.Heard() {
+			for witness.NoteEvent(); !witness.IsResponsive(); witness.NoteEvent() {
 				time.Sleep(50 * time.Millisecond)
 			}
 			pauses = append(pauses, time.Since(failed))
@@ -31,29 +31,29 @@
 	})
 }
 
-func TestSuspectServersServeWhenThereAreNoOthers(t *testing.T) {
+func TestSuspectServersServeIfAllAreSuspect(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet("only")
 	_, hold := choose(f)
-	hold.Done(fleet.EndUnreachable)
+	hold.Done(fleet.OutcomeUnreachable)
 	name, _ := choose(f)
 	g.Expect(name).To(Equal("only"))
 }
 
-func TestAServerThatHasCallsAndKeepsSilentIsSuspect(t *testing.T) {
+func TestSilentServerWithCallsIsSuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("mute", "good")
 		_, hold := choose(f, "good")
-		g.Expect(hold.Speaks()).To(BeTrue())
+		g.Expect(hold.IsResponsive()).To(BeTrue())
 		time.Sleep(5 * time.Second)
-		g.Expect(hold.Speaks()).To(BeFalse())
+		g.Expect(hold.IsResponsive()).To(BeFalse())
 		for range 10 {
 			name, other := choose(f)
 			g.Expect(name).To(Equal("good"))
-			other.Done(fleet.EndServed)
+			other.Done(fleet.OutcomeServed)
 		}
-		hold.Heard()
-		g.Expect(hold.Speaks()).To(BeTrue())
+		hold.NoteEvent()
+		g.Expect(hold.IsResponsive()).To(BeTrue())
 	})
 }
--- a/internal/partindex/partindex_test.go
+++ b/internal/partindex/partindex_test.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	quick = "10.0.0.1:1"
+	fast  = "10.0.0.1:1"
 	large = "10.0.0.2:1"
 )
 
 func services() []catalog.Service {
 	return []catalog.Service{
-		{Name: "quick", Store: &catalog.Store{Address: quick, CapacityTokens: 20_000, LinkMbps: 100_000, FirstByte: time.Millisecond}},
+		{Name: "quick", Store: &catalog.Store{Address: fast, CapacityTokens: 20_000, LinkMbps: 100_000, FirstByte: time.Millisecond}},
 		{Name: "large", Store: &catalog.Store{Address: large, CapacityTokens: 100_000, LinkMbps: 100_000, FirstByte: 6 * time.Millisecond}},
 		{Name: "runners"},
 	}
 }
 
-// settled makes an index whose store boxes have long been known, and keep nothing.
+// settled returns an index whose store boxes have been known for long and hold nothing.
 func settled() *partindex.Index {
 	x := partindex.New(partindex.Config{})
 	x.Configure(services())
-	for _, address := range []string{quick, large} {
-		x.Replace(address, partindex.Report{AsOf: time.Now(), Life: 1, ClockMillis: 1000})
+	for _, address := range []string{fast, large} {
+		x.Replace(address, partindex.Report{AsOf: time.Now(), Epoch: 1, ClockMillis: 1000})
 	}
 	time.Sleep(10 * time.Second)
 	refresh(x, 1)
 	return x
 }
 
-// refresh lets both store boxes say that nothing changed.
-func refresh(x *partindex.Index, life int64) {
-	for _, address := range []string{quick, large} {
-		x.Apply(address, partindex.Report{AsOf: time.Now(), Life: life, ClockMillis: 1000})
+// refresh applies a report without changes for both store boxes.
+func refresh(x *partindex.Index, epoch int64) {
+	for _, address := range []string{fast, large} {
+		x.Apply(address, partindex.Report{AsOf: time.Now(), Epoch: epoch, ClockMillis: 1000})
 	}
 }
 
@@ -49,7 +49,7 @@
 	return []partindex.Change{{Key: partindex.Key{Namespace: "m/1", ID: id}, Tokens: tokens}}
 }
 
-// plan asks for a prompt with one shared part and one of its own.
+// plan plans a prompt with one shared part and one private part.
 func plan(x *partindex.Index, id string, tokens int) partindex.Plan {
 	return x.Plan(partindex.Query{
 		Namespace: "m/1", Parts: []call.Part{{ID: id, Tokens: tokens}, {ID: "own", Tokens: 100}}, PromptTokens: tokens + 100,
@@ -57,42 +57,42 @@
 	})
 }
 
-func TestOnlyWhatAStoreBoxCallsWholeIsFetched(t *testing.T) {
+func TestOnlyCompletePartsAreFetched(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(x *partindex.Index)
 		fetch  string
 	}{
-		{"nothing kept", func(*partindex.Index) {}, ""},
-		{"kept", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+		{"nothing held", func(*partindex.Index) {}, ""},
+		{"held and complete", func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 		}, large},
-		{"gone again", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: append(held("p", 5000), held("p", 0)...)})
+		{"held, then removed", func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("p", 5000), held("p", 0)...)})
 		}, ""},
-		{"of another life", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 2, Changes: held("p", 5000)})
+		{"in another epoch", func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 2, Changes: held("p", 5000)})
 		}, ""},
 		{"after a gap", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Gap: true})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Gap: true})
 		}, ""},
 		{"listed", func(x *partindex.Index) {
-			x.Replace(large, partindex.Report{AsOf: time.Now(), Life: 2, Changes: held("p", 5000)})
+			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 2, Changes: held("p", 5000)})
 		}, large},
-		{"not listed any more", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
-			x.Replace(large, partindex.Report{AsOf: time.Now(), Life: 1})
+		{"no longer in the list", func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
+			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1})
 		}, ""},
-		{"word too old", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+		{"state too old", func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 			time.Sleep(2 * time.Second)
 		}, ""},
-		{"a word that was on its way for long", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now().Add(-1300 * time.Millisecond), Life: 1, Changes: held("p", 5000)})
+		{"report long in transit", func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now().Add(-1300 * time.Millisecond), Epoch: 1, Changes: held("p", 5000)})
 		}, ""},
-		{"no store box any more", func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+		{"store box no longer configured", func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 			x.Configure(services()[:1])
 		}, ""},
 	}
@@ -118,28 +118,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
-		x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, ClockMillis: 500_000})
+		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, ClockMillis: 500_000})
 		time.Sleep(300 * time.Millisecond)
-		g.Expect(plan(x, "p", 10).Until).To(BeEquivalentTo(500_300 + partindex.FetchLimit.Milliseconds()))
+		g.Expect(plan(x, "p", 10).Until).To(BeEquivalentTo(500_300 + partindex.FetchTimeout.Milliseconds()))
 	})
 }
 
-// After a restart a part may be written while another box still fetches what was
-// kept there before: nobody may save until no such fetch can be under way.
+// After a restart a part may be written while another box still fetches what the store box held
+// before, so no box may save until no such fetch can be in flight.
 func TestNothingIsSavedInAStoreBoxThatHasJustRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		informed, unaware := settled(), settled()
 		refresh(informed, 1)
-		unaware.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+		unaware.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 		restarted := time.Now()
-		informed.Replace(large, partindex.Report{AsOf: time.Now(), Life: 2})
+		informed.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 2})
 		var lastFetch, firstSave time.Time
 		for firstSave.IsZero() {
 			if plan(unaware, "p", 5000).Fetch[0] != "" {
-				lastFetch = time.Now().Add(partindex.FetchLimit)
+				lastFetch = time.Now().Add(partindex.FetchTimeout)
 			}
-			informed.Apply(large, partindex.Report{AsOf: time.Now(), Life: 2})
+			informed.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 2})
 			if plan(informed, "p", 5000).Save[0] == large {
 				firstSave = time.Now()
 			}
@@ -157,28 +157,28 @@
 		parts := []call.Part{{ID: "p", Tokens: 5000}, {ID: "own", Tokens: 100}}
 		made := plan(x, "p", 5000)
 		g.Expect(made.Save).To(Equal([]string{large, ""}))
-		g.Expect(plan(x, "p", 5000).Save[0]).To(Equal(large), "a plan that is not carried out marks nothing")
-		x.NotePlaced("m/1", parts, made)
+		g.Expect(plan(x, "p", 5000).Save[0]).To(Equal(large), "a plan that is not dispatched has no effect")
+		x.NoteDispatched("m/1", parts, made)
 		g.Expect(plan(x, "p", 5000).Save[0]).To(BeEmpty())
-		g.Expect(plan(x, "small", 200).Save[0]).To(Equal(quick))
+		g.Expect(plan(x, "small", 200).Save[0]).To(Equal(fast))
 
-		x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("full", 99_000)})
+		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("full", 99_000)})
 		refresh(x, 1)
-		g.Expect(plan(x, "q", 5000).Save[0]).To(Equal(quick))
-		x.Apply(quick, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("full2", 19_900)})
+		g.Expect(plan(x, "q", 5000).Save[0]).To(Equal(fast))
+		x.Apply(fast, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("full2", 19_900)})
 		g.Expect(plan(x, "q", 5000).Save[0]).To(BeEmpty())
 	})
 }
 
-func TestWhatACallDidNotSaveTheNextOneIsToldTo(t *testing.T) {
+func TestACallSavesWhatAnEarlierOneDidNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
 		parts := []call.Part{{ID: "p", Tokens: 5000}, {ID: "own", Tokens: 100}}
 		made := plan(x, "p", 5000)
-		x.NotePlaced("m/1", parts, made)
+		x.NoteDispatched("m/1", parts, made)
 		g.Expect(plan(x, "p", 5000).Save[0]).To(BeEmpty())
-		x.ForgetSaves("m/1", parts, made)
+		x.DropSaves("m/1", parts, made)
 		g.Expect(plan(x, "p", 5000).Save[0]).To(Equal(large))
 	})
 }
@@ -195,11 +195,11 @@
 	})
 }
 
-func TestPartsThatMayNotBeFetchedAreReadAndNotSavedAgain(t *testing.T) {
+func TestPartsThatMayNotBeFetchedAreNotSavedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
-		x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("p", 5000)})
+		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("p", 5000)})
 		made := x.Plan(partindex.Query{
 			Namespace: "m/1", Parts: []call.Part{{ID: "p", Tokens: 5000}, {ID: "own", Tokens: 1}}, PromptTokens: 5001, Save: true,
 			MayFetch: func(string) bool { return false },
@@ -210,25 +210,25 @@
 	})
 }
 
-// A part whose writing broke off takes room until it is freed, though it is never whole.
-func TestPartsThatBrokeOffHoldTheirRoom(t *testing.T) {
+// A part whose write was aborted takes up space until it is freed, although it is never complete.
+func TestUnfinishedPartsTakeUpSpace(t *testing.T) {
 	broken := partindex.Key{Namespace: "m/1", ID: "broken"}
 	cases := []struct {
 		name string
 		then func(x *partindex.Index)
 		room bool
 	}{
-		{name: "as it is", then: func(*partindex.Index) {}},
-		{name: "whole after all", then: func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: held("broken", 90_000)})
+		{name: "still unfinished", then: func(*partindex.Index) {}},
+		{name: "completed later", then: func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: held("broken", 90_000)})
 		}},
-		{name: "whole after all, then gone", room: true, then: func(x *partindex.Index) {
-			x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: append(held("broken", 90_000), held("broken", 0)...)})
+		{name: "completed later, then removed", room: true, then: func(x *partindex.Index) {
+			x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("broken", 90_000), held("broken", 0)...)})
 		}},
 		{name: "freed", room: true, then: func(x *partindex.Index) { x.NoteFreed(large, 1, []partindex.Key{broken}) }},
-		{name: "freed in another life", then: func(x *partindex.Index) { x.NoteFreed(large, 2, []partindex.Key{broken}) }},
+		{name: "freed in another epoch", then: func(x *partindex.Index) { x.NoteFreed(large, 2, []partindex.Key{broken}) }},
 		{name: "no longer listed", room: true, then: func(x *partindex.Index) {
-			x.Replace(large, partindex.Report{AsOf: time.Now(), Life: 1})
+			x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1})
 		}},
 	}
 	for _, c := range cases {
@@ -236,13 +236,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				x := settled()
-				x.Replace(large, partindex.Report{AsOf: time.Now(), Life: 1, Unfinished: []partindex.Change{{Key: broken, Tokens: 90_000}}})
-				parts, life := x.Freeable(large, func(key partindex.Key) bool { return key == broken }, 10)
+				x.Replace(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Unfinished: []partindex.Change{{Key: broken, Tokens: 90_000}}})
+				parts, epoch := x.Freeable(large, func(key partindex.Key) bool { return key == broken }, 10)
 				g.Expect(parts).To(Equal([]partindex.Key{broken}))
-				g.Expect(life).To(Equal(int64(1)))
-				g.Expect(plan(x, "broken", 90_000).Fetch[0]).To(BeEmpty(), "it is not whole")
+				g.Expect(epoch).To(Equal(int64(1)))
+				g.Expect(plan(x, "broken", 90_000).Fetch[0]).To(BeEmpty(), "it is not complete")
 				c.then(x)
-				// 19,000 tokens have no room in the quick store box, whatever it keeps.
+				// 19,000 tokens do not fit into the fast store box, whatever it holds.
 				g.Expect(plan(x, "new", 19_000).Save[0] != "").To(Equal(c.room))
 			})
 		})
@@ -253,12 +253,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := settled()
-		x.Apply(large, partindex.Report{AsOf: time.Now(), Life: 1, Changes: append(held("old", 100), held("new", 100)...)})
-		parts, life := x.Freeable(large, func(key partindex.Key) bool { return key.ID == "old" }, 10)
+		x.Apply(large, partindex.Report{AsOf: time.Now(), Epoch: 1, Changes: append(held("old", 100), held("new", 100)...)})
+		parts, epoch := x.Freeable(large, func(key partindex.Key) bool { return key.ID == "old" }, 10)
 		g.Expect(parts).To(Equal([]partindex.Key{{Namespace: "m/1", ID: "old"}}))
-		g.Expect(life).To(BeEquivalentTo(1))
+		g.Expect(epoch).To(BeEquivalentTo(1))
 		time.Sleep(time.Minute)
 		parts, _ = x.Freeable(large, func(partindex.Key) bool { return true }, 10)
-		g.Expect(parts).To(BeEmpty(), "its word is old")
+		g.Expect(parts).To(BeEmpty(), "its state is stale")
 	})
 }
--- a/internal/waiting/signal.go
+++ b/internal/waiting/signal.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Signal wakes all that wait for it. The zero value is ready to use.
+// Signal wakes all goroutines that wait for it. The zero value is ready to use.
 type Signal struct {
 	mu   sync.Mutex
 	wake chan struct{}
 }
 
-// Wait gives a channel that is closed by the next Send.
-func (s *Signal) Wait() <-chan struct{} {
+// Chan returns a channel that the next Broadcast closes.
+func (s *Signal) Chan() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wake == nil {
@@ -22,8 +22,8 @@
 	return s.wake
 }
 
-// Send wakes all that wait now.
-func (s *Signal) Send() {
+// Broadcast wakes all goroutines that are waiting now.
+func (s *Signal) Broadcast() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wake != nil {
@@ -32,9 +32,9 @@
 	}
 }
 
-// ForOr waits for a time, or until wake is closed or ctx ends when that comes first.
-func ForOr(ctx context.Context, length time.Duration, wake <-chan struct{}) {
-	timer := time.NewTimer(length)
+// ForOrSignal waits for a duration, until wake is closed or until ctx ends, whichever comes first.
+func ForOrSignal(ctx context.Context, duration time.Duration, wake <-chan struct{}) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
