--- a/internal/advisory/advisory.go
+++ b/internal/advisory/advisory.go
@@ -76,7 +76,7 @@
 }
 
 // After gives a report as it is to be passed on some time later.
-func (r *Report) After(passed time.Duration) *Report {
+func (r *Report) Aged(passed time.Duration) *Report {
 	if r == nil {
 		return nil
 	}
@@ -87,7 +87,7 @@
 }
 
 // Join gives the newest statements of two reports, either of which may be missing.
-func Join(a, b *Report) *Report {
+func Merge(a, b *Report) *Report {
 	if a == nil || b == nil {
 		return cmp.Or(a, b)
 	}
@@ -128,7 +128,7 @@
 }
 
 // TakeAnswer takes over what an answer says.
-func (r *Record) TakeAnswer(answer Answer) Change {
+func (r *Record) ApplyAnswer(answer Answer) Change {
 	change := Change{Limit: r.takeLimit(answer)}
 	if answer.Draining {
 		r.ownDrainingAt = answer.Received
@@ -146,7 +146,7 @@
 func (r *Record) PausedFor(now time.Time) time.Duration { return max(r.pausedUntil.Sub(now), 0) }
 
 // TakeReport takes over what another box reported. now is when the report came.
-func (r *Record) TakeReport(report Report, now time.Time) Change {
+func (r *Record) ApplyReport(report Report, now time.Time) Change {
 	change := Change{}
 	if report.LimitKnown && report.PerSecond >= 0 {
 		change.Limit = r.take(limit{report.PerSecond, now.Add(-max(report.LimitAge, 0))})
