--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -117,7 +117,7 @@
 }
 
 // TransferAnswer says what a transfer moved.
-type TransferAnswer struct {
+type TransferResult struct {
 	Blocks int   `json:"blocks"`
 	Bytes  int64 `json:"bytes"`
 	// Full says that the store box had no room for the rest.
@@ -127,15 +127,15 @@
 // Errors of a run.
 var (
 	// ErrNotHanded says that no byte of the request left this process.
-	ErrNotHanded = merry.Sentinel("the engine could not be reached")
+	ErrNotSent = merry.Sentinel("the engine could not be reached")
 	// ErrNoAnswer says that the request was handed over and nothing came back.
-	ErrNoAnswer = merry.Sentinel("the engine gave no answer")
+	ErrNoResponse = merry.Sentinel("the engine gave no answer")
 	// ErrBroken says that the stream ended before the answer was whole.
-	ErrBroken = merry.Sentinel("the engine's stream broke off")
+	ErrStreamBroken = merry.Sentinel("the engine's stream broke off")
 	// ErrGap says that the next chunk is missing from the stream.
-	ErrGap = merry.Sentinel("the engine's stream has a gap")
+	ErrMissingChunk = merry.Sentinel("the engine's stream has a gap")
 	// ErrRubbish says that the engine sent what is not its protocol.
-	ErrRubbish = merry.Sentinel("the engine sent something that is not an answer")
+	ErrProtocol = merry.Sentinel("the engine sent something that is not an answer")
 	// ErrWrongWeights says that another weight version than the wanted answers.
 	ErrWrongWeights = merry.Sentinel("the engine answers with another weight version")
 	// ErrUnknownRun says that the engine does not know the run.
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -116,7 +116,7 @@
 // third, at a small part of the memory:
 //
 //	1 2 3 4 6 8 12 16 24 32 48 64 96 128 …
-func Landmark(depth int) bool {
+func IsIndexedDepth(depth int) bool {
 	if depth <= 0 {
 		return false
 	}
