--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -38,9 +38,9 @@
 	// KindClaim asks for the right to run.
 	KindClaim Kind = 1
 	// KindDone states the answer of the run.
-	KindDone Kind = 2
+	KindComplete Kind = 2
 	// KindRenounce states that the claimer did not run and never will.
-	KindRenounce Kind = 3
+	KindRelease Kind = 3
 )
 
 // Key is an organisation's idempotency key. Keys of different organisations
@@ -54,12 +54,12 @@
 type Digest [32]byte
 
 // Answer is a finished run's answer, kept for callers that ask again.
-type Answer struct {
+type StoredResponse struct {
 	Status      int    `msgpack:"s"`
 	ContentType string `msgpack:"c"`
 	Body        []byte `msgpack:"b"`
 	// Whole is false when the body was too large to keep.
-	Whole bool `msgpack:"w"`
+	BodyStored bool `msgpack:"w"`
 }
 
 // Entry is one statement about a key.
@@ -70,8 +70,8 @@
 	// ClaimID names the claim; only its claimer knows it before the log does.
 	ClaimID uuid.UUID `msgpack:"i"`
 	// Claimer is the incarnation of the claiming process.
-	Claimer string `msgpack:"p,omitempty"`
-	Answer  Answer `msgpack:"a,omitempty"`
+	Claimer  string         `msgpack:"p,omitempty"`
+	Response StoredResponse `msgpack:"a,omitempty"`
 }
 
 // batch is one record of a claim stream.
@@ -97,7 +97,7 @@
 }
 
 // Streams is the number of claim streams that keys are spread over.
-const Streams = 16
+const StreamCount = 16
 
 // streamOf gives the stream of a key.
 func streamOf(key Key) int {
@@ -106,7 +106,7 @@
 	_, _ = hash.Write([]byte(key.Organisation))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(key.Text))
-	return int(hash.Sum32() % Streams)
+	return int(hash.Sum32() % StreamCount)
 }
 
 // StreamName gives the name of a claim stream in the log.
--- a/internal/configlog/fold.go
+++ b/internal/configlog/fold.go
@@ -20,7 +20,7 @@
 }
 
 // Empty is the state before the first record of the stream.
-func Empty() State {
+func EmptyState() State {
 	return State{Version: config.NoVersion, ReadTo: -1, Digest: config.Entries{}.Digest()}
 }
 
@@ -31,7 +31,7 @@
 	// Accepted means that the change is now in force.
 	Accepted Verdict = iota + 1
 	// Beaten means that another change came first; the record is void.
-	Beaten
+	Conflict
 	// Corrupt means that the record does not give the digest it names, or is
 	// no record at all; it is void.
 	Corrupt
@@ -44,7 +44,7 @@
 	switch v {
 	case Accepted:
 		return "accepted"
-	case Beaten:
+	case Conflict:
 		return "beaten"
 	case Corrupt:
 		return "corrupt"
@@ -70,8 +70,8 @@
 	if record.Kind == KindCheckpoint {
 		return state, Skipped
 	}
-	if record.Base != state.Version {
-		return state, Beaten
+	if record.BaseVersion != state.Version {
+		return state, Conflict
 	}
 	entries := state.Entries.Apply(record.Change)
 	digest := entries.Digest()
@@ -82,7 +82,7 @@
 }
 
 // Adopt gives the state that a checkpoint states, if its content is whole.
-func (r Record) Adopt() (State, bool) {
+func (r Record) CheckpointState() (State, bool) {
 	if r.Kind != KindCheckpoint || r.Entries.Digest() != r.Digest {
 		return State{}, false
 	}
@@ -96,4 +96,4 @@
 
 // Whole reports whether the content matches its digest, which is checked of
 // every state that another process sends.
-func (s State) Whole() bool { return s.Entries.Digest() == s.Digest }
+func (s State) Valid() bool { return s.Entries.Digest() == s.Digest }
--- a/internal/review/describe.go
+++ b/internal/review/describe.go
@@ -19,7 +19,7 @@
 }
 
 // Ended reports whether a status is final.
-func (s Status) Ended() bool {
+func (s Status) IsFinal() bool {
 	return s == StatusCompleted || s == StatusFailed || s == StatusCancelled
 }
 
