--- a/internal/answerid/answerid.go
+++ b/internal/answerid/answerid.go
@@ -62,7 +62,7 @@
 }
 
 // Name gives the name of an organisation's run.
-func (k Keys) Name(organisation string, reference Reference) (string, error) {
+func (k Keys) Encode(organisation string, reference Reference) (string, error) {
 	payload, err := msgpack.Marshal(&reference)
 	if err != nil {
 		return "", merry.Wrap(err)
@@ -72,7 +72,7 @@
 }
 
 // Open reads a name on behalf of an organisation.
-func (k Keys) Open(organisation, name string) (Reference, error) {
+func (k Keys) Decode(organisation, name string) (Reference, error) {
 	text, ok := strings.CutPrefix(name, Prefix)
 	if !ok || len(name) > maxNameBytes {
 		return Reference{}, ErrInvalid
--- a/internal/call/text.go
+++ b/internal/call/text.go
@@ -44,7 +44,7 @@
 }
 
 // SetIf sets a header that has a value.
-func SetIf(header http.Header, name, value string) {
+func SetNonEmpty(header http.Header, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -22,7 +22,7 @@
 	// Repeatable calls may run more than once.
 	Repeatable Kind = iota + 1
 	// Once calls run at most once.
-	Once
+	AtMostOnce
 	// Stream answers come as a series of events.
 	Stream
 )
@@ -59,7 +59,7 @@
 }
 
 // MayRepeat reports whether a call may run a second time.
-func (r *Route) MayRepeat() bool {
+func (r *Route) IsRepeatable() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
@@ -92,7 +92,7 @@
 	CapacityTokens int
 	LinkMbps       float64
 	// FirstByte is the time that each move waits besides its transfer.
-	FirstByte time.Duration
+	FirstByteLatency time.Duration
 }
 
 // KeyHash is the SHA-256 of a key.
@@ -118,8 +118,8 @@
 	BodyBytes   int64
 	// HeaderTime is the longest time that the head of a call may take, IdleTime the
 	// longest rest of a connection; zero where the configuration names none.
-	HeaderTime time.Duration
-	IdleTime   time.Duration
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Config is the plain data of a Catalog.
@@ -219,7 +219,7 @@
 }
 
 // ServiceFor gives the service for a call, spread by its number over the weights.
-func (r *Route) ServiceFor(number uint64) string {
+func (r *Route) PickService(number uint64) string {
 	total := 0
 	for _, split := range r.Splits {
 		total += max(split.Weight, 0)
--- a/internal/logservice/logservice.go
+++ b/internal/logservice/logservice.go
@@ -56,7 +56,7 @@
 }
 
 // ErrNotTaken says that an append certainly had no effect.
-var ErrNotTaken = merry.Sentinel("the log service did not take the record")
+var ErrNotAppended = merry.Sentinel("the log service did not take the record")
 
 // ErrAmbiguous says that an append may have had an effect.
 var ErrAmbiguous = merry.Sentinel("no answer from the log service: the record may have been taken")
