--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -72,7 +72,7 @@
 }
 
 // Warm begins to read back all streams.
-func (s *Service) Warm() {
+func (s *Service) Preload() {
 	for number := range StreamCount {
 		s.stream(number)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return Decision{}, err
 	}
-	entry := Entry{Kind: KindClaim, Key: key, Digest: digest, ClaimID: claimID, Claimer: s.cfg.Incarnation}
+	entry := Entry{Kind: KindClaim, Key: key, Digest: digest, ClaimID: claimID, Incarnation: s.cfg.Incarnation}
 	return s.stream(streamOf(key)).claim(ctx, entry)
 }
 
--- a/internal/claim/fold.go
+++ b/internal/claim/fold.go
@@ -91,7 +91,7 @@
 	held := f.holders[entry.Key]
 	switch {
 	case held == nil:
-		f.holders[entry.Key] = &holder{digest: entry.Digest, claimID: entry.ClaimID, claimer: entry.Claimer, at: at}
+		f.holders[entry.Key] = &holder{digest: entry.Digest, claimID: entry.ClaimID, claimer: entry.Incarnation, at: at}
 		f.ages = append(f.ages, aged{key: entry.Key, id: entry.ClaimID, at: at})
 		if !timely(entry.Key, at) {
 			return Decision{Verdict: OutsideWindow}
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -218,7 +218,7 @@
 func (tr *trial) play(p plan) {
 	for i := range 3 {
 		service := claim.New(claim.Config{Log: tr.log, Incarnation: fmt.Sprint("box-", i), PollWait: 30 * time.Minute, Window: func() time.Duration { return time.Hour }})
-		service.Warm()
+		service.Preload()
 		tr.boxes = append(tr.boxes, service)
 	}
 	time.Sleep(time.Second)
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -70,8 +70,8 @@
 	// ClaimID names the claim; only its claimer knows it before the log does.
 	ClaimID uuid.UUID `msgpack:"i"`
 	// Claimer is the incarnation of the claiming process.
-	Claimer  string         `msgpack:"p,omitempty"`
-	Response StoredResponse `msgpack:"a,omitempty"`
+	Incarnation string         `msgpack:"p,omitempty"`
+	Response    StoredResponse `msgpack:"a,omitempty"`
 }
 
 // batch is one record of a claim stream.
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -44,7 +44,7 @@
 	// KeepAnswers gives for how long an ended review can be fetched.
 	ResultRetention func() time.Duration
 	// Run answers a review. It is called on a goroutine of its own.
-	Run Runner
+	Run RunFunc
 	// Parallel gives how many reviews this box runs at once.
 	MaxParallel func() int
 	// Interval is the time between two looks at what is to be done.
@@ -55,7 +55,7 @@
 
 // Runner answers one review. An error that is Permanent ends the review as
 // failed; any other has it tried again later.
-type Runner func(ctx context.Context, task Task) (answer []byte, err error)
+type RunFunc func(ctx context.Context, task Task) (answer []byte, err error)
 
 // Task is a review to be answered.
 type Task struct {
