--- a/internal/advisory/advisory.go
+++ b/internal/advisory/advisory.go
@@ -75,8 +75,8 @@
 	DrainingAge time.Duration `msgpack:"e,omitempty"`
 }
 
-// After gives a report as it is to be passed on some time later.
-func (r *Report) After(passed time.Duration) *Report {
+// Aged gives a report as it is to be passed on some time later.
+func (r *Report) Aged(passed time.Duration) *Report {
 	if r == nil {
 		return nil
 	}
@@ -86,8 +86,8 @@
 	return &later
 }
 
-// Join gives the newest statements of two reports, either of which may be missing.
-func Join(a, b *Report) *Report {
+// Merge gives the newest statements of two reports, either of which may be missing.
+func Merge(a, b *Report) *Report {
 	if a == nil || b == nil {
 		return cmp.Or(a, b)
 	}
@@ -127,8 +127,8 @@
 	Limit, Draining, Paused bool
 }
 
-// TakeAnswer takes over what an answer says.
-func (r *Record) TakeAnswer(answer Answer) Change {
+// ApplyAnswer takes over what an answer says.
+func (r *Record) ApplyAnswer(answer Answer) Change {
 	change := Change{Limit: r.takeLimit(answer)}
 	if answer.Draining {
 		r.ownDrainingAt = answer.Received
@@ -145,8 +145,8 @@
 // answer without a pause ends none.
 func (r *Record) PausedFor(now time.Time) time.Duration { return max(r.pausedUntil.Sub(now), 0) }
 
-// TakeReport takes over what another box reported. now is when the report came.
-func (r *Record) TakeReport(report Report, now time.Time) Change {
+// ApplyReport takes over what another box reported. now is when the report came.
+func (r *Record) ApplyReport(report Report, now time.Time) Change {
 	change := Change{}
 	if report.LimitKnown && report.PerSecond >= 0 {
 		change.Limit = r.take(limit{report.PerSecond, now.Add(-max(report.LimitAge, 0))})
--- a/internal/advisory/advisory_test.go
+++ b/internal/advisory/advisory_test.go
@@ -61,10 +61,10 @@
 			var record advisory.Record
 			for _, s := range test.statements {
 				if s.reported {
-					record.TakeReport(advisory.Report{LimitKnown: true, PerSecond: s.perSecond, LimitAge: s.reportedAge}, begin.Add(s.received))
+					record.ApplyReport(advisory.Report{LimitKnown: true, PerSecond: s.perSecond, LimitAge: s.reportedAge}, begin.Add(s.received))
 					continue
 				}
-				record.TakeAnswer(advisory.Answer{
+				record.ApplyAnswer(advisory.Answer{
 					Advisory: advisory.Advisory{Limit: s.limit, PerSecond: s.perSecond},
 					Sent:     begin.Add(s.sent), Received: begin.Add(s.received), Genuine: s.genuine,
 				})
@@ -83,14 +83,14 @@
 	begin := time.Now()
 	var record advisory.Record
 	g.Expect(record.Report(begin)).To(BeNil())
-	record.TakeReport(advisory.Report{LimitKnown: true, PerSecond: 2}, begin)
+	record.ApplyReport(advisory.Report{LimitKnown: true, PerSecond: 2}, begin)
 	g.Expect(record.Report(begin)).To(BeNil())
 
-	record.TakeAnswer(advisory.Answer{Advisory: advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: 3}, Sent: begin, Received: begin.Add(time.Second), Genuine: true})
+	record.ApplyAnswer(advisory.Answer{Advisory: advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: 3}, Sent: begin, Received: begin.Add(time.Second), Genuine: true})
 	g.Expect(*record.Report(begin.Add(3 * time.Second))).To(Equal(advisory.Report{LimitKnown: true, PerSecond: 3, LimitAge: 2 * time.Second}))
 	g.Expect(record.Report(begin.Add(2*time.Minute))).To(BeNil(), "an old one")
 
-	record.TakeAnswer(advisory.Answer{Sent: begin.Add(2 * time.Second), Received: begin.Add(3 * time.Second), Genuine: true})
+	record.ApplyAnswer(advisory.Answer{Sent: begin.Add(2 * time.Second), Received: begin.Add(3 * time.Second), Genuine: true})
 	g.Expect(*record.Report(begin.Add(4 * time.Second))).To(Equal(advisory.Report{LimitKnown: true, LimitAge: 2 * time.Second}), "the end")
 	g.Expect(record.Report(begin.Add(20*time.Second))).To(BeNil(), "an old end")
 }
@@ -105,22 +105,22 @@
 		return advisory.Answer{Advisory: advisory.Advisory{Draining: draining}, Sent: at(received - 1), Received: at(received), Genuine: true}
 	}
 	var own, other advisory.Record
-	g.Expect(own.TakeAnswer(says(true, 2))).To(Equal(advisory.Change{Draining: true}))
-	g.Expect(own.TakeAnswer(says(true, 3))).To(Equal(advisory.Change{}), "known already")
-	own.TakeAnswer(says(false, 4))
+	g.Expect(own.ApplyAnswer(says(true, 2))).To(Equal(advisory.Change{Draining: true}))
+	g.Expect(own.ApplyAnswer(says(true, 3))).To(Equal(advisory.Change{}), "known already")
+	own.ApplyAnswer(says(false, 4))
 	g.Expect(own.Draining()).To(BeTrue())
 
 	report := own.Report(at(5))
-	g.Expect(other.TakeReport(*report, at(5))).To(Equal(advisory.Change{Draining: true}))
+	g.Expect(other.ApplyReport(*report, at(5))).To(Equal(advisory.Change{Draining: true}))
 	g.Expect(other.Report(at(5))).To(BeNil(), "only own answers are reported")
 
 	other.NoteReady(at(6))
 	g.Expect(other.Draining()).To(BeFalse())
-	other.TakeReport(*own.Report(at(7)), at(7))
+	other.ApplyReport(*own.Report(at(7)), at(7))
 	g.Expect(other.Draining()).To(BeFalse(), "said before it was ready again")
 	own.NoteReady(at(8))
 	g.Expect(own.Report(at(8))).To(BeNil())
-	g.Expect(own.TakeAnswer(says(true, 9)).Draining).To(BeTrue(), "it drains once more")
+	g.Expect(own.ApplyAnswer(says(true, 9)).Draining).To(BeTrue(), "it drains once more")
 }
 
 // A hub passes on the newest of what each box reports.
@@ -129,11 +129,11 @@
 	limit := &advisory.Report{LimitKnown: true, PerSecond: 2, LimitAge: time.Second}
 	older := &advisory.Report{LimitKnown: true, PerSecond: 5, LimitAge: 2 * time.Second, Draining: true, DrainingAge: time.Second}
 	joined := advisory.Report{LimitKnown: true, PerSecond: 2, LimitAge: time.Second, Draining: true, DrainingAge: time.Second}
-	g.Expect(*advisory.Join(limit, older)).To(Equal(joined))
-	g.Expect(*advisory.Join(older, limit)).To(Equal(joined))
-	g.Expect(advisory.Join(nil, limit)).To(Equal(limit))
-	g.Expect(advisory.Join(limit, nil)).To(Equal(limit))
-	g.Expect(*limit.After(time.Second)).To(Equal(advisory.Report{LimitKnown: true, PerSecond: 2, LimitAge: 2 * time.Second, DrainingAge: time.Second}))
+	g.Expect(*advisory.Merge(limit, older)).To(Equal(joined))
+	g.Expect(*advisory.Merge(older, limit)).To(Equal(joined))
+	g.Expect(advisory.Merge(nil, limit)).To(Equal(limit))
+	g.Expect(advisory.Merge(limit, nil)).To(Equal(limit))
+	g.Expect(*limit.Aged(time.Second)).To(Equal(advisory.Report{LimitKnown: true, PerSecond: 2, LimitAge: 2 * time.Second, DrainingAge: time.Second}))
 	var none *advisory.Report
-	g.Expect(none.After(time.Second)).To(BeNil())
+	g.Expect(none.Aged(time.Second)).To(BeNil())
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -142,14 +142,14 @@
 }
 
 func (d *Daemon) loadTLS() error {
-	if files := d.settings.PeerTLS; files.Set() {
+	if files := d.settings.PeerTLS; files.Enabled() {
 		loaded, err := tlsfiles.Load(tlsfiles.Config(files))
 		if err != nil {
 			return err
 		}
 		d.peerTLS = loaded
 	}
-	if files := d.settings.CallerTLS; files.Set() {
+	if files := d.settings.CallerTLS; files.Enabled() {
 		loaded, err := tlsfiles.Load(tlsfiles.Config(files))
 		if err != nil {
 			return err
@@ -199,7 +199,7 @@
 	d.dispatcher = dispatch.New(dispatch.Config{
 		Engines: engines, Choose: placing.Choose, Failed: d.knowledge.Failed, Budget: d.budget, Life: d.knowledge.Life, Logger: d.logger,
 	})
-	relaying := relay.New(relay.Config{Engines: engines, Reopen: d.dispatcher.Reopen})
+	relaying := relay.New(relay.Config{Engines: engines, Rerun: d.dispatcher.Reopen})
 	d.settle = settle.New(settle.Config{Logger: d.logger, Scope: d.metrics.Scope()})
 	d.claims = claim.New(claim.Config{Log: log, Claimer: d.incarnation, Window: d.keyWindow, Retention: d.settings.LogRetention})
 
@@ -216,7 +216,7 @@
 		Zone: d.knowledge, Keeper: d.keeper, Budget: d.budget,
 	})
 	d.router = routed.New(routed.Config{
-		Logger: d.logger, Scope: d.metrics.Scope(), Zone: d.settings.Zone, Boxes: d.boxes, Budget: d.budget, Next: server.Handler(),
+		Logger: d.logger, Scope: d.metrics.Scope(), Zone: d.settings.Zone, BoxCount: d.boxes, Budget: d.budget, Next: server.Handler(),
 		LimitPosition: func(_, server string) advisory.Position { return d.exchange.LimitPosition(server, false) },
 	})
 	d.caller = &http.Server{Handler: d.router, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
@@ -271,20 +271,20 @@
 // go by their names, servers of routes by names that hold an address.
 func (d *Daemon) advised() map[string]*advisory.Report {
 	reports := d.knowledge.Advised()
-	maps.Copy(reports, d.router.Advised())
+	maps.Copy(reports, d.router.AdvisoryReports())
 	return reports
 }
 
 // takeAdvised takes over what another box was answered.
 func (d *Daemon) takeAdvised(reports map[string]*advisory.Report) {
 	d.knowledge.TakeAdvised(reports)
-	d.router.TakeAdvised(reports)
+	d.router.ApplyAdvisoryReports(reports)
 }
 
 // takeList takes over what the platform's list says of backend servers.
 func (d *Daemon) takeList(boxes []boxlist.Box) {
 	var leaving []string
-	listed := make([]routed.Listed, 0, len(boxes))
+	listed := make([]routed.ListEntry, 0, len(boxes))
 	for _, box := range boxes {
 		if box.State == boxlist.Leaving {
 			leaving = append(leaving, box.Name)
@@ -292,12 +292,12 @@
 		if box.Peer != "" {
 			continue // an entry box
 		}
-		listed = append(listed, routed.Listed{
+		listed = append(listed, routed.ListEntry{
 			Name: box.Name, Incarnation: box.Incarnation, Address: box.Address, Leaving: box.State == boxlist.Leaving,
 		})
 	}
 	d.knowledge.SetListed(leaving)
-	d.router.SetListed(listed)
+	d.router.ApplyBoxList(listed)
 }
 
 // configure takes over a new configuration.
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -51,7 +51,7 @@
 		Box: d.settings.Box, Zone: d.settings.Zone, Incarnation: d.incarnation, Version: version.Version,
 		Uptime: time.Since(d.started).Round(time.Millisecond).String(), Ready: reason == "", Unready: reason, Leaving: d.leaving.Load(),
 		Goroutines: runtime.NumGoroutine(), HeapBytes: memory.HeapAlloc, Settled: d.settle.Settled(), Routed: d.router.InFlight(),
-		Config: d.follower.Status(), Evacuated: d.router.Evacuated(), Rings: append(d.pipeline.State(), d.settle.Ring()), Admit: d.admit.State(),
+		Config: d.follower.Status(), Evacuated: d.router.EvacuatedZones(), Rings: append(d.pipeline.State(), d.settle.Ring()), Admit: d.admit.State(),
 		Retries: d.budget.State(), Claims: d.claims.State(), Reviews: d.reviews.State(), Kept: d.keeper.State(), ServersOf: d.knowledge.State(), Peers: d.exchange.State(),
 	}
 }
--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -147,7 +147,7 @@
 )
 
 func (b *Box) firstWait() time.Duration {
-	if b.settings.SystemStarts {
+	if b.settings.FirstSystemStart {
 		return systemFirstWait
 	}
 	return firstWait
@@ -157,11 +157,11 @@
 // the configuration.
 func (b *Box) assembleBeliefs() {
 	b.fleet = fleet.New(fleet.Config{
-		Logger: b.logger, Mechanisms: b.settings.Off, Heartbeat: b.settings.ServerHeartbeat,
+		Logger: b.logger, Mechanisms: b.settings.Mechanisms, Heartbeat: b.settings.ServerHeartbeat,
 		OwnsColdServer: func(zone, server string) bool { return b.share.OwnsColdServer(zone, server) },
 		LimitPosition:  func(zone, server string) advisory.Position { return b.share.LimitPosition(zone, server) },
 	})
-	b.parts = partindex.New(partindex.Config{News: &b.partNews, Off: b.settings.Off, PollDelay: b.firstWait()})
+	b.parts = partindex.New(partindex.Config{News: &b.partNews, Off: b.settings.Mechanisms, PollDelay: b.firstWait()})
 	b.registry = registry.New(registry.Config{
 		Log: b.log, Decoder: b.cfg.Decoder, Fleet: b.fleet, Logger: b.logger, OnCatalog: b.configure, StreamsChanged: &b.news,
 		OnBoxes: func(records []sharedlog.Record) { b.share.ApplyBoxRecords(records) }, FirstReadDelay: b.firstWait(),
@@ -174,7 +174,7 @@
 func (b *Box) assembleShared() {
 	b.lease = orderlease.New(orderlease.Config{Log: b.log, Logger: b.logger, Holder: b.name, Gap: b.settings.OrderGap, Idle: b.leavesOrders})
 	b.giver = weightorders.New(weightorders.Config{
-		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.name, Off: b.settings.Off, OnPause: func() { b.share.SendNow() },
+		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.name, Off: b.settings.Mechanisms, OnPause: func() { b.share.SendNow() },
 		Models: b.registry.DeclaredModels, TargetVersion: func(model string) int { return b.registry.Weights(model).Version },
 	})
 	b.retire = retire.New(retire.Config{
@@ -183,15 +183,15 @@
 	b.watcher = storewatch.New(storewatch.Config{Stores: b.cfg.Stores, Index: b.parts, Logger: b.logger, MayFree: b.mayFree})
 	b.share = loadshare.New(loadshare.Config{
 		Log: b.log, Fleet: b.fleet, Logger: b.logger, Box: b.settings.Box, Incarnation: shortName(b.name), Zone: b.settings.Zone, Address: b.PeerAddress(), ReaderAddress: b.ReaderAddress(), PlacesAddress: b.PlacesAddress(),
-		Cores: b.settings.Cores, Off: b.settings.Off, NamedVersions: b.registry.WeightsForPeers, MergeNamedVersions: b.registry.MergeWeights, Snapshot: b.registry.Snapshot,
+		Cores: b.settings.Cores, Off: b.settings.Mechanisms, NamedVersions: b.registry.WeightsForPeers, MergeNamedVersions: b.registry.MergeWeights, Snapshot: b.registry.Snapshot,
 		NeedsSnapshot: b.registry.NeedsSnapshot, ApplySnapshot: b.registry.Adopt, Quarantine: b.quarantine, MayCallCold: b.mayCallCold,
 	})
 	b.readers = zonereader.New(zonereader.Config{
 		Registry: b.registry, Parts: b.parts, Logger: b.logger, StreamsChanged: &b.news, PartsChanged: &b.partNews, Others: b.otherBoxes, BoxesKnown: b.share.BoxListLoaded,
-		Off: b.settings.Off, Self: zonereader.Box{Box: b.self(), Address: b.ReaderAddress()},
+		Off: b.settings.Mechanisms, Self: zonereader.Box{Box: b.self(), Address: b.ReaderAddress()},
 	})
 	b.places = places.New(places.Config{
-		Fleet: b.fleet, Logger: b.logger, Mechanisms: b.settings.Off, Others: b.otherOwners, Active: b.hasOwners, ReportedAt: b.share.LoadSentAfter,
+		Fleet: b.fleet, Logger: b.logger, Mechanisms: b.settings.Mechanisms, Others: b.otherOwners, Active: b.hasOwners, ReportedAt: b.share.LoadSentAfter,
 		Self: places.Box{Box: b.self(), Address: b.PlacesAddress()},
 	})
 }
@@ -240,10 +240,10 @@
 	b.budget = retrybudget.New(retrybudget.Config{PerRequest: retryRatioPart * b.settings.RetryRatio, Burst: b.retryBurst()})
 	b.gateway = gateway.New(gateway.Config{
 		Protocol: b.cfg.Protocol, Pool: b.pool,
-		Off: b.settings.Off, Fleet: b.fleet, Parts: b.parts, Logger: b.logger, Scope: b.metrics.Scope(), Zone: b.settings.Zone,
+		Off: b.settings.Mechanisms, Fleet: b.fleet, Parts: b.parts, Logger: b.logger, Scope: b.metrics.Scope(), Zone: b.settings.Zone,
 		Budget: b.budget, BoxCount: b.share.BoxCount, OwnsHeadroom: b.share.OwnsHeadroom, LoadReportAge: b.share.Lag,
 		Places: b.places, BoxName: b.settings.Box, Regions: b.settings.Regions,
-		Catalog: b.registry.Catalog, Weights: b.registry, Retire: b.retire, OutdatedAfter: b.settings.WeightsLimit,
+		Catalog: b.registry.Catalog, Weights: b.registry, Retire: b.retire, OutdatedAfter: b.settings.OutdatedAfter,
 		IsResponsive: b.answers, ServerListAge: b.registry.ServersAge, Quarantine: b.quarantine, ConfirmCrash: b.crashes.Check,
 	})
 	b.assembleServers()
@@ -305,7 +305,7 @@
 	boottime.OnResume(b.noteSuspension)
 	b.serveAll()
 	b.logger.Info().Str("version", version.Version).Str("callers", b.CallerAddress()).Str("ready", b.ReadyAddress()).
-		Str("life", b.name).Stringer("off", b.settings.Off).Msg("started")
+		Str("life", b.name).Stringer("off", b.settings.Mechanisms).Msg("started")
 	<-ctx.Done()
 	return b.shutDown()
 }
@@ -318,8 +318,8 @@
 func (b *Box) shutDown() error {
 	b.logger.Info().Int64("calls", b.gateway.InFlight()).Msg("leaving")
 	b.leaving.Store(true)
-	end := boottime.Now().Add(b.settings.StopLimit - stopMargin)
-	time.Sleep(b.settings.UnreadyTime)
+	end := boottime.Now().Add(b.settings.StopTimeout - stopMargin)
+	time.Sleep(b.settings.UnreadyDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), boottime.Until(end))
 	defer cancel()
 	err := b.callers.Shutdown(ctx)
--- a/internal/entrybox/settings.go
+++ b/internal/entrybox/settings.go
@@ -25,14 +25,14 @@
 	PlacesAddress string
 	// MetricsAddress is for collectors alone; empty leaves them the balancer's.
 	MetricsAddress string
-	// StopLimit is how long the process may go on after it was asked to stop.
-	StopLimit time.Duration
-	// UnreadyTime is how long callers may still come after the box turned unready.
-	UnreadyTime time.Duration
+	// StopTimeout is how long the process may go on after it was asked to stop.
+	StopTimeout time.Duration
+	// UnreadyDelay is how long callers may still come after the box turned unready.
+	UnreadyDelay time.Duration
 	// OrderGap is how far the orders of two boxes to runners must lie apart.
 	OrderGap time.Duration
-	// WeightsLimit is how long after new weights were named older ones may answer.
-	WeightsLimit time.Duration
+	// OutdatedAfter is how long after new weights were named older ones may answer.
+	OutdatedAfter time.Duration
 	// ServerHeartbeat is how often backend servers write their entries.
 	ServerHeartbeat time.Duration
 	// RetryRatio and RetrySlack bound the retries of all boxes together: so many for
@@ -43,10 +43,10 @@
 	// so many times what it bears, and so many calls more.
 	ColdOverage float64
 	ColdSlack   float64
-	// Off holds mechanisms that are switched off.
-	Off mechanism.Switches
-	// SystemStarts says that the whole system starts for the first time.
-	SystemStarts bool
+	// Mechanisms holds mechanisms that are switched off.
+	Mechanisms mechanism.Switches
+	// FirstSystemStart says that the whole system starts for the first time.
+	FirstSystemStart bool
 	// Cores is the processor that the process may use; 0 where the platform does not say.
 	Cores float64
 	// MemoryBytes bounds the process; 0 is no bound.
@@ -55,23 +55,23 @@
 
 // Defaults of Settings.
 const (
-	DefaultStopLimit = 8 * time.Second
-	// DefaultUnreadyTime spans two questions of the balancer, which asks each second
+	DefaultStopTimeout = 8 * time.Second
+	// DefaultUnreadyDelay spans two questions of the balancer, which asks each second
 	// and believes the second answer.
-	DefaultUnreadyTime  = 2500 * time.Millisecond
-	DefaultOrderGap     = 3 * time.Second
-	DefaultWeightsLimit = 12 * time.Second
-	DefaultRetryRatio   = 0.2
-	DefaultRetrySlack   = 56
-	DefaultColdOverage  = 1.0
+	DefaultUnreadyDelay  = 2500 * time.Millisecond
+	DefaultOrderGap      = 3 * time.Second
+	DefaultOutdatedAfter = 12 * time.Second
+	DefaultRetryRatio    = 0.2
+	DefaultRetrySlack    = 56
+	DefaultColdOverage   = 1.0
 )
 
 // withDefaults fills in what the settings leave open.
 func (s Settings) withDefaults() Settings {
-	s.StopLimit = cmp.Or(s.StopLimit, DefaultStopLimit)
-	s.UnreadyTime = cmp.Or(s.UnreadyTime, DefaultUnreadyTime)
+	s.StopTimeout = cmp.Or(s.StopTimeout, DefaultStopTimeout)
+	s.UnreadyDelay = cmp.Or(s.UnreadyDelay, DefaultUnreadyDelay)
 	s.OrderGap = cmp.Or(s.OrderGap, DefaultOrderGap)
-	s.WeightsLimit = cmp.Or(s.WeightsLimit, DefaultWeightsLimit)
+	s.OutdatedAfter = cmp.Or(s.OutdatedAfter, DefaultOutdatedAfter)
 	s.ServerHeartbeat = cmp.Or(s.ServerHeartbeat, fleet.DefaultHeartbeat)
 	s.RetryRatio = cmp.Or(s.RetryRatio, DefaultRetryRatio)
 	s.RetrySlack = cmp.Or(s.RetrySlack, DefaultRetrySlack)
--- a/internal/fleet/advisory.go
+++ b/internal/fleet/advisory.go
@@ -23,7 +23,7 @@
 	if state == nil {
 		return
 	}
-	if change := state.statements.TakeAnswer(answer); change != (advisory.Change{}) {
+	if change := state.statements.ApplyAnswer(answer); change != (advisory.Change{}) {
 		f.logAdvisory(state, change, sourceAnswer, boottime.Now())
 		f.loadsChanged.Broadcast() // report it to other boxes soon
 	}
@@ -32,7 +32,7 @@
 // applyReport processes another box's report of a server's statements. The caller holds mu.
 func (f *Fleet) applyReport(state *State, report *advisory.Report, now time.Time) {
 	if report != nil {
-		f.logAdvisory(state, state.statements.TakeReport(*report, now), sourceReport, now)
+		f.logAdvisory(state, state.statements.ApplyReport(*report, now), sourceReport, now)
 	}
 }
 
--- a/internal/loadshare/loads.go
+++ b/internal/loadshare/loads.go
@@ -73,7 +73,7 @@
 		total.PendingTokens += load.PendingTokens
 		total.HeldTokens += load.HeldTokens
 		total.PausedFor = max(total.PausedFor, load.PausedFor-now.Sub(r.receivedAt))
-		total.Advisory = advisory.Join(total.Advisory, load.Advisory.After(now.Sub(r.receivedAt)))
+		total.Advisory = advisory.Merge(total.Advisory, load.Advisory.Aged(now.Sub(r.receivedAt)))
 		totals[server] = total
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -33,8 +33,8 @@
 // Config sets up a Relay.
 type Config struct {
 	Engines *engine.Client
-	// Reopen runs a lost request on another server.
-	Reopen func(request *flow.Request, lost *dispatch.Attempt) (*dispatch.Attempt, *apierror.Error)
+	// Rerun runs a lost request on another server.
+	Rerun func(request *flow.Request, lost *dispatch.Attempt) (*dispatch.Attempt, *apierror.Error)
 }
 
 // Relay passes answers on.
@@ -44,7 +44,7 @@
 }
 
 // New makes a relay.
-func New(cfg Config) *Relay { return &Relay{engines: cfg.Engines, reopen: cfg.Reopen} }
+func New(cfg Config) *Relay { return &Relay{engines: cfg.Engines, reopen: cfg.Rerun} }
 
 // Result says how passing an answer on ended.
 type Result struct {
--- a/internal/routed/configure_test.go
+++ b/internal/routed/configure_test.go
@@ -66,6 +66,6 @@
 				g.Expect(got.body).To(HavePrefix(test.prefix), test.name)
 			}
 		}
-		g.Expect(s.router.Evacuated()).To(Equal(test.evacuated), test.name)
+		g.Expect(s.router.EvacuatedZones()).To(Equal(test.evacuated), test.name)
 	}
 }
--- a/internal/routed/deployment_test.go
+++ b/internal/routed/deployment_test.go
@@ -110,7 +110,7 @@
 		s.servers[name] = made
 	}
 	s.router = routed.New(routed.Config{
-		Logger: zerolog.Nop(), Scope: tally.NoopScope, Zone: "a", Boxes: func() int { return 1 },
+		Logger: zerolog.Nop(), Scope: tally.NoopScope, Zone: "a", BoxCount: func() int { return 1 },
 		Budget: retrybudget.New(retrybudget.Config{}), Next: http.NotFoundHandler(),
 	})
 	s.configure(g, func(*config.File) {})
--- a/internal/routed/listed.go
+++ b/internal/routed/listed.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// Listed is the list's word on one backend server.
-type Listed struct {
+// ListEntry is the list's word on one backend server.
+type ListEntry struct {
 	Name string
 	// Incarnation names the life that is there now, and Address where it serves; empty
 	// where the list does not say.
@@ -37,7 +37,7 @@
 
 // take takes over a word of the list. A word on an earlier life is behind and says nothing;
 // one that names no life, or no address, leaves those that are known.
-func (b *belief) take(listed Listed) {
+func (b *belief) take(listed ListEntry) {
 	if slices.Contains(b.earlier, listed.Incarnation) {
 		return
 	}
@@ -51,8 +51,8 @@
 	b.leaving = listed.Leaving
 }
 
-// SetListed takes over the platform's list, as far as it names backend servers.
-func (r *Router) SetListed(all []Listed) {
+// ApplyBoxList takes over the platform's list, as far as it names backend servers.
+func (r *Router) ApplyBoxList(all []ListEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, listed := range all {
--- a/internal/routed/listed_test.go
+++ b/internal/routed/listed_test.go
@@ -16,13 +16,13 @@
 func TestALeavingServerGetsNothingNew(t *testing.T) {
 	g := NewWithT(t)
 	s := start(t, g)
-	for _, list := range [][]routed.Listed{{{Name: "shop-1", Leaving: true}}, nil} { // what a list leaves out stays as it was
-		s.router.SetListed(list)
+	for _, list := range [][]routed.ListEntry{{{Name: "shop-1", Leaving: true}}, nil} { // what a list leaves out stays as it was
+		s.router.ApplyBoxList(list)
 		for range 20 {
 			g.Expect(s.send("GET", "shop.example", "/page", "").body).To(HavePrefix("shop-2 "))
 		}
 	}
-	s.router.SetListed([]routed.Listed{{Name: "shop-1"}})
+	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1"}})
 	for range 40 {
 		s.send("GET", "shop.example", "/page", "")
 	}
@@ -33,12 +33,12 @@
 func TestAServerThatLeavesStaysSoWhateverAnOlderListSays(t *testing.T) {
 	cases := []struct {
 		name  string
-		words []routed.Listed
+		words []routed.ListEntry
 	}{
-		{"an earlier life that does not leave", []routed.Listed{
+		{"an earlier life that does not leave", []routed.ListEntry{
 			{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-1", Incarnation: "one-b", Leaving: true}, {Name: "shop-1", Incarnation: "one-a"},
 		}},
-		{"a word without a life in between", []routed.Listed{
+		{"a word without a life in between", []routed.ListEntry{
 			{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-1"}, {Name: "shop-1", Incarnation: "one-a", Leaving: true},
 		}},
 	}
@@ -47,7 +47,7 @@
 			g := NewWithT(t)
 			s := start(t, g)
 			for _, word := range c.words {
-				s.router.SetListed([]routed.Listed{word})
+				s.router.ApplyBoxList([]routed.ListEntry{word})
 			}
 			for range 20 {
 				g.Expect(s.send("GET", "shop.example", "/page", "").body).To(HavePrefix("shop-2 "))
@@ -61,9 +61,9 @@
 	s := start(t, g)
 	s.answerWith(living("one-a"), "shop-new")
 	there := s.servers["shop-new"].http.Listener.Addr().String()
-	leaving := routed.Listed{Name: "shop-2", Leaving: true}
-	s.router.SetListed([]routed.Listed{{Name: "shop-1", Incarnation: "one-a", Address: there}, leaving})
-	s.router.SetListed([]routed.Listed{{Name: "shop-1"}, leaving})
+	leaving := routed.ListEntry{Name: "shop-2", Leaving: true}
+	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1", Incarnation: "one-a", Address: there}, leaving})
+	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1"}, leaving})
 	g.Expect(s.send("GET", "shop.example", "/page", "").body).To(Equal("one-a ran it"))
 	heads := s.servers["shop-new"].seen()
 	g.Expect(heads).To(HaveLen(1))
@@ -88,12 +88,12 @@
 	s := start(t, g)
 	s.answerWith(living("one-b"), "shop-1") // the list does not know of it yet
 	s.answerWith(living("two-a"), "shop-2")
-	s.router.SetListed([]routed.Listed{{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-2", Incarnation: "two-a"}})
+	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-2", Incarnation: "two-a"}})
 	for range 10 {
 		got := s.send("POST", "shop.example", "/charges/1", "", "Cometlock-Incarnation", "mine")
 		g.Expect(got.body).To(Equal("two-a ran it"))
 	}
-	s.router.SetListed([]routed.Listed{{Name: "shop-1", Incarnation: "one-b"}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}})
+	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1", Incarnation: "one-b"}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}})
 	g.Expect(s.send("POST", "shop.example", "/charges/1", "").body).To(Equal("one-b ran it"))
 }
 
@@ -103,16 +103,16 @@
 	s.answerWith(living("two-a"), "shop-2")
 	s.answerWith(living("one-b"), "shop-new")
 	there := s.servers["shop-new"].http.Listener.Addr().String()
-	moved := []routed.Listed{{Name: "shop-1", Incarnation: "one-b", Address: there}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}}
-	s.router.SetListed([]routed.Listed{{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}})
-	s.router.SetListed(moved)
+	moved := []routed.ListEntry{{Name: "shop-1", Incarnation: "one-b", Address: there}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}}
+	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}})
+	s.router.ApplyBoxList(moved)
 	g.Expect(s.send("GET", "shop.example", "/page", "").body).To(Equal("one-b ran it"))
 	// A list that is behind, and one that leaves the server out.
-	for _, list := range [][]routed.Listed{
+	for _, list := range [][]routed.ListEntry{
 		{{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}},
 		{{Name: "shop-2", Incarnation: "two-a", Leaving: true}},
 	} {
-		s.router.SetListed(list)
+		s.router.ApplyBoxList(list)
 		g.Expect(s.send("GET", "shop.example", "/page", "").body).To(Equal("one-b ran it"))
 		g.Expect(s.calls("shop-1")).To(BeZero())
 	}
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -36,10 +36,10 @@
 	Scope  tally.Scope
 	// Zone is the availability zone of this box.
 	Zone string
-	// Boxes gives the number of entry boxes, this one included, which share the
+	// BoxCount gives the number of entry boxes, this one included, which share the
 	// connections that a server takes.
-	Boxes  func() int
-	Budget *retrybudget.Budget
+	BoxCount func() int
+	Budget   *retrybudget.Budget
 	// LimitPosition says where this box stands among those that share the rate limit of a server; nil
 	// stands for a box alone.
 	LimitPosition func(zone, server string) advisory.Position
@@ -56,7 +56,7 @@
 	// asking is for requests of this box's own.
 	asking http.Client
 
-	// mu guards what Configure and SetListed have told so far, and what is under way.
+	// mu guards what Configure and ApplyBoxList have told so far, and what is under way.
 	mu       sync.Mutex
 	snapshot *config.Snapshot
 	beliefs  map[string]*belief // by the name of the server
@@ -74,9 +74,9 @@
 	nothingNamed := registry.New(registry.Config{Logger: cfg.Logger})
 	r.gateway = gateway.New(gateway.Config{
 		Protocol: Headers{}, Pool: handover.NewPool(handover.PoolConfig{}), Fleet: r.fleet, Parts: partindex.New(partindex.Config{}),
-		Budget: cfg.Budget, BoxCount: cfg.Boxes, Logger: cfg.Logger, Scope: cfg.Scope.SubScope("routed"), Zone: cfg.Zone,
+		Budget: cfg.Budget, BoxCount: cfg.BoxCount, Logger: cfg.Logger, Scope: cfg.Scope.SubScope("routed"), Zone: cfg.Zone,
 		Catalog: r.catalog.Load, Weights: nothingNamed, IsResponsive: r.responds,
-		Retire: retire.New(retire.Config{Registry: nothingNamed, Peers: func() []retire.Peer { return nil }, Boxes: cfg.Boxes}),
+		Retire: retire.New(retire.Config{Registry: nothingNamed, Peers: func() []retire.Peer { return nil }, Boxes: cfg.BoxCount}),
 	})
 	return r
 }
@@ -108,16 +108,16 @@
 	r.fleet.Replace(serversOf(r.snapshot, r.beliefs, r.words))
 }
 
-// Advised gives what servers said of themselves in answers to this box, by server.
-func (r *Router) Advised() map[string]*advisory.Report { return r.fleet.AdvisoryReports() }
+// AdvisoryReports gives what servers said of themselves in answers to this box, by server.
+func (r *Router) AdvisoryReports() map[string]*advisory.Report { return r.fleet.AdvisoryReports() }
 
-// TakeAdvised takes over what servers said to another box.
-func (r *Router) TakeAdvised(reports map[string]*advisory.Report) {
+// ApplyAdvisoryReports takes over what servers said to another box.
+func (r *Router) ApplyAdvisoryReports(reports map[string]*advisory.Report) {
 	r.fleet.ApplyAdvisoryReports(reports)
 }
 
-// Evacuated lists the evacuated zones.
-func (r *Router) Evacuated() []string { return r.fleet.EvacuatedZones() }
+// EvacuatedZones lists the evacuated zones.
+func (r *Router) EvacuatedZones() []string { return r.fleet.EvacuatedZones() }
 
 // InFlight counts the routed calls under way.
 func (r *Router) InFlight() int64 { return r.gateway.InFlight() }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -51,8 +51,8 @@
 	Authority   string
 }
 
-// Set reports whether TLS is wanted.
-func (f TLSFiles) Set() bool { return f.Certificate != "" || f.Key != "" || f.Authority != "" }
+// Enabled reports whether TLS is wanted.
+func (f TLSFiles) Enabled() bool { return f.Certificate != "" || f.Key != "" || f.Authority != "" }
 
 // envPrefix begins every variable.
 const envPrefix = "COMETLOCK_"
@@ -142,10 +142,10 @@
 	if s.LogRetention < minLogRetention {
 		return merry.Errorf("--log-retention (COMETLOCK_LOG_RETENTION): must be at least %s, is %s", minLogRetention, s.LogRetention)
 	}
-	if s.PeerTLS.Set() && (s.PeerTLS.Certificate == "" || s.PeerTLS.Key == "" || s.PeerTLS.Authority == "") {
+	if s.PeerTLS.Enabled() && (s.PeerTLS.Certificate == "" || s.PeerTLS.Key == "" || s.PeerTLS.Authority == "") {
 		return merry.New("--peer-tls-cert, --peer-tls-key and --peer-tls-ca go together")
 	}
-	if s.CallerTLS.Set() && (s.CallerTLS.Certificate == "" || s.CallerTLS.Key == "") {
+	if s.CallerTLS.Enabled() && (s.CallerTLS.Certificate == "" || s.CallerTLS.Key == "") {
 		return merry.New("--caller-tls-cert and --caller-tls-key go together")
 	}
 	return nil
--- a/internal/zone/advise.go
+++ b/internal/zone/advise.go
@@ -14,7 +14,7 @@
 	defer k.mu.Unlock()
 	for _, known := range k.servers {
 		if known != nil && known.config.Address == address {
-			known.advised.TakeAnswer(answer)
+			known.advised.ApplyAnswer(answer)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	now := boottime.Now()
 	for name, report := range reports {
 		if known := k.byName[name]; known != nil && report != nil {
-			known.advised.TakeReport(*report, now)
+			known.advised.ApplyReport(*report, now)
 		}
 	}
 }
