--- a/internal/routed/advise_test.go
+++ b/internal/routed/advisory_test.go
@@ -9,22 +9,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// advise has a server add a header to all of its answers.
-func (s *deployment) advise(server, header, value string) {
+// setAnswerHeader makes a server add a header to all of its answers.
+func (s *deployment) setAnswerHeader(server, header, value string) {
 	named := s.servers[server]
 	named.mu.Lock()
 	defer named.mu.Unlock()
 	named.answer = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(header, value)
-		_, _ = w.Write([]byte(server + " ")) // a caller that left needs no answer
+		_, _ = w.Write([]byte(server + " ")) // fails only when the caller has disconnected
 	}
 }
 
-// Servers of the product's own routes name limits too.
-func TestServersOfRoutesGetNoMoreThanTheyTake(t *testing.T) {
+// Rate limits apply to servers of routes as to those of the platform.
+func TestRoutedServersGetNoMoreThanTheirRateLimit(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
-	s.advise("shop-1", "Cometlock-Rate-Limit", "2")
+	s := startDeployment(t, g)
+	s.setAnswerHeader("shop-1", "Cometlock-Rate-Limit", "2")
 	const length = 2 * time.Second
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		g.Expect(s.send("GET", "shop.example", "/page", "").status).To(Equal(200))
@@ -32,7 +32,7 @@
 	g.Expect(s.servers["shop-1"].calls()).To(BeNumerically("~", 2*length.Seconds()+1, 1.5))
 	g.Expect(s.servers["shop-2"].calls()).To(BeNumerically(">", 100))
 
-	s.advise("shop-2", "Cometlock-Rate-Limit", "0.5")
+	s.setAnswerHeader("shop-2", "Cometlock-Rate-Limit", "0.5")
 	for range 8 {
 		s.send("GET", "shop.example", "/page", "")
 	}
@@ -41,24 +41,24 @@
 	g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 }
 
-func TestServersOfRoutesThatDrainGetNothing(t *testing.T) {
+func TestDrainingRoutedServersGetNoCalls(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
-	s.advise("shop-1", "Cometlock-Draining", "1")
+	s := startDeployment(t, g)
+	s.setAnswerHeader("shop-1", "Cometlock-Draining", "1")
 	for range 40 {
 		g.Expect(s.send("GET", "shop.example", "/page", "").status).To(Equal(200))
 	}
 	g.Expect(s.servers["shop-1"].calls()).To(Equal(1))
-	s.advise("shop-2", "Cometlock-Draining", "1")
+	s.setAnswerHeader("shop-2", "Cometlock-Draining", "1")
 	s.send("GET", "shop.example", "/page", "")
 	got := s.send("GET", "shop.example", "/page", "")
 	g.Expect(got.status).To(Equal(503))
 	g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 }
 
-func TestServersOfRoutesThatAskForAPauseGetOne(t *testing.T) {
+func TestRoutedServersGetNoCallsDuringAPause(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	for _, name := range []string{"shop-1", "shop-2"} {
 		named := s.servers[name]
 		named.mu.Lock()
@@ -79,5 +79,5 @@
 	got := s.send("GET", "shop.example", "/page", "")
 	seconds, err := strconv.Atoi(got.header.Get("Retry-After"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(seconds).To(BeNumerically(">=", 29), "when they take calls again")
+	g.Expect(seconds).To(BeNumerically(">=", 29), "until the end of the pause")
 }
--- a/internal/routed/listed_test.go
+++ b/internal/routed/boxlist_test.go
@@ -1,4 +1,4 @@
-// What the platform's list of boxes changes, since what it says may be late.
+// Effects of the platform's box list, which may be outdated.
 
 package routed_test
 
@@ -13,10 +13,10 @@
 	"github.com/cometlock/cometlock/internal/routed"
 )
 
-func TestALeavingServerGetsNothingNew(t *testing.T) {
+func TestALeavingServerGetsNoNewCalls(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
-	for _, list := range [][]routed.ListEntry{{{Name: "shop-1", Leaving: true}}, nil} { // what a list leaves out stays as it was
+	s := startDeployment(t, g)
+	for _, list := range [][]routed.ListEntry{{{Name: "shop-1", Leaving: true}}, nil} { // a server that a list leaves out keeps its state
 		s.router.ApplyBoxList(list)
 		for range 20 {
 			g.Expect(s.send("GET", "shop.example", "/page", "").body).To(HavePrefix("shop-2 "))
@@ -29,25 +29,26 @@
 	g.Expect(s.calls("shop-1")).To(BeNumerically(">", 0))
 }
 
-// Lists that are behind, or say less, in the midst of others: shop-1 leaves in all cases.
-func TestAServerThatLeavesStaysSoWhateverAnOlderListSays(t *testing.T) {
+// Guards against an outdated or incomplete list that puts a leaving server back into use: shop-1 is
+// leaving in all cases.
+func TestAnOlderListDoesNotRevertALeavingServer(t *testing.T) {
 	cases := []struct {
-		name  string
-		words []routed.ListEntry
+		name    string
+		entries []routed.ListEntry
 	}{
-		{"an earlier life that does not leave", []routed.ListEntry{
+		{"a previous incarnation that is not leaving", []routed.ListEntry{
 			{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-1", Incarnation: "one-b", Leaving: true}, {Name: "shop-1", Incarnation: "one-a"},
 		}},
-		{"a word without a life in between", []routed.ListEntry{
+		{"an entry without an incarnation in between", []routed.ListEntry{
 			{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-1"}, {Name: "shop-1", Incarnation: "one-a", Leaving: true},
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := start(t, g)
-			for _, word := range c.words {
-				s.router.ApplyBoxList([]routed.ListEntry{word})
+			s := startDeployment(t, g)
+			for _, entry := range c.entries {
+				s.router.ApplyBoxList([]routed.ListEntry{entry})
 			}
 			for range 20 {
 				g.Expect(s.send("GET", "shop.example", "/page", "").body).To(HavePrefix("shop-2 "))
@@ -56,22 +57,22 @@
 	}
 }
 
-func TestAWordWithoutALifeLeavesTheKnownOne(t *testing.T) {
+func TestAnEntryWithoutAnIncarnationKeepsTheCurrentOne(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
-	s.answerWith(living("one-a"), "shop-new")
-	there := s.servers["shop-new"].http.Listener.Addr().String()
+	s := startDeployment(t, g)
+	s.answerWith(answerAs("one-a"), "shop-new")
+	address := s.servers["shop-new"].http.Listener.Addr().String()
 	leaving := routed.ListEntry{Name: "shop-2", Leaving: true}
-	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1", Incarnation: "one-a", Address: there}, leaving})
+	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1", Incarnation: "one-a", Address: address}, leaving})
 	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1"}, leaving})
 	g.Expect(s.send("GET", "shop.example", "/page", "").body).To(Equal("one-a ran it"))
-	heads := s.servers["shop-new"].seen()
-	g.Expect(heads).To(HaveLen(1))
-	g.Expect(heads[0].Get("Cometlock-Incarnation")).To(Equal("one-a"))
+	headers := s.servers["shop-new"].receivedHeaders()
+	g.Expect(headers).To(HaveLen(1))
+	g.Expect(headers[0].Get("Cometlock-Incarnation")).To(Equal("one-a"))
 }
 
-// living answers as a server in one of its lives does.
-func living(incarnation string) http.HandlerFunc {
+// answerAs answers as an incarnation of a server does, which rejects calls for any other.
+func answerAs(incarnation string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Cometlock-Incarnation", incarnation)
 		if expected := r.Header.Get("Cometlock-Incarnation"); expected != "" && expected != incarnation {
@@ -83,11 +84,11 @@
 	}
 }
 
-func TestACallReachesOnlyTheLifeOfAServerThatItIsMeantFor(t *testing.T) {
+func TestACallReachesOnlyTheIntendedIncarnation(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
-	s.answerWith(living("one-b"), "shop-1") // the list does not know of it yet
-	s.answerWith(living("two-a"), "shop-2")
+	s := startDeployment(t, g)
+	s.answerWith(answerAs("one-b"), "shop-1") // the list does not include it yet
+	s.answerWith(answerAs("two-a"), "shop-2")
 	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-2", Incarnation: "two-a"}})
 	for range 10 {
 		got := s.send("POST", "shop.example", "/charges/1", "", "Cometlock-Incarnation", "mine")
@@ -97,17 +98,17 @@
 	g.Expect(s.send("POST", "shop.example", "/charges/1", "").body).To(Equal("one-b ran it"))
 }
 
-func TestTheListGoesBeforeTheFileAndNeverBack(t *testing.T) {
+func TestTheListTakesPrecedenceOverTheFileAndNeverGoesBack(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
-	s.answerWith(living("two-a"), "shop-2")
-	s.answerWith(living("one-b"), "shop-new")
-	there := s.servers["shop-new"].http.Listener.Addr().String()
-	moved := []routed.ListEntry{{Name: "shop-1", Incarnation: "one-b", Address: there}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}}
+	s := startDeployment(t, g)
+	s.answerWith(answerAs("two-a"), "shop-2")
+	s.answerWith(answerAs("one-b"), "shop-new")
+	address := s.servers["shop-new"].http.Listener.Addr().String()
+	moved := []routed.ListEntry{{Name: "shop-1", Incarnation: "one-b", Address: address}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}}
 	s.router.ApplyBoxList([]routed.ListEntry{{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}})
 	s.router.ApplyBoxList(moved)
 	g.Expect(s.send("GET", "shop.example", "/page", "").body).To(Equal("one-b ran it"))
-	// A list that is behind, and one that leaves the server out.
+	// An outdated list, and one that leaves the server out.
 	for _, list := range [][]routed.ListEntry{
 		{{Name: "shop-1", Incarnation: "one-a"}, {Name: "shop-2", Incarnation: "two-a", Leaving: true}},
 		{{Name: "shop-2", Incarnation: "two-a", Leaving: true}},
@@ -117,5 +118,5 @@
 		g.Expect(s.calls("shop-1")).To(BeZero())
 	}
 	s.configure(g, func(*config.File) {})
-	g.Expect(s.send("GET", "shop.example", "/page", "").body).To(Equal("one-b ran it"), "nor does a new configuration forget it")
+	g.Expect(s.send("GET", "shop.example", "/page", "").body).To(Equal("one-b ran it"), "a new configuration keeps the address from the list")
 }
--- a/internal/routed/configure_test.go
+++ b/internal/routed/configure_test.go
@@ -1,4 +1,4 @@
-// Versions of the configuration, which come into force whole or not at all.
+// Versions of the configuration, each of which applies as a whole or not at all.
 
 package routed_test
 
@@ -11,9 +11,9 @@
 	"github.com/cometlock/cometlock/internal/config"
 )
 
-func TestANewConfigurationHoldsForTheNextCallAsAWhole(t *testing.T) {
+func TestANewConfigurationAppliesAsAWholeToTheNextCall(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	s.configure(g, func(file *config.File) {
 		for i := range file.Routes {
 			if file.Routes[i].Name == "pages" {
@@ -25,14 +25,14 @@
 		g.Expect(s.send("GET", "shop.example", "/page", "").body).To(HavePrefix("shop-new "))
 	}
 	s.configure(g, func(file *config.File) { file.Routes[0].Splits[0].Service = "none" })
-	g.Expect(s.send("GET", "shop.example", "/page", "").body).To(HavePrefix("shop-new "), "one that cannot be used changes nothing")
+	g.Expect(s.send("GET", "shop.example", "/page", "").body).To(HavePrefix("shop-new "), "an invalid version changes nothing")
 	s.configure(g, func(file *config.File) { file.Routes = nil })
 	g.Expect(s.send("GET", "shop.example", "/page", "").status).To(Equal(404))
 }
 
 func TestServersOfAnEvacuatedZoneGetNoRoutedCalls(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	inZones := func(evacuated ...string) {
 		s.configure(g, func(file *config.File) {
 			file.Zones = []config.Zone{{Name: "a", Region: "r"}, {Name: "b", Region: "r"}}
@@ -53,7 +53,7 @@
 		prefix    string
 	}{
 		{"the other zone", []string{"b"}, 200, "shop-2 "},
-		{"the own zone", []string{"a"}, 200, "shop-1 "},
+		{"the box's own zone", []string{"a"}, 200, "shop-1 "},
 		{"both", []string{"a", "b"}, 503, ""},
 		{"none", nil, 200, "shop-2 "},
 	}
--- a/internal/routed/convert.go
+++ b/internal/routed/convert.go
@@ -1,4 +1,5 @@
-// From a version of the configuration file to the plain data that calls are routed by.
+// Conversion of a version of the configuration file to the catalog and the server list that calls
+// are routed by.
 
 package routed
 
@@ -15,15 +16,15 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// headerLimit bounds the head of a routed call, in bytes; the port's own limit is the
-// same.
+// headerLimit bounds the header of a routed call, in bytes. The port has the same limit.
 const headerLimit = 64 << 10
 
 var kinds = map[config.RouteKind]catalog.Kind{
 	config.RouteRepeatable: catalog.Repeatable, config.RouteOnce: catalog.Once, config.RouteStream: catalog.Stream,
 }
 
-// catalogOf gives the routes of a version of the configuration, with all they need.
+// catalogOf returns the catalog for a version of the configuration: its routes, services,
+// organisations and limits.
 func catalogOf(snapshot *config.Snapshot) (*catalog.Catalog, error) {
 	file := snapshot.File()
 	cfg := catalog.Config{
@@ -47,62 +48,62 @@
 }
 
 func routeOf(route *config.Route) catalog.Route {
-	made := catalog.Route{
+	converted := catalog.Route{
 		Name: route.Name, Host: strings.ToLower(route.Host), PathPrefix: route.PathPrefix, Kind: kinds[route.Kind],
 		Timeout: millis(route.TimeLimitMillis), Objective: millis(route.ObjectiveMillis), Urgency: urgencyOf(route.Priority),
 		MaxServers: route.MaxServers, Public: route.Public, Resumable: route.Resumable,
 	}
 	for _, split := range route.Splits {
-		made.Splits = append(made.Splits, catalog.Split{Service: split.Service, Weight: split.Weight})
+		converted.Splits = append(converted.Splits, catalog.Split{Service: split.Service, Weight: split.Weight})
 	}
-	return made
+	return converted
 }
 
 func serviceOf(service *config.PlainService) catalog.Service {
-	made := catalog.Service{Name: service.Name, ConnectionLimit: service.ConnectionLimit}
+	converted := catalog.Service{Name: service.Name, ConnectionLimit: service.ConnectionLimit}
 	if service.ContextTokens > 0 {
-		made.Engine = &catalog.Engine{CapacityTokens: service.ContextTokens}
+		converted.Engine = &catalog.Engine{CapacityTokens: service.ContextTokens}
 	}
-	return made
+	return converted
 }
 
-// organisationOf gives an organisation with its own namespace of kept context, as on
-// the other paths.
+// organisationOf returns an organisation with its own namespace of kept context, as on the other
+// paths.
 func organisationOf(organisation *config.Organisation) (catalog.Organisation, error) {
-	made := catalog.Organisation{Name: organisation.Name, Isolated: true}
+	converted := catalog.Organisation{Name: organisation.Name, Isolated: true}
 	for _, text := range organisation.KeyHashes {
 		raw, err := hex.DecodeString(text)
 		if err != nil || len(raw) != len(catalog.KeyHash{}) {
-			return made, merry.Errorf("organisation %q: a key's hash is no SHA-256", organisation.Name)
+			return converted, merry.Errorf("organisation %q: the hash of a key is not a SHA-256", organisation.Name)
 		}
-		made.KeyHashes = append(made.KeyHashes, catalog.KeyHash(raw))
+		converted.KeyHashes = append(converted.KeyHashes, catalog.KeyHash(raw))
 	}
 	if organisation.Priority != config.PriorityNormal && organisation.Priority != "" {
 		urgency := urgencyOf(organisation.Priority)
-		made.Urgency = &urgency
+		converted.Urgency = &urgency
 	}
-	return made, nil
+	return converted, nil
 }
 
-// serversOf gives the servers of all plain services. What the platform's list says goes
-// before the file's address. word numbers what the fleet is told.
-func serversOf(snapshot *config.Snapshot, beliefs map[string]*belief, word int64) []fleet.Update {
+// serverUpdates returns the servers of all plain services as updates for the fleet, numbered by
+// offset. An address from the platform's box list takes precedence over the one in the file.
+func serverUpdates(snapshot *config.Snapshot, listStates map[string]*listState, offset int64) []fleet.Update {
 	var updates []fleet.Update
 	for i := range snapshot.File().PlainServices {
 		service := &snapshot.File().PlainServices[i]
 		for _, name := range service.Servers {
-			server, known := snapshot.Server(name)
-			if !known {
-				continue // the check of the file leaves no such name
+			server, found := snapshot.Server(name)
+			if !found {
+				continue // validation of the file excludes unknown names
 			}
-			listed := belief{}
-			if known := beliefs[name]; known != nil {
-				listed = *known
+			listed := listState{}
+			if state := listStates[name]; state != nil {
+				listed = *state
 			}
 			address := cmp.Or(listed.address, server.Address)
-			one := identity(service.Name, name, address, listed.incarnation)
-			updates = append(updates, fleet.Update{Key: one, Offset: word, Server: &fleet.Server{
-				Incarnation: one, Service: service.Name, Address: address, Zone: server.Zone, Slots: server.Slots,
+			key := identity(service.Name, name, address, listed.incarnation)
+			updates = append(updates, fleet.Update{Key: key, Offset: offset, Server: &fleet.Server{
+				Incarnation: key, Service: service.Name, Address: address, Zone: server.Zone, Slots: server.Slots,
 				Leaving: listed.leaving, Weights: weightsOf(snapshot, server),
 			}})
 		}
@@ -110,17 +111,17 @@
 	return updates
 }
 
-// weightsOf numbers the weights of the models that a server answers with. The names of
-// versions have no order here; their numbers only have to differ, since they are a part
-// of the namespace of kept context.
+// weightsOf returns a number for the weights of each model that a server runs. The names of weights
+// versions have no order here. Their numbers only have to differ, since they are part of the
+// namespace of kept context.
 func weightsOf(snapshot *config.Snapshot, server *config.BackendServer) map[string]int {
 	if len(server.Models) == 0 {
 		return nil
 	}
 	weights := map[string]int{}
 	for _, name := range server.Models {
-		if model, known := snapshot.Model(name); known {
-			weights[name] = int(xxhash.Sum64String(model.Weights)>>33) + 1 // 31 bits, and never 0
+		if model, found := snapshot.Model(name); found {
+			weights[name] = int(xxhash.Sum64String(model.Weights)>>33) + 1 // 31 bits, never 0
 		}
 	}
 	return weights
--- a/internal/routed/deployment_test.go
+++ b/internal/routed/deployment_test.go
@@ -1,5 +1,5 @@
-// What the tests of this package share: stand-ins of backend servers, a router before
-// them with routes of each kind, and a caller.
+// Shared by the tests of this package: fake backend servers, a router in front of them with routes
+// of each kind, and a caller.
 
 package routed_test
 
@@ -21,20 +21,20 @@
 	"github.com/cometlock/cometlock/internal/routed"
 )
 
-// server is a stand-in of a backend server that notes the heads of its calls. answer
-// writes its answer, by default one line that names the server.
+// server is a fake backend server that records the headers of its calls. answer writes its answer,
+// by default one line with the server's name.
 type server struct {
 	name   string
 	answer http.HandlerFunc
 	http   *httptest.Server
 
-	mu    sync.Mutex
-	heads []http.Header
+	mu      sync.Mutex
+	headers []http.Header
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.heads = append(s.heads, r.Header.Clone())
+	s.headers = append(s.headers, r.Header.Clone())
 	answer := s.answer
 	s.mu.Unlock()
 	if answer != nil {
@@ -48,15 +48,15 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s %s", s.name, r.Method, r.URL.RequestURI(), body)
 }
 
-func (s *server) calls() int { return len(s.seen()) }
+func (s *server) calls() int { return len(s.receivedHeaders()) }
 
-func (s *server) seen() []http.Header {
+func (s *server) receivedHeaders() []http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]http.Header(nil), s.heads...)
+	return append([]http.Header(nil), s.headers...)
 }
 
-// deployment is a router before some servers.
+// deployment is a router in front of some servers.
 type deployment struct {
 	router  *routed.Router
 	servers map[string]*server
@@ -64,7 +64,7 @@
 	version int64
 }
 
-// fileText has two shops, one new shop, and two engines.
+// fileText configures two shops, one new shop, and two engines.
 const fileText = `deployment: test
 zones: [{name: a, region: r}]
 limits: {body_bytes: 1000}
@@ -96,18 +96,18 @@
   - {name: reviews, host: engines.example, path_prefix: /review/, kind: stream, priority: review, splits: [{service: engines}]}
 `
 
-var names = []string{"shop-1", "shop-2", "shop-new", "engine-1", "engine-2"}
+var serverNames = []string{"shop-1", "shop-2", "shop-new", "engine-1", "engine-2"}
 
-func start(t *testing.T, g *WithT) *deployment {
+func startDeployment(t *testing.T, g *WithT) *deployment {
 	t.Helper()
 	s := &deployment{servers: map[string]*server{}}
-	for _, name := range names {
-		made := &server{name: name}
-		made.http = httptest.NewUnstartedServer(made)
-		made.http.Config.DisableGeneralOptionsHandler = true // an unresponsive server answers none
-		made.http.Start()
-		t.Cleanup(made.http.Close)
-		s.servers[name] = made
+	for _, name := range serverNames {
+		fake := &server{name: name}
+		fake.http = httptest.NewUnstartedServer(fake)
+		fake.http.Config.DisableGeneralOptionsHandler = true // an unresponsive server answers no OPTIONS request
+		fake.http.Start()
+		t.Cleanup(fake.http.Close)
+		s.servers[name] = fake
 	}
 	s.router = routed.New(routed.Config{
 		Logger: zerolog.Nop(), Scope: tally.NoopScope, Zone: "a", BoxCount: func() int { return 1 },
@@ -119,7 +119,7 @@
 	return s
 }
 
-// configure puts the file into force with a change.
+// configure applies the configuration file with a change.
 func (s *deployment) configure(g *WithT, change func(*config.File)) {
 	text := fileText
 	for name, server := range s.servers {
@@ -137,7 +137,7 @@
 	s.router.Configure(snapshot)
 }
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status int
 	header http.Header
@@ -145,7 +145,7 @@
 	err    error
 }
 
-// send makes a call; headers come in pairs and replace those that north sends.
+// send makes a call. Headers come in pairs and replace those of organisation north.
 func (s *deployment) send(method, host, target, body string, headers ...string) answer {
 	request, err := http.NewRequest(method, s.front.URL+target, strings.NewReader(body))
 	if err != nil {
@@ -165,7 +165,7 @@
 	return answer{response.StatusCode, response.Header, string(content), err}
 }
 
-// calls counts the calls that servers got.
+// calls returns the number of calls that the servers received.
 func (s *deployment) calls(servers ...string) int {
 	total := 0
 	for _, name := range servers {
--- a/internal/routed/headers.go
+++ b/internal/routed/headers.go
@@ -1,5 +1,5 @@
-// The product's own words in the headers of routed calls. Those that begin with
-// Cometlock- are the same as on the paths of package api where they mean the same.
+// The product's own headers of routed calls. Those that begin with Cometlock- are the same as on
+// the paths of package api where they have the same meaning.
 
 package routed
 
@@ -16,42 +16,42 @@
 	"github.com/cometlock/cometlock/internal/selfheaders"
 )
 
-// Headers of routed calls, besides those of package api.
+// Headers of routed calls, in addition to those of package api.
 const (
-	// headerModel names the model of a prompt. The body is the prompt, and is passed on
-	// as it is.
+	// headerModel names the model of a prompt. The body is the prompt and is forwarded unchanged.
 	headerModel = "Cometlock-Model"
-	// headerPromptTokens and headerAnswerTokens give the length of the prompt and the
-	// longest answer.
+	// headerPromptTokens and headerAnswerTokens give the length of the prompt and the maximum
+	// length of the answer, in tokens.
 	headerPromptTokens = "Cometlock-Prompt-Tokens"
 	headerAnswerTokens = "Cometlock-Answer-Tokens"
-	// headerPromptParts names the parts of the prompt in order, as "id:tokens,id:tokens". Two
-	// parts with the same id hold the same tokens; the last part is this call's own.
+	// headerPromptParts lists the parts of the prompt in order, as "id:tokens,id:tokens". Two parts
+	// with the same id hold the same tokens; the last part is unique to this call.
 	headerPromptParts = "Cometlock-Prompt-Parts"
-	// headerRemaining tells a server for how many seconds the answer is waited for.
+	// headerRemaining gives a server the time until the call's deadline, in seconds.
 	headerRemaining = "Cometlock-Remaining"
-	// headerNamespace tells a server what kept context it may use: only what was made
-	// under the same name.
+	// headerNamespace restricts the kept context that a server may use to context created under the
+	// same namespace.
 	headerNamespace = "Cometlock-Namespace"
-	// headerIncarnation names a life of a server: in a call the one that it is meant for,
-	// which any other must refuse as not run, and in an answer the one that gave it.
+	// headerIncarnation identifies an incarnation of a server. In a call it is the intended one,
+	// and any other must reject the call as not run. In an answer it is the one that produced the
+	// answer.
 	headerIncarnation = "Cometlock-Incarnation"
-	// headerPriority tells a server which calls go first.
+	// headerPriority gives a server the priority of the call.
 	headerPriority = "Cometlock-Priority"
 
 	headerOrganisation = "X-Organisation"
 	headerResumeAfter  = "Last-Event-Id"
 	headerKey          = "Authorization"
 	headerEncodings    = "Accept-Encoding"
-	headerComeBack     = "Retry-After" // whole seconds, since HTTP knows no others
+	headerRetryAfter   = "Retry-After" // HTTP allows only whole seconds
 )
 
-// secondsDecimals writes seconds to the millisecond.
+// secondsDecimals is the number of decimals that gives milliseconds.
 const secondsDecimals = 3
 
-// boxOnly lists what only a box may tell a server; what a caller sends under these
-// names is dropped.
-var boxOnly = []string{
+// boxHeaders lists the headers that only a box may send to a server. They are dropped from a
+// caller's request.
+var boxHeaders = []string{
 	headerKey, headerOrganisation, headerResumeAfter, headerEncodings, api.HeaderDeadline, api.HeaderOutcome,
 	headerRemaining, headerNamespace, headerPriority, headerIncarnation,
 }
@@ -85,7 +85,7 @@
 	return facts
 }
 
-// readPrompt reads what a caller says of its prompt, and reports whether it can be read.
+// readPrompt parses the caller's description of its prompt, and reports whether it is valid.
 func readPrompt(model string, header http.Header) (*call.Prompt, bool) {
 	prompt := &call.Prompt{Model: model}
 	var tokensRead, answerRead, partsRead bool
@@ -95,13 +95,13 @@
 	return prompt, tokensRead && answerRead && partsRead
 }
 
-// WriteHandover implements call.Protocol. The weights that are meant are in the
-// namespace.
+// WriteHandover implements call.Protocol. The namespace identifies the weights that the call is
+// meant for.
 func (Headers) WriteHandover(header http.Header, handover call.Handover) {
-	for _, name := range boxOnly {
+	for _, name := range boxHeaders {
 		header.Del(name)
 	}
-	// A server that chose an encoding by itself could not be resumed by another.
+	// A stream in an encoding that a server chose could not be resumed by another server.
 	header.Set(headerEncodings, "identity")
 	header.Set(headerRemaining, strconv.FormatFloat(max(handover.Remaining.Seconds(), 0), 'f', secondsDecimals, 64))
 	call.SetIf(header, headerIncarnation, incarnationIn(handover.Server))
@@ -113,9 +113,9 @@
 	}
 }
 
-// ReadMarks implements call.Protocol. A server says with Cometlock-Outcome that it did
-// not run a call; nothing else counts as that. Its answers are not signed: that they
-// come from its address is all that is known.
+// ReadMarks implements call.Protocol. A server states with Cometlock-Outcome that it did not run a
+// call; nothing else counts as that. Its answers are not signed, so they are accepted as genuine
+// because they come from the server's address.
 func (Headers) ReadMarks(status int, header http.Header) call.Marks {
 	return call.Marks{
 		Genuine: true, NotRun: header.Get(api.HeaderOutcome) == string(apierror.NotRun), RequestID: header.Get(api.HeaderRequestID),
@@ -132,25 +132,25 @@
 	}
 	header.Set(api.HeaderOutcome, string(outcome))
 	if verdict.ComeBackAfter > 0 {
-		header.Set(headerComeBack, strconv.Itoa(int(math.Ceil(verdict.ComeBackAfter.Seconds()))))
+		header.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(verdict.ComeBackAfter.Seconds()))))
 	}
 }
 
-// urgencyOf gives the rank of a priority, 0 first.
+// urgencyOf returns the rank of a priority; 0 is the highest.
 func urgencyOf(priority config.Priority) int {
-	for urgency, known := range config.Priorities() {
-		if known == priority {
+	for urgency, listed := range config.Priorities() {
+		if listed == priority {
 			return urgency
 		}
 	}
 	return len(config.Priorities()) - 1
 }
 
-// priorityOf gives the priority of a rank; ranks below and above all count as the nearest.
+// priorityOf returns the priority of a rank. A rank out of range counts as the nearest one in it.
 func priorityOf(urgency int) config.Priority {
 	priorities := config.Priorities()
 	return priorities[min(max(urgency, 0), len(priorities)-1)]
 }
 
-// millis turns a number of the configuration file into a time.
+// millis converts milliseconds from the configuration file to a duration.
 func millis(count int) time.Duration { return time.Duration(count) * time.Millisecond }
--- a/internal/routed/headers_test.go
+++ b/internal/routed/headers_test.go
@@ -22,17 +22,17 @@
 			return
 		}
 		if facts.Patience < 0 || facts.Patience > 366*24*time.Hour {
-			t.Fatalf("a patience of %v", facts.Patience)
+			t.Fatalf("patience is out of range: %v", facts.Patience)
 		}
 		total := facts.Prompt.Tokens + facts.Prompt.AnswerTokens
 		for _, part := range facts.Prompt.Parts {
 			if part.ID == "" || part.Tokens < 0 {
-				t.Fatalf("a part of %+v", part)
+				t.Fatalf("invalid part: %+v", part)
 			}
 			total += part.Tokens
 		}
 		if total < 0 || facts.Prompt.Tokens < 0 || facts.Prompt.AnswerTokens < 0 {
-			t.Fatalf("a prompt of %+v", facts.Prompt)
+			t.Fatalf("invalid prompt: %+v", facts.Prompt)
 		}
 	})
 }
--- a/internal/routed/limit.go
+++ b/internal/routed/limit.go
@@ -1,5 +1,5 @@
-// The bound of an organisation's calls in flight. Nothing waits here for a turn, so a call
-// above it is refused at once.
+// The limit on an organisation's calls in flight. There is no queue, so a call above the limit is
+// refused at once.
 
 package routed
 
@@ -11,29 +11,29 @@
 	"github.com/cometlock/cometlock/internal/apierror"
 )
 
-// limitPause is when a caller above its organisation's limit is asked to come back: calls
-// of web services commonly take less.
-const limitPause = time.Second
+// limitRetryAfter is the delay after which a caller above its organisation's limit is asked to
+// retry. Calls of web services commonly take less.
+const limitRetryAfter = time.Second
 
-// enter counts a call of the organisation that owns its key, and gives what takes it back;
-// the refusal when the organisation has as many as it may. Calls without a known key are
-// judged later, by their route.
-func (r *Router) enter(header http.Header) (leave func(), refusal *apierror.Error) {
+// admit counts a call for the organisation that owns its key, and returns a function that releases
+// it, or a refusal when the organisation is at its limit. Calls without a known key are checked
+// later, by their route.
+func (r *Router) admit(header http.Header) (release func(), refusal *apierror.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	organisation, known := r.snapshot.OrganisationByKey(api.BearerKey(header))
-	if !known {
+	organisation, found := r.snapshot.OrganisationByKey(api.BearerKey(header))
+	if !found {
 		return func() {}, nil
 	}
 	name := organisation.Name
 	if r.inFlight[name] >= organisation.MaxInFlight {
-		return nil, apierror.Busy("organisation_limit", limitPause, "the organisation has %d calls in flight, its limit", organisation.MaxInFlight)
+		return nil, apierror.Busy("organisation_limit", limitRetryAfter, "the organisation has %d calls in flight, its limit", organisation.MaxInFlight)
 	}
 	r.inFlight[name]++
-	return func() { r.leave(name) }, nil
+	return func() { r.release(name) }, nil
 }
 
-func (r *Router) leave(organisation string) {
+func (r *Router) release(organisation string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.inFlight[organisation]--; r.inFlight[organisation] == 0 {
--- a/internal/routed/limit_test.go
+++ b/internal/routed/limit_test.go
@@ -14,7 +14,7 @@
 
 func TestAnOrganisationHasNoMoreCallsInFlightThanItsLimit(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	s.configure(g, func(file *config.File) {
 		for i := range file.Organisations {
 			file.Organisations[i].MaxInFlight = 2
@@ -23,25 +23,25 @@
 			file.Routes[i].TimeLimitMillis = 30_000
 		}
 	})
-	goOn := make(chan struct{})
-	letGo := sync.OnceFunc(func() { close(goOn) })
-	t.Cleanup(letGo) // also when an expectation fails
+	released := make(chan struct{})
+	release := sync.OnceFunc(func() { close(released) })
+	t.Cleanup(release) // also when an expectation fails
 	s.answerWith(func(w http.ResponseWriter, _ *http.Request) {
-		<-goOn
+		<-released
 		_, _ = fmt.Fprint(w, "done")
 	}, "shop-1", "shop-2")
-	var held sync.WaitGroup
+	var pending sync.WaitGroup
 	call := func(key string) { s.send("POST", "shop.example", "/charges/1", "", "Authorization", "Bearer "+key) }
 	for _, key := range []string{"key", "key-2", "key-south"} {
-		held.Go(func() { call(key) })
+		pending.Go(func() { call(key) })
 	}
 	g.Eventually(func() int { return s.calls("shop-1", "shop-2") }, 5*time.Second, time.Millisecond).Should(Equal(3))
 	got := s.send("POST", "shop.example", "/charges/1", "", "Cometlock-Deadline", "0.5")
-	g.Expect(got.status).To(Equal(http.StatusTooManyRequests), "both keys are of one organisation")
+	g.Expect(got.status).To(Equal(http.StatusTooManyRequests), "both keys belong to one organisation")
 	g.Expect(got.header.Get("Cometlock-Outcome")).To(Equal("not-run"))
 	g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 	g.Expect(s.calls("shop-1", "shop-2")).To(Equal(3))
-	letGo()
-	held.Wait()
+	release()
+	pending.Wait()
 	g.Expect(s.send("POST", "shop.example", "/charges/1", "").body).To(Equal("done"))
 }
--- a/internal/routed/outcomes_test.go
+++ b/internal/routed/outcomes_test.go
@@ -1,5 +1,5 @@
-// How calls end whose first run does not: they run again, go on elsewhere, are refused,
-// or are given up with their caller.
+// Outcomes of calls whose first attempt fails: they are retried, resumed elsewhere, refused, or
+// cancelled with their caller.
 
 package routed_test
 
@@ -14,14 +14,14 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestACallRunsAgainOnlyWhereItsRouteLetsIt(t *testing.T) {
-	lost := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	notRun := func(w http.ResponseWriter, _ *http.Request) {
+func TestACallIsRetriedOnlyWhereItsRouteAllows(t *testing.T) {
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Cometlock-Outcome", "not-run")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	failed := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
-	late := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
+	stall := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	for _, c := range []struct {
 		name, target string
 		answer       http.HandlerFunc
@@ -29,15 +29,15 @@
 		outcome      string
 		runs         int
 	}{
-		{"a repeatable call that was lost", "/page", lost, 502, "unknown", 2},
-		{"a call that runs once and was lost", "/charges/1", lost, 502, "unknown", 1},
-		{"a call that runs once and did not run", "/charges/1", notRun, 503, "not-run", 2},
-		{"a call that runs once and failed", "/charges/1", failed, 500, "", 1},
-		{"a call that runs once and is late", "/charges/1", late, 504, "unknown", 1},
+		{"a repeatable call whose connection breaks", "/page", abort, 502, "unknown", 2},
+		{"a run-once call whose connection breaks", "/charges/1", abort, 502, "unknown", 1},
+		{"a run-once call that did not run", "/charges/1", refuse, 503, "not-run", 2},
+		{"a run-once call that failed", "/charges/1", fail, 500, "", 1},
+		{"a run-once call that exceeds its time limit", "/charges/1", stall, 504, "unknown", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := start(t, g)
+			s := startDeployment(t, g)
 			s.answerWith(c.answer, "shop-1", "shop-2")
 			got := s.send("POST", "shop.example", c.target, "")
 			g.Expect(got.status).To(Equal(c.status))
@@ -48,9 +48,9 @@
 	}
 }
 
-func TestACallThatNoServerTakesSaysInWholeSecondsWhenToComeBack(t *testing.T) {
+func TestARefusedCallHasRetryAfterInWholeSeconds(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	for _, name := range []string{"shop-1", "shop-2"} {
 		s.servers[name].http.Close()
 	}
@@ -60,9 +60,9 @@
 	g.Expect(got.header.Get("Retry-After")).To(MatchRegexp(`^[1-9][0-9]*$`))
 }
 
-func TestAStreamGoesOnAtAnotherServerAfterItsLastEvent(t *testing.T) {
+func TestAStreamResumesAtAnotherServerAfterItsLastEvent(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	var mu sync.Mutex
 	var resumed []string
 	s.answerWith(func(w http.ResponseWriter, r *http.Request) {
@@ -84,9 +84,9 @@
 	g.Expect(resumed).To(Equal([]string{"", "2"}))
 }
 
-func TestACallerThatLeavesEndsItsCallAtOnce(t *testing.T) {
+func TestACallerDisconnectCancelsItsCallAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	ended := make(chan struct{})
 	s.answerWith(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
--- a/internal/routed/prompts_test.go
+++ b/internal/routed/prompts_test.go
@@ -1,4 +1,4 @@
-// Prompts: what callers say of them, and which of them may share kept context.
+// Prompts: the headers that describe them, and which prompts may share kept context.
 
 package routed_test
 
@@ -12,9 +12,9 @@
 	"github.com/cometlock/cometlock/internal/config"
 )
 
-func TestPromptsAreDescribedByTheirCallersAndKeptApartByTheBox(t *testing.T) {
+func TestPromptHeadersAreValidatedAndNamespacesSeparateWeights(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	for _, c := range []struct {
 		target, model, tokens, parts string
 		status                       int
@@ -39,7 +39,7 @@
 	namespaces := map[string]bool{}
 	priorities := map[string]int{}
 	for _, name := range []string{"engine-1", "engine-2"} {
-		for _, head := range s.servers[name].seen() {
+		for _, head := range s.servers[name].receivedHeaders() {
 			namespaces[head.Get("Cometlock-Namespace")] = true
 			priorities[head.Get("Cometlock-Priority")]++
 			g.Expect(head.Get("Cometlock-Model")).To(Equal("m"))
@@ -51,24 +51,24 @@
 	s.configure(g, func(file *config.File) { file.Models[0].Weights = "v2" })
 	s.send("POST", "engines.example", "/a", "prompt", "Cometlock-Model", "m", "Cometlock-Prompt-Tokens", "300")
 	for _, name := range []string{"engine-1", "engine-2"} {
-		for _, head := range s.servers[name].seen() {
+		for _, head := range s.servers[name].receivedHeaders() {
 			namespaces[head.Get("Cometlock-Namespace")] = true
 		}
 	}
-	g.Expect(namespaces).To(HaveLen(2), "other weights, other kept context")
+	g.Expect(namespaces).To(HaveLen(2), "other weights get another namespace")
 }
 
-func TestAllKeysOfAnOrganisationAreOneCallerAndOthersAreKeptApart(t *testing.T) {
+func TestKeysOfAnOrganisationShareANamespaceAndOthersDoNot(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	s.answerWith(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, r.Header.Get("X-Organisation"), " ", r.Header.Get("Cometlock-Namespace"), " ", r.Header.Get("Cometlock-Priority"))
 	}, "engine-1", "engine-2")
-	ask := func(key, target string) string {
+	bodyFor := func(key, target string) string {
 		return s.send("POST", "engines.example", target, "prompt", "Authorization", "Bearer "+key, "Cometlock-Model", "m", "Cometlock-Prompt-Tokens", "300").body
 	}
-	north := ask("key", "/a")
+	north := bodyFor("key", "/a")
 	g.Expect(north).To(MatchRegexp("^north m/[0-9]+/north normal$"))
-	g.Expect(ask("key-2", "/a")).To(Equal(north))
-	g.Expect(ask("key-south", "/review/a")).To(MatchRegexp("^south m/[0-9]+/south instant$"), "an organisation's priority goes before a route's")
+	g.Expect(bodyFor("key-2", "/a")).To(Equal(north))
+	g.Expect(bodyFor("key-south", "/review/a")).To(MatchRegexp("^south m/[0-9]+/south instant$"), "an organisation's priority takes precedence over a route's")
 }
--- a/internal/routed/responsive.go
+++ b/internal/routed/responsive.go
@@ -1,4 +1,4 @@
-// Whether a server answers anything at all, whatever it is busy with.
+// Probes that check whether a server responds at all, however busy it is.
 
 package routed
 
@@ -10,17 +10,17 @@
 	"github.com/cometlock/cometlock/internal/fleet"
 )
 
-// responds reports whether a server answers a request that does nothing: OPTIONS * (RFC 9110, 9.3.7).
-// Any answer will do.
-func (r *Router) responds(ctx context.Context, server fleet.Server) bool {
+// isResponsive reports whether a server answers a request that does nothing: OPTIONS * (RFC 9110,
+// 9.3.7). Any status counts as an answer.
+func (r *Router) isResponsive(ctx context.Context, server fleet.Server) bool {
 	request := (&http.Request{
 		Method: http.MethodOptions, URL: &url.URL{Scheme: "http", Host: server.Address, Opaque: "*"}, Header: http.Header{}, Close: true,
 	}).WithContext(ctx)
-	response, err := r.asking.Do(request)
+	response, err := r.probeClient.Do(request)
 	if err != nil {
 		r.cfg.Logger.Debug().Str("server", server.Incarnation).Str("error", err.Error()).Msg("server_unresponsive")
 		return false
 	}
-	_ = response.Body.Close() // nothing of it is needed
+	_ = response.Body.Close() // the body is not needed
 	return true
 }
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -1,10 +1,9 @@
-// Package routed serves the routes of cometlock's own configuration file with the
-// stages of package gateway, which serve the calls of the users' platform too.
+// Package routed serves the routes of cometlock's own configuration file. It uses the stages of
+// package gateway, which also serve the calls of the users' platform.
 //
-// Only the words differ between the two: here routes, services and servers come from
-// one version of the configuration file (convert.go), and what callers and servers say
-// stands in the headers of headers.go. Calls that no route takes are passed to the paths
-// that every deployment has.
+// The two differ only in their inputs and headers: here routes, services and servers come from one
+// version of the configuration file (convert.go), and headers.go defines the headers that callers
+// and servers use. Calls that match no route are passed to the paths that every deployment has.
 package routed
 
 import (
@@ -30,20 +29,20 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// Config sets up a Router.
+// Config configures a Router.
 type Config struct {
 	Logger zerolog.Logger
 	Scope  tally.Scope
 	// Zone is the availability zone of this box.
 	Zone string
-	// BoxCount gives the number of entry boxes, this one included, which share the
-	// connections that a server takes.
+	// BoxCount returns the number of entry boxes, this one included, that share the connections a
+	// server accepts.
 	BoxCount func() int
 	Budget   *retrybudget.Budget
-	// LimitPosition says where this box stands among those that share the rate limit of a server; nil
-	// stands for a box alone.
+	// LimitPosition returns this box's position among the boxes that share a server's rate limit;
+	// nil means that there is no other box.
 	LimitPosition func(zone, server string) advisory.Position
-	// Next serves the calls that no route takes.
+	// Next serves the calls that match no route.
 	Next http.Handler
 }
 
@@ -53,76 +52,77 @@
 	fleet   *fleet.Fleet
 	gateway *gateway.Gateway
 	catalog atomic.Pointer[catalog.Catalog]
-	// asking is for requests of this box's own.
-	asking http.Client
+	// probeClient sends the requests that this box makes to check whether a server responds.
+	probeClient http.Client
 
-	// mu guards what Configure and ApplyBoxList have told so far, and what is under way.
-	mu       sync.Mutex
-	snapshot *config.Snapshot
-	beliefs  map[string]*belief // by the name of the server
-	// inFlight counts the calls under way of each organisation.
+	// mu guards the latest state from Configure and ApplyBoxList, and the counts of calls in
+	// flight.
+	mu         sync.Mutex
+	snapshot   *config.Snapshot
+	listStates map[string]*listState // by server name
+	// inFlight counts each organisation's calls in flight.
 	inFlight map[string]int
-	// words counts what the fleet was told, since it takes the newest word alone.
-	words int64
+	// fleetOffset numbers the updates of the fleet, which ignores those with an older offset.
+	fleetOffset int64
 }
 
-// New makes a router without routes.
+// New returns a router without routes.
 func New(cfg Config) *Router {
-	r := &Router{cfg: cfg, fleet: fleet.New(fleet.Config{Logger: cfg.Logger, LimitPosition: cfg.LimitPosition}), beliefs: map[string]*belief{}, inFlight: map[string]int{}}
-	// Nothing is kept for routed calls and no weights are named for them, so the index
-	// of kept parts stays empty and the registry, which follows no log, knows nothing.
-	nothingNamed := registry.New(registry.Config{Logger: cfg.Logger})
+	r := &Router{cfg: cfg, fleet: fleet.New(fleet.Config{Logger: cfg.Logger, LimitPosition: cfg.LimitPosition}), listStates: map[string]*listState{}, inFlight: map[string]int{}}
+	// Routed calls use no stored context and no declared weights, so the part index stays empty,
+	// and so does the registry, which follows no log.
+	emptyRegistry := registry.New(registry.Config{Logger: cfg.Logger})
 	r.gateway = gateway.New(gateway.Config{
 		Protocol: Headers{}, Pool: handover.NewPool(handover.PoolConfig{}), Fleet: r.fleet, Parts: partindex.New(partindex.Config{}),
 		Budget: cfg.Budget, BoxCount: cfg.BoxCount, Logger: cfg.Logger, Scope: cfg.Scope.SubScope("routed"), Zone: cfg.Zone,
-		Catalog: r.catalog.Load, Weights: nothingNamed, IsResponsive: r.responds,
-		Retire: retire.New(retire.Config{Registry: nothingNamed, Peers: func() []retire.Peer { return nil }, Boxes: cfg.BoxCount}),
+		Catalog: r.catalog.Load, Weights: emptyRegistry, IsResponsive: r.isResponsive,
+		Retire: retire.New(retire.Config{Registry: emptyRegistry, Peers: func() []retire.Peer { return nil }, Boxes: cfg.BoxCount}),
 	})
 	return r
 }
 
-// Configure takes over a version of the configuration. One that cannot be used leaves
-// the last in force.
+// Configure applies a version of the configuration. An invalid version leaves the previous one in
+// force.
 func (r *Router) Configure(snapshot *config.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next, err := catalogOf(snapshot)
 	if err != nil {
-		r.cfg.Logger.Error().Int64("version", snapshot.Version()).Str("error", err.Error()).Msg("routes_not_understood")
+		r.cfg.Logger.Error().Int64("version", snapshot.Version()).Str("error", err.Error()).Msg("routes_invalid")
 		return
 	}
 	r.snapshot = snapshot
 	for _, zone := range snapshot.File().Zones {
 		r.fleet.ApplyEvacuation(evacuation.Change{Zone: zone.Name, Evacuate: zone.Evacuated, Offset: snapshot.Version()})
 	}
-	r.tellFleet()
+	r.updateFleet()
 	r.catalog.Store(next)
 }
 
-// tellFleet tells the fleet which servers there are. The caller holds mu.
-func (r *Router) tellFleet() {
+// updateFleet replaces the fleet's list of servers. The caller holds mu.
+func (r *Router) updateFleet() {
 	if r.snapshot == nil {
 		return
 	}
-	r.words++
-	r.fleet.Replace(serversOf(r.snapshot, r.beliefs, r.words))
+	r.fleetOffset++
+	r.fleet.Replace(serverUpdates(r.snapshot, r.listStates, r.fleetOffset))
 }
 
-// AdvisoryReports gives what servers said of themselves in answers to this box, by server.
+// AdvisoryReports returns what servers stated about themselves in answers to this box, by server.
 func (r *Router) AdvisoryReports() map[string]*advisory.Report { return r.fleet.AdvisoryReports() }
 
-// ApplyAdvisoryReports takes over what servers said to another box.
+// ApplyAdvisoryReports applies the advisory reports that another box received from servers.
 func (r *Router) ApplyAdvisoryReports(reports map[string]*advisory.Report) {
 	r.fleet.ApplyAdvisoryReports(reports)
 }
 
-// EvacuatedZones lists the evacuated zones.
+// EvacuatedZones returns the evacuated zones.
 func (r *Router) EvacuatedZones() []string { return r.fleet.EvacuatedZones() }
 
-// InFlight counts the routed calls under way.
+// InFlight returns the number of routed calls in flight.
 func (r *Router) InFlight() int64 { return r.gateway.InFlight() }
 
-// ServeHTTP serves a call by its route, or passes it on.
+// ServeHTTP serves a call by its route, or passes it to Next.
 func (r *Router) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	routes := r.catalog.Load()
 	if routes == nil || routes.Route(request.Host, request.URL.Path) == nil {
@@ -132,12 +132,12 @@
 	id := "req_" + uuid.NewString()
 	request.Header.Set(api.HeaderRequestID, id)
 	w.Header().Set(api.HeaderRequestID, id)
-	leave, refusal := r.enter(request.Header)
+	release, refusal := r.admit(request.Header)
 	if refusal != nil {
 		r.cfg.Logger.Warn().Str("request", id).Str("reason", refusal.Code).Str("detail", refusal.Message).Msg("call_refused")
 		api.WriteError(w, refusal)
 		return
 	}
-	defer leave()
+	defer release()
 	r.gateway.ServeHTTP(w, request)
 }
--- a/internal/routed/routes_test.go
+++ b/internal/routed/routes_test.go
@@ -1,4 +1,4 @@
-// Which calls reach which servers, and what servers learn of them.
+// Which calls reach which servers, and which headers servers receive.
 
 package routed_test
 
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestCallsGoByHostAndLongestPrefix(t *testing.T) {
+func TestCallsAreRoutedByHostAndLongestPrefix(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	for _, c := range []struct {
 		host, target string
 		status       int
@@ -31,13 +31,13 @@
 	for range 40 {
 		s.send("GET", "shop.example", "/new/page", "")
 	}
-	g.Expect(s.calls("shop-new")-before).To(Equal(10), "one of four calls")
+	g.Expect(s.calls("shop-new")-before).To(Equal(10), "a quarter of the calls")
 }
 
-func TestServersLearnWhoseCallItIsAndNothingThatCallersMadeUp(t *testing.T) {
+func TestServersGetTheCallersOrganisationAndNoForgedHeaders(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
-	told := map[string]int{}
+	s := startDeployment(t, g)
+	organisations := map[string]int{}
 	for _, c := range []struct {
 		target, key string
 		status      int
@@ -58,23 +58,23 @@
 		}
 	}
 	for _, name := range []string{"shop-1", "shop-2"} {
-		for _, head := range s.servers[name].seen() {
+		for _, head := range s.servers[name].receivedHeaders() {
 			g.Expect(head).NotTo(HaveKey("Authorization"))
 			g.Expect(head).NotTo(HaveKey("Cometlock-Namespace"))
 			g.Expect(head).NotTo(HaveKey("Cometlock-Incarnation"))
-			told[head.Get("X-Organisation")]++
+			organisations[head.Get("X-Organisation")]++
 			g.Expect(head.Get("Cometlock-Request-Id")).To(HavePrefix("req_"))
 			g.Expect(head.Get("Cometlock-Remaining")).NotTo(Equal("99"))
 		}
 	}
-	g.Expect(told).To(Equal(map[string]int{"north": 1, "": 1}), "the owner of the key, and nobody on a public route")
+	g.Expect(organisations).To(Equal(map[string]int{"north": 1, "": 1}), "the key's organisation, and none on a public route")
 }
 
 func TestBodiesOverTheLimitReachNoServer(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	got := s.send("POST", "shop.example", "/page", strings.Repeat("x", 1001))
 	g.Expect(got.status).To(Equal(413))
 	g.Expect(got.header.Get("Cometlock-Outcome")).To(Equal("not-run"))
-	g.Expect(s.calls(names...)).To(BeZero())
+	g.Expect(s.calls(serverNames...)).To(BeZero())
 }
--- a/internal/routed/unresponsive_test.go
+++ b/internal/routed/unresponsive_test.go
@@ -11,16 +11,16 @@
 	"github.com/cometlock/cometlock/internal/config"
 )
 
-// An engine was unresponsive, so its call went to another one that was as unresponsive: it neither
-// refused the call nor ran it, and after 200 ms the first engine was left. The first one then answered,
-// and nobody was there.
+// Guards against a hedge to an engine that is unresponsive too. Such an engine neither refused the
+// call nor ran it, and after 200 ms the attempt at the first engine was cancelled. The first engine
+// then answered, but the box no longer waited for it:
 //
 //	try_lost try=1 reason=no_answer silent=true ended_by=box server=engines/engine-1
 //	server_refused try=2 reason=503 server=engines/engine-2
 //	call outcome=unknown status=502
 func TestACallIsNotHandedToAnEngineThatIsUnresponsiveToo(t *testing.T) {
 	g := NewWithT(t)
-	s := start(t, g)
+	s := startDeployment(t, g)
 	s.configure(g, func(file *config.File) {
 		for i := range file.Routes {
 			file.Routes[i].ObjectiveMillis, file.Routes[i].MaxServers = 200, 2
@@ -53,12 +53,12 @@
 			}
 			w.Header().Set("Content-Type", "text/event-stream")
 			for id := range 3 {
-				_, _ = fmt.Fprintf(w, "id: %d\ndata: event\n\n", id+1) // a caller that left needs no answer
+				_, _ = fmt.Fprintf(w, "id: %d\ndata: event\n\n", id+1) // fails only when the caller has disconnected
 			}
 		}
 		engine.mu.Unlock()
 	}
 	got := s.send("POST", "engines.example", "/a", "prompt", "Cometlock-Model", "m", "Cometlock-Prompt-Tokens", "300")
 	g.Expect(got.status).To(Equal(200))
-	g.Expect(begun).To(HaveLen(1), "the other engine has not seen the call")
+	g.Expect(begun).To(HaveLen(1), "the other engine has not received the call")
 }
