--- a/internal/entrybox/ports.go
+++ b/internal/entrybox/ports.go
@@ -1,7 +1,6 @@
-// The ports of a box, and what answers on each. Callers, the balancer and collectors of
-// metrics each have a server of their own, so that at a stop the callers' port can close
-// while the balancer is still told why no more callers should come. The port for other
-// boxes is served by package loadshare.
+// The ports of a box and their handlers. Callers, the balancer and collectors of metrics each have
+// a separate HTTP server, so that at a stop the callers' port can close while the balancer still
+// gets the reason why the box is unready. Package loadshare serves the port for other boxes.
 
 package entrybox
 
@@ -17,23 +16,21 @@
 	"github.com/cometlock/cometlock/internal/callerconn"
 )
 
-// Limits of connections from outside where the configuration names none, and of those
-// of the balancer.
+// Limits of callers' connections where the configuration sets none, and of the balancer's.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
 )
 
-// metricsPath is where collectors find the metrics, on the port of the balancer and on
-// their own.
+// metricsPath is the path of the metrics, on the balancer's port and on the metrics port.
 const metricsPath = "/metrics"
 
-// ports are the open ports of a box; metrics is nil without an address of their own.
+// ports are the open ports of a box; metrics is nil without a separate address.
 type ports struct{ callers, ready, peers, readers, places, metrics net.Listener }
 
-// openPorts opens all ports before anything runs, so that one that is taken is one
-// clear error.
+// openPorts opens all ports before anything runs, so that a port in use is reported as one clear
+// error.
 func (b *Box) openPorts() error {
 	for _, port := range []struct {
 		name     string
@@ -48,7 +45,7 @@
 		{"metrics", b.settings.MetricsAddress, &b.ports.metrics},
 	} {
 		if port.address == "" && port.listener == &b.ports.metrics {
-			continue // metrics need no address of their own
+			continue // a separate address for metrics is optional
 		}
 		listener, err := net.Listen("tcp", port.address)
 		if err != nil {
@@ -60,50 +57,50 @@
 	return nil
 }
 
-// closePorts closes the ports of a box that does not start.
+// closePorts closes the ports of a box that fails to start.
 func (b *Box) closePorts() {
 	for _, listener := range []net.Listener{b.ports.callers, b.ports.ready, b.ports.peers, b.ports.readers, b.ports.places, b.ports.metrics} {
 		if listener != nil {
-			_ = listener.Close() // nothing has used it
+			_ = listener.Close() // not used yet
 		}
 	}
 }
 
-// CallerAddress gives the address that callers reach; its port is the one that was
-// opened where the settings name port 0.
+// CallerAddress returns the address for callers. Where the settings have port 0 it has the port
+// that was opened.
 func (b *Box) CallerAddress() string { return b.ports.callers.Addr().String() }
 
-// ReadyAddress gives the address that the balancer asks.
+// ReadyAddress returns the address that the balancer polls.
 func (b *Box) ReadyAddress() string { return b.ports.ready.Addr().String() }
 
-// PeerAddress gives the address that other boxes reach.
+// PeerAddress returns the address for other boxes.
 func (b *Box) PeerAddress() string { return b.ports.peers.Addr().String() }
 
-// ReaderAddress gives the address that boxes which follow this one ask.
+// ReaderAddress returns the address for boxes that follow this one.
 func (b *Box) ReaderAddress() string { return b.ports.readers.Addr().String() }
 
-// PlacesAddress gives the address that boxes ask for places at servers.
+// PlacesAddress returns the address at which boxes request places at servers.
 func (b *Box) PlacesAddress() string { return b.ports.places.Addr().String() }
 
-// assembleServers makes what answers on the ports.
+// assembleServers creates the HTTP servers of the ports.
 func (b *Box) assembleServers() {
-	b.callers = &http.Server{
+	b.callerServer = &http.Server{
 		Handler: http.HandlerFunc(b.serveCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: callerconn.Track,
 	}
-	b.ready = &http.Server{Handler: b.readyHandler(), ReadHeaderTimeout: headerTimeout}
+	b.readyServer = &http.Server{Handler: b.readyHandler(), ReadHeaderTimeout: headerTimeout}
 	if b.ports.metrics != nil {
-		b.collect = &http.Server{Handler: b.metricsHandler(), ReadHeaderTimeout: headerTimeout}
+		b.metricsServer = &http.Server{Handler: b.metricsHandler(), ReadHeaderTimeout: headerTimeout}
 	}
 }
 
-// serveAll begins to answer on all ports but that for other boxes, callers last.
+// serveAll starts serving all ports except those for other boxes, the callers' port last.
 func (b *Box) serveAll() {
-	b.serve(b.ready, b.ports.ready)
-	if b.collect != nil {
-		b.serve(b.collect, b.ports.metrics)
+	b.serve(b.readyServer, b.ports.ready)
+	if b.metricsServer != nil {
+		b.serve(b.metricsServer, b.ports.metrics)
 	}
-	b.serve(b.callers, callerconn.Listener{Listener: b.ports.callers, Limits: b.callerLimits})
+	b.serve(b.callerServer, callerconn.Listener{Listener: b.ports.callers, Limits: b.callerLimits})
 }
 
 func (b *Box) serve(server *http.Server, listener net.Listener) {
@@ -114,8 +111,8 @@
 	})
 }
 
-// serveCaller serves one call. While the box leaves, each answer tells its caller to
-// use another connection, so that few are left when the port closes.
+// serveCaller serves one call. While the box is leaving, each answer closes its connection, so that
+// callers use others and few are left when the port closes.
 func (b *Box) serveCaller(w http.ResponseWriter, r *http.Request) {
 	if b.leaving.Load() {
 		w.Header().Set("Connection", "close")
@@ -123,7 +120,7 @@
 	b.gateway.ServeHTTP(w, r)
 }
 
-// callerLimits gives the limits of callers' connections by the configuration in force.
+// callerLimits returns the limits of callers' connections from the configuration in force.
 func (b *Box) callerLimits() callerconn.Limits {
 	configuration := b.registry.Catalog()
 	if configuration == nil {
@@ -133,7 +130,7 @@
 	return callerconn.Limits{Header: limits.HeaderTime, Idle: limits.IdleTime}
 }
 
-// readyHandler answers the balancer, and collectors of metrics.
+// readyHandler serves the balancer and collectors of metrics.
 func (b *Box) readyHandler() http.Handler {
 	e := b.metricsHandler()
 	e.GET(b.cfg.ReadyPath, func(c echo.Context) error {
@@ -145,7 +142,7 @@
 	return e
 }
 
-// unreadyReason says why the balancer should send no callers, or nothing.
+// unreadyReason returns why the balancer should send no calls, or "" if the box is ready.
 func (b *Box) unreadyReason() string {
 	switch {
 	case b.leaving.Load():
@@ -159,7 +156,7 @@
 	}
 }
 
-// metricsHandler answers collectors alone.
+// metricsHandler serves only collectors of metrics.
 func (b *Box) metricsHandler() *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
--- a/internal/entrybox/ports_test.go
+++ b/internal/entrybox/ports_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestABoxThatCannotOpenAllItsPortsKeepsNone(t *testing.T) {
+func TestABoxThatCannotOpenAllPortsClosesThoseItOpened(t *testing.T) {
 	g := NewWithT(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/entrybox/settings.go
+++ b/internal/entrybox/settings.go
@@ -1,4 +1,4 @@
-// Settings of a box, and what holds where the platform names nothing.
+// The settings of a box and their defaults.
 
 package entrybox
 
@@ -10,54 +10,56 @@
 	"github.com/cometlock/cometlock/internal/mechanism"
 )
 
-// Settings are what a box needs to know when it starts.
+// Settings are the startup settings of a box.
 type Settings struct {
 	Box  string
 	Zone string
-	// Regions gives the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// IP addresses and ports for callers, for the balancer, for other boxes' work, for boxes
-	// that follow this one, and for boxes that ask it for places; port 0 takes a free one.
+	// IP addresses and ports for callers, for the balancer, for reports of other boxes, for boxes
+	// that follow this one, and for boxes that request places from it. Port 0 selects a free port.
 	CallerAddress string
 	ReadyAddress  string
 	PeerAddress   string
 	ReaderAddress string
 	PlacesAddress string
-	// MetricsAddress is for collectors alone; empty leaves them the balancer's.
+	// MetricsAddress serves only collectors of metrics. Where it is empty they use the balancer's
+	// address, which serves metrics in any case.
 	MetricsAddress string
-	// StopTimeout is how long the process may go on after it was asked to stop.
+	// StopTimeout is how long the process may keep running after it was asked to stop.
 	StopTimeout time.Duration
-	// UnreadyDelay is how long callers may still come after the box turned unready.
+	// UnreadyDelay is how long new calls may still arrive after the box has reported unready.
 	UnreadyDelay time.Duration
-	// OrderGap is how far the orders of two boxes to runners must lie apart.
+	// OrderGap is the minimum time between the orders of two boxes to runners.
 	OrderGap time.Duration
-	// OutdatedAfter is how long after new weights were named older ones may answer.
+	// OutdatedAfter is how long older weights may still answer after new ones were declared.
 	OutdatedAfter time.Duration
-	// ServerHeartbeat is how often backend servers write their entries.
+	// ServerHeartbeat is the interval at which backend servers write their registry entries.
 	ServerHeartbeat time.Duration
-	// RetryRatio and RetrySlack bound the retries of all boxes together: so many for
-	// each call, and so many more.
+	// RetryRatio and RetrySlack bound the retries of all boxes together: RetryRatio for each call,
+	// plus RetrySlack.
 	RetryRatio float64
 	RetrySlack float64
-	// ColdOverage and ColdSlack bound what all boxes together send a cold server in any second:
-	// so many times what it bears, and so many calls more.
+	// ColdOverage and ColdSlack bound the calls that all boxes together send to a cold server in
+	// any second: ColdOverage times its capacity, plus ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
-	// Mechanisms holds mechanisms that are switched off.
+	// Mechanisms records which mechanisms are switched off.
 	Mechanisms mechanism.Switches
-	// FirstSystemStart says that the whole system starts for the first time.
+	// FirstSystemStart says that the whole system is starting for the first time.
 	FirstSystemStart bool
-	// Cores is the processor that the process may use; 0 where the platform does not say.
+	// Cores is the number of processor cores that the process may use; 0 if the platform does not
+	// specify it.
 	Cores float64
-	// MemoryBytes bounds the process; 0 is no bound.
+	// MemoryBytes limits the memory of the process; 0 means no limit.
 	MemoryBytes int64
 }
 
 // Defaults of Settings.
 const (
 	DefaultStopTimeout = 8 * time.Second
-	// DefaultUnreadyDelay spans two questions of the balancer, which asks each second
-	// and believes the second answer.
+	// DefaultUnreadyDelay covers two polls of the balancer, which polls each second and acts on the
+	// second failure.
 	DefaultUnreadyDelay  = 2500 * time.Millisecond
 	DefaultOrderGap      = 3 * time.Second
 	DefaultOutdatedAfter = 12 * time.Second
@@ -66,7 +68,7 @@
 	DefaultColdOverage   = 1.0
 )
 
-// withDefaults fills in what the settings leave open.
+// withDefaults returns the settings with defaults in place of zero values.
 func (s Settings) withDefaults() Settings {
 	s.StopTimeout = cmp.Or(s.StopTimeout, DefaultStopTimeout)
 	s.UnreadyDelay = cmp.Or(s.UnreadyDelay, DefaultUnreadyDelay)
--- a/internal/entrybox/upkeep.go
+++ b/internal/entrybox/upkeep.go
@@ -1,5 +1,5 @@
-// What a box looks after once a second: its part of what all boxes share, which
-// follows their number, and the gauges.
+// Work that a box does once a second: it adapts its part of the retry budget to the number of
+// boxes, and updates the gauges.
 
 package entrybox
 
@@ -10,16 +10,15 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// upkeepEvery is the time between two looks at what follows the number of boxes and
-// at what gauges show.
-const upkeepEvery = time.Second
+// upkeepInterval is the time between two updates of the retry budget and the gauges.
+const upkeepInterval = time.Second
 
-// callsToldEvery is the time between two lines on the calls of the platform's log.
-const callsToldEvery = 10 * time.Second
+// callCountInterval is the time between two log lines on the calls to the platform's log.
+const callCountInterval = 10 * time.Second
 
-// tellCalls writes a line on the calls of the platform's log since the last one: each has a
-// price, and this tells which box made them and why.
-func (b *Box) tellCalls() {
+// logCallCounts logs the calls to the platform's log since the last line. Each call has a price,
+// and the line shows which box made them and why.
+func (b *Box) logCallCounts() {
 	counts := b.log.TakeCounts()
 	if len(counts) == 0 {
 		return
@@ -31,17 +30,17 @@
 	event.Msg("log_calls")
 }
 
-// noteSuspension writes down that the machine was suspended, and for how long. What the box knows
-// is as much older from now on (package boottime).
-func (b *Box) noteSuspension(length time.Duration) {
+// onResume logs that the machine was suspended, and for how long. The suspension adds to the age of
+// all of the box's state (package boottime).
+func (b *Box) onResume(length time.Duration) {
 	b.logger.Warn().Dur("length", length).Msg("machine_suspended")
-	b.woke.Broadcast()
+	b.resumed.Broadcast()
 }
 
-// loopWake ends the calls whose time passed in a suspension, until ctx ends.
-func (b *Box) loopWake(ctx context.Context) {
+// loopCancelExpired cancels the calls whose deadline passed during a suspension, until ctx ends.
+func (b *Box) loopCancelExpired(ctx context.Context) {
 	for ctx.Err() == nil {
-		woke := b.woke.Chan()
+		woke := b.resumed.Chan()
 		select {
 		case <-woke:
 			b.gateway.CancelExpired()
@@ -50,19 +49,18 @@
 	}
 }
 
-// loopUpkeep keeps gauges, and this box's part of what all boxes share, until ctx
-// ends.
+// loopUpkeep updates the gauges and this box's part of the retry budget until ctx ends.
 func (b *Box) loopUpkeep(ctx context.Context) {
-	ticker := time.NewTicker(upkeepEvery)
+	ticker := time.NewTicker(upkeepInterval)
 	defer ticker.Stop()
-	toldAt := boottime.Now()
+	loggedAt := boottime.Now()
 	for {
-		if boottime.Since(toldAt) >= callsToldEvery {
-			toldAt = boottime.Now()
-			b.tellCalls()
+		if boottime.Since(loggedAt) >= callCountInterval {
+			loggedAt = boottime.Now()
+			b.logCallCounts()
 		}
 		b.budget.SetBurst(b.retryBurst())
-		b.showGauges()
+		b.updateGauges()
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -71,20 +69,20 @@
 	}
 }
 
-// Retry budget. The platform bounds the retries of all boxes together by a share of
-// the calls and a number on top. A box takes half of the share, since calls of the
-// last seconds count, and its part of most of the number.
+// Retry budget. The platform bounds the retries of all boxes together by a ratio of the calls plus
+// a fixed number (the slack). A box uses half of the ratio, because the calls of the last seconds
+// count too, and an equal part of most of the slack.
 const (
-	retryRatioPart = 0.5
-	retrySlackPart = 0.7
+	retryRatioFraction = 0.5
+	retrySlackFraction = 0.7
 )
 
-// retryBurst is this box's part of the retries that need no calls.
+// retryBurst returns this box's part of the slack, the retries that need no calls.
 func (b *Box) retryBurst() float64 {
-	return max(1, retrySlackPart*b.settings.RetrySlack/float64(b.share.BoxCount()))
+	return max(1, retrySlackFraction*b.settings.RetrySlack/float64(b.share.BoxCount()))
 }
 
-func (b *Box) showGauges() {
+func (b *Box) updateGauges() {
 	scope := b.metrics.Scope()
 	scope.Gauge("calls_in_flight").Update(float64(b.gateway.InFlight()))
 	scope.Gauge("calls_waiting").Update(float64(b.gateway.Waiting()))
@@ -94,7 +92,7 @@
 	held, suspected := b.quarantine.Counts()
 	scope.Gauge("requests_held").Update(float64(held))
 	scope.Gauge("requests_suspected").Update(float64(suspected))
-	scope.Gauge("order_lease_held").Update(oneIf(b.lease.Held()))
+	scope.Gauge("order_lease_held").Update(boolGauge(b.lease.Held()))
 	scope.Gauge("servers_known").Update(float64(b.fleet.CountListed()))
 	cold, own := b.fleet.CountCold()
 	scope.Gauge("servers_cold").Update(float64(cold))
@@ -105,8 +103,8 @@
 	scope.Gauge("zones_evacuated").Update(float64(len(b.fleet.EvacuatedZones())))
 	scope.Gauge("servers_read_age_seconds").Update(b.registry.ServersAge().Seconds())
 	scope.Gauge("boxes_known").Update(float64(b.share.BoxCount()))
-	scope.Gauge("is_hub").Update(oneIf(b.share.Hub() == ""))
-	scope.Gauge("reads_for_itself").Update(oneIf(b.readers.Following() == ""))
+	scope.Gauge("is_hub").Update(boolGauge(b.share.Hub() == ""))
+	scope.Gauge("reads_for_itself").Update(boolGauge(b.readers.Following() == ""))
 	scope.Gauge("boxes_heard").Update(float64(len(b.share.Peers()) + 1))
 	if catalog := b.registry.Catalog(); catalog != nil {
 		scope.Gauge("configuration_version").Update(float64(catalog.Version()))
@@ -125,9 +123,9 @@
 	}
 }
 
-// oneIf is how gauges show what holds or not.
-func oneIf(holds bool) float64 {
-	if holds {
+// boolGauge returns the value of a gauge that shows a boolean.
+func boolGauge(set bool) float64 {
+	if set {
 		return 1
 	}
 	return 0
