--- a/internal/advisory/advisory.go
+++ b/internal/advisory/advisory.go
@@ -1,14 +1,15 @@
-// Package advisory keeps what a backend server says of itself in its answers: the rate of requests
-// that it takes from all boxes together, that it drains, and that it wants a pause from one box.
+// Package advisory records what a backend server states about itself in its answers: the request
+// rate that it accepts from all boxes together, whether it is draining, and whether it asks one box
+// for a pause.
 //
-// An answer is newer than the server's entry in the registry, which may lag by seconds or not be
-// written at all while the registry is down. A Record holds the newest statement for one incarnation
-// of a server, from this box's own answers or from the reports of other boxes. It is plain data; the
-// time is a parameter.
+// An answer is newer than the server's entry in the registry, which may lag by seconds, or not be
+// written at all while the registry is down. A Record holds the newest statement of one incarnation
+// of a server, from this box's own answers or from the reports of other boxes. It is plain data;
+// the current time is a parameter.
 //
-// Answers overtake one another, so statements are ordered by time. One that names a limit counts from
-// when it was received; one without a limit counts from when its request was sent, since the server
-// may have written it at any moment after that.
+// Answers may arrive out of order, so statements are ordered by time. A statement that gives a
+// limit is dated to when it was received. One without a limit is dated to when its request was
+// sent, since the server may have written it at any time after that.
 package advisory
 
 import (
@@ -16,66 +17,68 @@
 	"time"
 )
 
-// LimitStatement is what an answer says of a rate limit.
+// LimitStatement is what an answer states about a rate limit.
 type LimitStatement uint8
 
-// Statements on a rate limit.
+// The kinds of LimitStatement.
 const (
-	// LimitAbsent answers name no limit.
+	// LimitAbsent means that the answer gives no limit.
 	LimitAbsent LimitStatement = iota
-	// LimitNamed answers name one.
+	// LimitNamed means that the answer gives a limit.
 	LimitNamed
-	// LimitMalformed answers name one that cannot be read: there is a limit, as far as known the
-	// same as before.
+	// LimitMalformed means that the answer gives a limit that cannot be parsed. A limit exists
+	// then, and the previous value is assumed to apply.
 	LimitMalformed
 )
 
-// Advisory is what one answer says of the server that gave it. The zero value says nothing.
+// Advisory is what one answer states about the server that gave it. The zero value states nothing.
 type Advisory struct {
-	// Draining servers take nothing new, and end soon.
+	// Draining means that the server accepts no new requests and will soon exit.
 	Draining bool
 	Limit    LimitStatement
-	// PerSecond is the named limit in requests a second.
+	// PerSecond is the rate limit in requests per second.
 	PerSecond float64
-	// Pause is how long the server wants nothing from the box that it answers.
+	// Pause is how long the server wants no requests from the box that it answers.
 	Pause time.Duration
 }
 
-// Answer is an advisory with the times of the exchange that it came by.
+// Answer is an advisory with the times of its request and response.
 type Answer struct {
 	Advisory
-	// Sent is when the request was handed over, Received when the head of the answer came.
+	// Sent is when the request was sent to the server, and Received when the header of the answer
+	// was received.
 	Sent, Received time.Time
-	// Genuine says that the server made the answer, so that what it leaves out is not lost.
+	// Genuine means that the answer came from the server itself, so a header that it lacks was not
+	// lost on the way.
 	Genuine bool
 }
 
-// leastPerSecond is the rate, in requests a second, that is taken for the limit of a server that names
-// a lower one or zero: without any request nothing would show that the limit has ended.
-const leastPerSecond = 0.1
+// minPerSecond is the rate limit, in requests per second, that is assumed for a server that gives a
+// lower one or zero. Without any requests, no answer would show that the limit has ended.
+const minPerSecond = 0.1
 
 const (
-	// limitReportedFor is how long after its last answer with a limit a box reports it to others,
-	// and endReportedFor how long it reports the end of one.
+	// limitReportedFor is how long after its last answer with a limit a box reports the limit to
+	// others, and endReportedFor how long it reports the end of a limit.
 	limitReportedFor = time.Minute
 	endReportedFor   = 10 * time.Second
 )
 
-// Report is what one box tells others of its own answers from a server.
+// Report is what one box reports to others from its own answers of a server.
 type Report struct {
-	_msgpack struct{} `msgpack:",as_array"` // names of fields would be half of it
+	_msgpack struct{} `msgpack:",as_array"` // field names would double the size
 
-	// LimitKnown says that there is a statement on a rate limit, PerSecond is the limit in requests a
-	// second, zero where there is none any more, and LimitAge how old the statement is.
+	// LimitKnown means that there is a statement on a rate limit. PerSecond is the limit in
+	// requests per second, or zero if it has ended, and LimitAge is the age of the statement.
 	LimitKnown bool          `msgpack:"k,omitempty"`
 	PerSecond  float64       `msgpack:"l,omitempty"`
 	LimitAge   time.Duration `msgpack:"a,omitempty"`
-	// Draining says that the server drains, as of DrainingAge ago.
+	// Draining means that the server is draining, and DrainingAge is the age of that statement.
 	Draining    bool          `msgpack:"d,omitempty"`
 	DrainingAge time.Duration `msgpack:"e,omitempty"`
 }
 
-// Aged gives a report as it is to be passed on some time later.
+// Aged returns the report as it is to be forwarded after some time has passed.
 func (r *Report) Aged(passed time.Duration) *Report {
 	if r == nil {
 		return nil
@@ -86,7 +89,7 @@
 	return &later
 }
 
-// Merge gives the newest statements of two reports, either of which may be missing.
+// Merge returns the newest statements of two reports, either of which may be nil.
 func Merge(a, b *Report) *Report {
 	if a == nil || b == nil {
 		return cmp.Or(a, b)
@@ -107,32 +110,33 @@
 	at        time.Time
 }
 
-// Record is what is known of one incarnation of a server. The zero value knows nothing. It is not
+// Record holds the statements of one incarnation of a server. The zero value holds none. It is not
 // safe for concurrent use.
 type Record struct {
-	// newest is the newest statement, and own the newest of this box's own answers, which alone is
-	// reported: a statement that boxes passed on in turn would never grow old.
+	// newest is the newest statement, and own the newest from this box's own answers. Only own is
+	// reported to other boxes: a statement that boxes forwarded to each other would never expire.
 	newest, own limit
-	// drainingAt is when the server last said that it drains, ownDrainingAt when it said so to this box,
-	// and readyAt when its entry said again that it does not.
+	// drainingAt is when the server last stated that it is draining, ownDrainingAt when it last did
+	// so to this box, and readyAt when its registry entry last changed from draining to ready.
 	drainingAt, ownDrainingAt, readyAt time.Time
-	// pausedUntil is until when the server wants nothing from this box. Others are not told of it.
+	// pausedUntil is the end of the pause that the server asked of this box. It is not reported to
+	// other boxes.
 	pausedUntil time.Time
 }
 
-// Change is what a statement changed.
+// Change describes the effect of a statement.
 type Change struct {
-	// Limit says that the rate limit is another one, Draining that the server drains from now on, and
-	// Paused that it wants nothing from now on.
+	// Limit means that the rate limit changed, Draining that the server began to drain, and Paused
+	// that a pause began.
 	Limit, Draining, Paused bool
 }
 
-// ApplyAnswer takes over what an answer says.
+// ApplyAnswer applies the statements of an answer.
 func (r *Record) ApplyAnswer(answer Answer) Change {
-	change := Change{Limit: r.takeLimit(answer)}
+	change := Change{Limit: r.applyAnswerLimit(answer)}
 	if answer.Draining {
 		r.ownDrainingAt = answer.Received
-		change.Draining = r.drains(answer.Received)
+		change.Draining = r.noteDraining(answer.Received)
 	}
 	if until := answer.Received.Add(answer.Pause); answer.Pause > 0 && until.After(r.pausedUntil) {
 		change.Paused = r.PausedFor(answer.Received) == 0
@@ -141,24 +145,25 @@
 	return change
 }
 
-// PausedFor is how much longer the server wants nothing from this box; zero when it takes calls. An
-// answer without a pause ends none.
+// PausedFor returns how much longer the server wants no requests from this box; zero if it is not
+// paused. An answer without a pause does not end an earlier one.
 func (r *Record) PausedFor(now time.Time) time.Duration { return max(r.pausedUntil.Sub(now), 0) }
 
-// ApplyReport takes over what another box reported. now is when the report came.
+// ApplyReport applies another box's report, which was received at the time now.
 func (r *Record) ApplyReport(report Report, now time.Time) Change {
 	change := Change{}
 	if report.LimitKnown && report.PerSecond >= 0 {
-		change.Limit = r.take(limit{report.PerSecond, now.Add(-max(report.LimitAge, 0))})
+		change.Limit = r.applyLimit(limit{report.PerSecond, now.Add(-max(report.LimitAge, 0))})
 	}
 	if report.Draining {
-		change.Draining = r.drains(now.Add(-max(report.DrainingAge, 0)))
+		change.Draining = r.noteDraining(now.Add(-max(report.DrainingAge, 0)))
 	}
 	return change
 }
 
-// drains notes that the server drained at a time, and reports whether that is news.
-func (r *Record) drains(at time.Time) bool {
+// noteDraining records that the server was draining at a time, and reports whether it counts as
+// draining only since then.
+func (r *Record) noteDraining(at time.Time) bool {
 	before := r.Draining()
 	if at.After(r.drainingAt) {
 		r.drainingAt = at
@@ -166,15 +171,17 @@
 	return r.Draining() && !before
 }
 
-// Draining reports whether the server drains. It does until it ends, unless it was ready again.
+// Draining reports whether the server is draining. A server drains until it exits, unless its
+// registry entry becomes ready again.
 func (r *Record) Draining() bool { return r.drainingAt.After(r.readyAt) }
 
-// NoteReady notes that the server's entry said that it drains, and says at a time that it no longer does.
+// NoteReady records the time at which the server's registry entry changed from draining to ready.
 func (r *Record) NoteReady(at time.Time) { r.readyAt = at }
 
-// takeLimit takes over what an answer says of a rate limit, and reports whether the limit changed.
-func (r *Record) takeLimit(answer Answer) (changed bool) {
-	next := limit{max(answer.PerSecond, leastPerSecond), answer.Received}
+// applyAnswerLimit applies what an answer states about the rate limit, and reports whether the
+// limit changed.
+func (r *Record) applyAnswerLimit(answer Answer) (changed bool) {
+	next := limit{max(answer.PerSecond, minPerSecond), answer.Received}
 	switch answer.Limit {
 	case LimitNamed:
 	case LimitMalformed:
@@ -191,10 +198,10 @@
 	if next.at.After(r.own.at) {
 		r.own = next
 	}
-	return r.take(next)
+	return r.applyLimit(next)
 }
 
-func (r *Record) take(next limit) (changed bool) {
+func (r *Record) applyLimit(next limit) (changed bool) {
 	if !next.at.After(r.newest.at) {
 		return false
 	}
@@ -203,13 +210,13 @@
 	return changed
 }
 
-// Limit gives the rate in requests a second that the server takes from all boxes together, and how
-// old the newest statement of it is; false when it names none.
+// Limit returns the rate in requests per second that the server accepts from all boxes together,
+// and the age of its newest statement on it. It returns false if there is no limit.
 func (r *Record) Limit(now time.Time) (perSecond float64, age time.Duration, limited bool) {
 	return r.newest.perSecond, now.Sub(r.newest.at), r.newest.perSecond > 0
 }
 
-// Report gives what other boxes are to know; nil when there is nothing.
+// Report returns the report for other boxes, or nil if there is nothing to report.
 func (r *Record) Report(now time.Time) *Report {
 	report := Report{}
 	reportedFor := limitReportedFor
--- a/internal/advisory/advisory_test.go
+++ b/internal/advisory/advisory_test.go
@@ -9,13 +9,13 @@
 	"github.com/cometlock/cometlock/internal/advisory"
 )
 
-// statement is an answer or a report, at times counted from the start of the test.
+// statement is an answer or a report, with times relative to the start of the test.
 type statement struct {
 	limit          advisory.LimitStatement
 	perSecond      float64
 	sent, received time.Duration
 	genuine        bool
-	// reported says that it is another box's report, of age reportedAge.
+	// reported means that it is another box's report, whose statement is reportedAge old.
 	reported    bool
 	reportedAge time.Duration
 }
@@ -32,7 +32,7 @@
 	return statement{perSecond: perSecond, reportedAge: age, received: received, reported: true}
 }
 
-func TestTheNewestStatementCounts(t *testing.T) {
+func TestTheNewestStatementApplies(t *testing.T) {
 	tests := []struct {
 		name       string
 		statements []statement
@@ -42,17 +42,17 @@
 		{"an answer without a limit", []statement{absent(1, 2)}, 0},
 		{"a limit", []statement{named(2, 1, 2)}, 2},
 		{"a limit that changes", []statement{named(2, 1, 2), named(0.5, 3, 4)}, 0.5},
-		{"a limit of zero is asked now and then", []statement{named(0, 1, 2)}, 0.1},
+		{"a limit of zero still allows a few requests", []statement{named(0, 1, 2)}, 0.1},
 		{"the end of a limit", []statement{named(2, 1, 2), absent(3, 4)}, 0},
-		{"an answer to a request that was sent before the limit was known", []statement{named(2, 1, 3), absent(2, 4)}, 2},
-		{"an answer that the server did not make", []statement{named(2, 1, 2), {sent: 3, received: 4}}, 2},
-		{"a limit that cannot be read", []statement{{limit: advisory.LimitMalformed, sent: 1, received: 2}}, 0},
-		{"a limit that can no longer be read", []statement{named(2, 1, 2), {limit: advisory.LimitMalformed, sent: 3, received: 4}}, 2},
+		{"an answer to a request that was sent before the limit was received", []statement{named(2, 1, 3), absent(2, 4)}, 2},
+		{"an answer that did not come from the server", []statement{named(2, 1, 2), {sent: 3, received: 4}}, 2},
+		{"a malformed limit", []statement{{limit: advisory.LimitMalformed, sent: 1, received: 2}}, 0},
+		{"a malformed limit after a valid one", []statement{named(2, 1, 2), {limit: advisory.LimitMalformed, sent: 3, received: 4}}, 2},
 		{"another box's report", []statement{report(2, 1, 3)}, 2},
 		{"an older report", []statement{named(3, 1, 4), report(2, 2, 5)}, 3},
-		{"the end by a report", []statement{named(3, 1, 2), report(0, 1, 5)}, 0},
+		{"the end of a limit in a report", []statement{named(3, 1, 2), report(0, 1, 5)}, 0},
 		{"a report of an earlier end", []statement{named(3, 1, 6), report(0, 2, 7)}, 3},
-		{"again after its end", []statement{named(2, 1, 2), absent(3, 4), named(2, 5, 6)}, 2},
+		{"a limit after the end of an earlier one", []statement{named(2, 1, 2), absent(3, 4), named(2, 5, 6)}, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// A box reports its own answers alone: a limit that boxes passed on in turn would seem to be named
-// anew for ever.
+// Guards against limits that never expire because boxes forward each other's reports: a box reports
+// only its own answers.
 func TestOnlyOwnAnswersAreReported(t *testing.T) {
 	g := NewWithT(t)
 	begin := time.Now()
@@ -88,26 +88,26 @@
 
 	record.ApplyAnswer(advisory.Answer{Advisory: advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: 3}, Sent: begin, Received: begin.Add(time.Second), Genuine: true})
 	g.Expect(*record.Report(begin.Add(3 * time.Second))).To(Equal(advisory.Report{LimitKnown: true, PerSecond: 3, LimitAge: 2 * time.Second}))
-	g.Expect(record.Report(begin.Add(2*time.Minute))).To(BeNil(), "an old one")
+	g.Expect(record.Report(begin.Add(2*time.Minute))).To(BeNil(), "outdated limit")
 
 	record.ApplyAnswer(advisory.Answer{Sent: begin.Add(2 * time.Second), Received: begin.Add(3 * time.Second), Genuine: true})
-	g.Expect(*record.Report(begin.Add(4 * time.Second))).To(Equal(advisory.Report{LimitKnown: true, LimitAge: 2 * time.Second}), "the end")
-	g.Expect(record.Report(begin.Add(20*time.Second))).To(BeNil(), "an old end")
+	g.Expect(*record.Report(begin.Add(4 * time.Second))).To(Equal(advisory.Report{LimitKnown: true, LimitAge: 2 * time.Second}), "end of the limit")
+	g.Expect(record.Report(begin.Add(20*time.Second))).To(BeNil(), "outdated end")
 }
 
-// A server drains until it ends, whatever its later answers or older reports say, unless its entry says
-// that it no longer does.
+// A server drains until it exits, whatever its later answers or older reports state, unless its
+// registry entry becomes ready again.
 func TestAServerDrainsUntilItIsReadyAgain(t *testing.T) {
 	g := NewWithT(t)
 	begin := time.Now()
 	at := func(seconds int) time.Time { return begin.Add(time.Duration(seconds) * time.Second) }
-	says := func(draining bool, received int) advisory.Answer {
+	answer := func(draining bool, received int) advisory.Answer {
 		return advisory.Answer{Advisory: advisory.Advisory{Draining: draining}, Sent: at(received - 1), Received: at(received), Genuine: true}
 	}
 	var own, other advisory.Record
-	g.Expect(own.ApplyAnswer(says(true, 2))).To(Equal(advisory.Change{Draining: true}))
-	g.Expect(own.ApplyAnswer(says(true, 3))).To(Equal(advisory.Change{}), "known already")
-	own.ApplyAnswer(says(false, 4))
+	g.Expect(own.ApplyAnswer(answer(true, 2))).To(Equal(advisory.Change{Draining: true}))
+	g.Expect(own.ApplyAnswer(answer(true, 3))).To(Equal(advisory.Change{}), "already draining")
+	own.ApplyAnswer(answer(false, 4))
 	g.Expect(own.Draining()).To(BeTrue())
 
 	report := own.Report(at(5))
@@ -117,20 +117,20 @@
 	other.NoteReady(at(6))
 	g.Expect(other.Draining()).To(BeFalse())
 	other.ApplyReport(*own.Report(at(7)), at(7))
-	g.Expect(other.Draining()).To(BeFalse(), "said before it was ready again")
+	g.Expect(other.Draining()).To(BeFalse(), "the statement is older than the ready entry")
 	own.NoteReady(at(8))
 	g.Expect(own.Report(at(8))).To(BeNil())
-	g.Expect(own.ApplyAnswer(says(true, 9)).Draining).To(BeTrue(), "it drains once more")
+	g.Expect(own.ApplyAnswer(answer(true, 9)).Draining).To(BeTrue(), "draining again")
 }
 
-// A hub passes on the newest of what each box reports.
-func TestReportsAreJoinedStatementByStatement(t *testing.T) {
+// A hub forwards the newest statements of all boxes' reports.
+func TestReportsAreMergedStatementByStatement(t *testing.T) {
 	g := NewWithT(t)
 	limit := &advisory.Report{LimitKnown: true, PerSecond: 2, LimitAge: time.Second}
 	older := &advisory.Report{LimitKnown: true, PerSecond: 5, LimitAge: 2 * time.Second, Draining: true, DrainingAge: time.Second}
-	joined := advisory.Report{LimitKnown: true, PerSecond: 2, LimitAge: time.Second, Draining: true, DrainingAge: time.Second}
-	g.Expect(*advisory.Merge(limit, older)).To(Equal(joined))
-	g.Expect(*advisory.Merge(older, limit)).To(Equal(joined))
+	merged := advisory.Report{LimitKnown: true, PerSecond: 2, LimitAge: time.Second, Draining: true, DrainingAge: time.Second}
+	g.Expect(*advisory.Merge(limit, older)).To(Equal(merged))
+	g.Expect(*advisory.Merge(older, limit)).To(Equal(merged))
 	g.Expect(advisory.Merge(nil, limit)).To(Equal(limit))
 	g.Expect(advisory.Merge(limit, nil)).To(Equal(limit))
 	g.Expect(*limit.Aged(time.Second)).To(Equal(advisory.Report{LimitKnown: true, PerSecond: 2, LimitAge: 2 * time.Second, DrainingAge: time.Second}))
--- a/internal/advisory/share_test.go
+++ b/internal/advisory/share_test.go
@@ -9,26 +9,26 @@
 	"github.com/cometlock/cometlock/internal/advisory"
 )
 
-// All boxes that hear each other divide the limit among them, and where they do not hear each other, all
-// parts together do.
+// The boxes that receive each other's reports divide the limit among them. While they are
+// partitioned, the shares of all parts together add up to the limit.
 func TestSharesAddUpToTheLimit(t *testing.T) {
 	tests := []struct {
 		name   string
 		limit  float64
 		listed int
-		// parts are the boxes that hear each other.
+		// parts are the sizes of the groups of boxes that receive each other's reports.
 		parts []int
-		// sharers are the boxes that have a share in all.
+		// sharers is the total number of boxes that have a share.
 		sharers int
 	}{
 		{"one box", 2, 1, []int{1}, 1},
-		{"less than one a second", 0.3, 8, []int{8}, 1},
-		{"a few a second", 2.1, 8, []int{8}, 2},
-		{"more than there are boxes", 40, 8, []int{8}, 8},
+		{"less than one request per second", 0.3, 8, []int{8}, 1},
+		{"a few requests per second", 2.1, 8, []int{8}, 2},
+		{"more requests per second than boxes", 40, 8, []int{8}, 8},
 		{"many boxes", 30, 300, []int{300}, 30},
-		{"two parts", 8, 8, []int{6, 2}, 8},
-		{"zones that are cut from each other", 2, 16, []int{4, 4, 4, 4}, 4},
-		{"the list has not been read", 4, 0, []int{8}, 4},
+		{"two partitions", 8, 8, []int{6, 2}, 8},
+		{"partitioned zones", 2, 16, []int{4, 4, 4, 4}, 4},
+		{"the list of boxes is not loaded", 4, 0, []int{8}, 4},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -49,8 +49,9 @@
 	}
 }
 
-// Where those with a share have no calls, nobody would learn that the limit has ended.
-func TestMoreBoxesGetAShareWhileNoAnswerComes(t *testing.T) {
+// Guards against a limit that never ends: when the boxes with a share get no calls, no answer can
+// show that the limit has ended.
+func TestMoreBoxesGetAShareWhileThereAreNoAnswers(t *testing.T) {
 	g := NewWithT(t)
 	const boxes = 90
 	sharers := func(age time.Duration) int {
@@ -68,7 +69,7 @@
 	g.Expect(sharers(1000 * time.Hour)).To(Equal(boxes))
 }
 
-func TestABucketAdmitsItsRate(t *testing.T) {
+func TestABucketAdmitsRequestsAtItsRate(t *testing.T) {
 	for _, rate := range []float64{0.1, 1, 2.5, 40} {
 		g := NewWithT(t)
 		var bucket advisory.Bucket
