--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,10 +1,9 @@
-// Package relay passes an engine's answer on to the caller, whole and once.
+// Package relay streams an engine's answer to the caller, with each chunk exactly once.
 //
-// Each chunk has an index. When the engine's stream breaks, repeats itself or
-// has a gap, the relay takes the run up again at exactly the next index, so the
-// caller sees every chunk once and in order, byte for byte as the engine made
-// it. A run that is lost for good is run anew only while nothing of it has been
-// passed on; after that the caller is told.
+// Chunks are numbered. When the engine's stream breaks, repeats a chunk or skips one, the relay
+// resumes the run at the next index. The caller thus gets every chunk once and in order, byte for
+// byte as the engine produced it. A run that is lost for good is rerun only if none of its chunks
+// has been sent to the caller; otherwise the caller gets an error.
 package relay
 
 import (
@@ -19,58 +18,58 @@
 	"github.com/cometlock/cometlock/internal/flow"
 )
 
-// cancelTimeout bounds the telling of an engine that nobody waits.
+// cancelTimeout bounds the request that cancels a run.
 const cancelTimeout = time.Second
 
-// Sink takes an answer on its way to the caller.
+// Sink writes an answer to the caller.
 type Sink interface {
-	// Begin is called once, before the first chunk, with the run's place.
+	// Begin is called once, before the first chunk, with the server and the run.
 	Begin(server *config.BackendServer, run engine.Run)
-	// Write passes a chunk on. More says that another is about to follow.
+	// Write sends a chunk. more means that another chunk is already buffered.
 	Write(chunk engine.Chunk, more bool) error
 }
 
-// Config sets up a Relay.
+// Config configures a Relay.
 type Config struct {
 	Engines *engine.Client
 	// Rerun runs a lost request on another server.
 	Rerun func(request *flow.Request, lost *dispatch.Attempt) (*dispatch.Attempt, *apierror.Error)
 }
 
-// Relay passes answers on.
+// Relay streams answers to callers.
 type Relay struct {
 	engines *engine.Client
-	reopen  func(request *flow.Request, lost *dispatch.Attempt) (*dispatch.Attempt, *apierror.Error)
+	rerun   func(request *flow.Request, lost *dispatch.Attempt) (*dispatch.Attempt, *apierror.Error)
 }
 
-// New makes a relay.
-func New(cfg Config) *Relay { return &Relay{engines: cfg.Engines, reopen: cfg.Rerun} }
+// New returns a relay.
+func New(cfg Config) *Relay { return &Relay{engines: cfg.Engines, rerun: cfg.Rerun} }
 
-// Result says how passing an answer on ended.
+// Result describes the outcome of streaming an answer.
 type Result struct {
-	// Chunks is how many chunks the caller got.
+	// Chunks is the number of chunks that the caller received.
 	Chunks int
-	// Resumes and Reruns count what was needed for them.
+	// Resumes and Reruns count how often the run was resumed and rerun.
 	Resumes int
 	Reruns  int
-	// FirstChunk is when the first chunk came; zero if none did.
+	// FirstChunk is when the first chunk was received from the engine; zero if there was none.
 	FirstChunk time.Time
-	// Failure is nil when the caller got the whole answer.
+	// Failure is nil if the caller received the whole answer.
 	Failure *apierror.Error
 }
 
-// Copy passes the answer of an attempt on until it is whole or lost.
+// Copy streams the answer of an attempt to the caller until it is complete or lost.
 func (r *Relay) Copy(request *flow.Request, attempt *dispatch.Attempt, sink Sink) Result {
 	var result Result
-	barren := 0 // times in a row that a stream brought nothing
+	emptyStreams := 0 // consecutive streams without a new chunk
 	for {
 		before := result.Chunks
 		err := copyChunks(request, attempt, sink, &result)
-		if barren++; result.Chunks > before {
-			barren = 0
+		if emptyStreams++; result.Chunks > before {
+			emptyStreams = 0
 		}
 		next := attempt.Stream.NextIndex()
-		_ = attempt.Stream.Close() // the stream has ended or is given up
+		_ = attempt.Stream.Close() // the stream has ended or is abandoned
 		if err == nil {
 			return result
 		}
@@ -80,8 +79,8 @@
 			return result
 		}
 		stream, resumeErr := r.engines.ResumeSoon(request.Context(), attempt.Server.Address, attempt.Run, next-1)
-		if resumeErr == nil && barren >= engine.MaxResumes {
-			_ = stream.Close() // the engine answers, but never with a chunk
+		if resumeErr == nil && emptyStreams >= engine.MaxResumes {
+			_ = stream.Close() // the engine responds, but sends no chunk
 			resumeErr = err
 		}
 		if resumeErr == nil {
@@ -98,18 +97,18 @@
 			result.Failure = apierror.Failed("answer_lost", apierror.Ran, "the engine lost the run after %d chunks", result.Chunks)
 			return result
 		}
-		again, failure := r.reopen(request, attempt)
+		replacement, failure := r.rerun(request, attempt)
 		if failure != nil {
 			result.Failure = failure
 			return result
 		}
 		result.Reruns++
-		attempt = again
+		attempt = replacement
 	}
 }
 
-// errSink says that the caller could not be written to.
-var errSink = errors.New("the caller does not take the answer")
+// errSink means that writing to the caller failed.
+var errSink = errors.New("write to the caller failed")
 
 func copyChunks(request *flow.Request, attempt *dispatch.Attempt, sink Sink, result *Result) error {
 	for {
@@ -134,9 +133,9 @@
 	}
 }
 
-// Resume passes an answer on that another box, or another connection, began.
+// Resume streams the rest of an answer that another box or connection began.
 func (r *Relay) Resume(request *flow.Request, server *config.BackendServer, run engine.Run, after int, sink Sink) Result {
-	// The caller has part of this very run; another run is no substitute.
+	// The caller already has part of this run, so another run can't replace it.
 	request.Repeatable = false
 	stream, err := r.engines.Resume(request.Context(), server.Address, run, after)
 	if errors.Is(err, engine.ErrUnknownRun) {
@@ -148,7 +147,7 @@
 	return r.Copy(request, &dispatch.Attempt{Server: server, Run: run, Stream: stream}, sink)
 }
 
-// Cancel ends a run that nobody waits for.
+// Cancel cancels a run whose caller has disconnected.
 func (r *Relay) Cancel(server *config.BackendServer, runID string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
@@ -156,7 +155,7 @@
 }
 
 func (r *Relay) cancel(attempt *dispatch.Attempt) {
-	// An engine that cannot be reached ends the run by itself.
+	// An engine that can't be reached cancels the run by itself.
 	_ = r.Cancel(attempt.Server, attempt.Run.ID)
 }
 
