--- a/internal/boxlist/boxlist.go
+++ b/internal/boxlist/boxlist.go
@@ -1,8 +1,7 @@
-// Package boxlist is the adapter to the platform's list of boxes.
+// Package boxlist reads the platform's list of boxes.
 //
-// The list lags: it names boxes that are gone and misses ones that are new. It
-// finds peers and shows operators how many boxes there should be; no promise
-// rests on it.
+// The list lags: it includes boxes that have stopped and lacks new ones. It is used to find peers
+// and to show operators how many boxes there should be; no guarantee depends on it.
 package boxlist
 
 import (
@@ -15,38 +14,38 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// State is what the platform says of a box.
+// State is the state of a box according to the platform.
 type State string
 
 const (
-	// Live is a box that serves.
+	// Live boxes serve.
 	Live State = "live"
-	// Leaving is a box that is about to stop.
+	// Leaving boxes are about to stop.
 	Leaving State = "leaving"
 )
 
-// Box is one box of the list: an entry box, or a backend server, which has a name and a
-// state, and where the platform tells it the life that is there now and its address.
+// Box is an entry of the list, for an entry box or a backend server. A backend server has a name
+// and a state, and if the platform provides them its current incarnation and its address.
 type Box struct {
 	Name  string `json:"name"`
 	Zone  string `json:"zone"`
 	State State  `json:"state"`
-	// Peer, Admin and Caller are the box's addresses for other boxes, for
-	// operators and for callers.
+	// Peer, Admin and Caller are the box's addresses for other boxes, for operators and for
+	// callers.
 	Peer   string `json:"peer"`
 	Admin  string `json:"admin"`
 	Caller string `json:"caller"`
-	// Incarnation and Address are those of a backend server.
+	// Incarnation and Address are set only for backend servers.
 	Incarnation string `json:"incarnation,omitempty"`
 	Address     string `json:"address,omitempty"`
 }
 
-// Path is where the list is.
+// Path is the URL path of the list.
 const Path = "/v1/boxes"
 
 // List is the platform's list of boxes.
 type List interface {
-	// Boxes gives the list as it stands at the platform.
+	// Boxes returns the platform's current list.
 	Boxes(ctx context.Context) ([]Box, error)
 }
 
@@ -61,7 +60,7 @@
 	maxListBytes = 4 << 20
 )
 
-// NewClient makes a client of the list at an IP address and port.
+// NewClient returns a client for the list at an IP address and port.
 func NewClient(address string) *Client {
 	return &Client{address: address, http: http.Client{Timeout: timeout}}
 }
@@ -78,7 +77,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, merry.Errorf("the list of boxes answers with status %d", response.StatusCode)
+		return nil, merry.Errorf("read the list of boxes: status %d", response.StatusCode)
 	}
 	var boxes []Box
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&boxes); err != nil {
