--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,5 +1,5 @@
-// Package frame writes and reads the messages of boxes to each other: the length in 4
-// bytes, big-endian, and msgpack.
+// Package frame writes and reads the messages between boxes: the length in 4 bytes, big-endian,
+// followed by the message in msgpack.
 package frame
 
 import (
@@ -15,46 +15,47 @@
 	"github.com/cometlock/cometlock/internal/safepack"
 )
 
-// lengthBytes is the length of a message's length.
-const lengthBytes = 4
+// prefixBytes is the size of the length prefix.
+const prefixBytes = 4
 
-// allocatedAtOnce bounds what is allocated by a length alone, before its bytes have come.
-const allocatedAtOnce = 64 << 10
+// maxInitialBuffer bounds the buffer that is allocated from the length prefix alone, before any of
+// the message has been received.
+const maxInitialBuffer = 64 << 10
 
-// Encode gives a message as it goes over a connection.
+// Encode returns a message with its length prefix.
 func Encode(message any) ([]byte, error) {
 	data, err := msgpack.Marshal(message)
 	if err != nil {
 		return nil, merry.Prepend(err, "encode message")
 	}
-	whole := binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(data)), uint32(len(data)))
-	return append(whole, data...), nil
+	encoded := binary.BigEndian.AppendUint32(make([]byte, 0, prefixBytes+len(data)), uint32(len(data)))
+	return append(encoded, data...), nil
 }
 
-// Write writes a message within a time.
-func Write(connection net.Conn, message any, within time.Duration) error {
-	whole, err := Encode(message)
+// Write writes a message, with a timeout.
+func Write(connection net.Conn, message any, timeout time.Duration) error {
+	encoded, err := Encode(message)
 	if err != nil {
 		return err
 	}
-	if err := connection.SetWriteDeadline(time.Now().Add(within)); err != nil {
+	if err := connection.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
-	_, err = connection.Write(whole)
+	_, err = connection.Write(encoded)
 	return err
 }
 
-// Read reads a message of at most a number of bytes.
-func Read(reader io.Reader, message any, most uint32) error {
-	var length [lengthBytes]byte
+// Read reads a message of at most maxBytes.
+func Read(reader io.Reader, message any, maxBytes uint32) error {
+	var length [prefixBytes]byte
 	if _, err := io.ReadFull(reader, length[:]); err != nil {
 		return err
 	}
 	size := binary.BigEndian.Uint32(length[:])
-	if size > most {
-		return merry.Errorf("a message of %d bytes is too large", size)
+	if size > maxBytes {
+		return merry.Errorf("message of %d bytes is too large", size)
 	}
-	data := bytes.NewBuffer(make([]byte, 0, min(size, allocatedAtOnce)))
+	data := bytes.NewBuffer(make([]byte, 0, min(size, maxInitialBuffer)))
 	if _, err := io.CopyN(data, reader, int64(size)); err != nil {
 		return err
 	}
--- a/internal/frame/server.go
+++ b/internal/frame/server.go
@@ -1,5 +1,5 @@
-// Serving: other boxes open connections to this one, and each is served on a goroutine of its
-// own until it fails, the other box closes it, or this one ends.
+// A server for the connections that other boxes open to this one. Each connection is served on its
+// own goroutine until serving it fails, the other box closes it, or the server's context ends.
 
 package frame
 
@@ -15,20 +15,20 @@
 // Server serves the connections of other boxes.
 type Server struct {
 	logger zerolog.Logger
-	// serve serves one connection, and reads from the reader of it.
+	// serve serves one connection, which it reads through the reader.
 	serve func(ctx context.Context, connection net.Conn, reader *bufio.Reader)
 	loops sync.WaitGroup
 }
 
-// NewServer makes a server that takes no connections yet. When serve returns, its connection is
-// closed; when the context ends, so is every connection, which ends what serve waits for.
+// NewServer returns a server that accepts no connections yet. When serve returns, its connection is
+// closed. When the context ends, all connections are closed, which unblocks serve.
 func NewServer(logger zerolog.Logger, serve func(ctx context.Context, connection net.Conn, reader *bufio.Reader)) *Server {
 	return &Server{logger: logger, serve: serve}
 }
 
-// LoopAccept takes connections until ctx ends, and closes the listener.
+// LoopAccept accepts connections until ctx ends, and then closes the listener.
 func (s *Server) LoopAccept(ctx context.Context, listener net.Listener) {
-	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // nothing is lost on it
+	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // an error loses no data
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -42,10 +42,10 @@
 }
 
 func (s *Server) loopServe(ctx context.Context, connection net.Conn) {
-	defer context.AfterFunc(ctx, func() { _ = connection.Close() })() // the other box goes elsewhere
+	defer context.AfterFunc(ctx, func() { _ = connection.Close() })() // the other box connects elsewhere
 	defer connection.Close()
 	s.serve(ctx, connection, bufio.NewReader(connection))
 }
 
-// Wait waits until all connections have been served; LoopAccept must have returned.
+// Wait waits until all connections have been served. LoopAccept must have returned before.
 func (s *Server) Wait() { s.loops.Wait() }
