--- a/internal/safepack/safepack.go
+++ b/internal/safepack/safepack.go
@@ -1,11 +1,11 @@
 // Package safepack decodes msgpack from bytes that another process wrote.
 //
-// The library panics on some inputs that do not fit the type that is decoded, such
-// as nil in the place of a time.Time. A record of the platform's log or a message of
-// another box must never end the process that reads it, so here a panic of the
-// library is an error like any other. What could not be caught, a count that asks for more
-// memory than there is and lists so deep in each other that the stack ends, is refused before
-// the library sees it.
+// The library panics on some inputs that do not match the decoded type, such as nil for a
+// time.Time. A record of the platform's log or a message from another box must never crash the
+// process that reads it, so panics of the library are returned as errors.
+//
+// Two faults can't be recovered from and are rejected before the library is called: a count that
+// demands more memory than there is, and nesting so deep that the stack overflows.
 package safepack
 
 import (
@@ -13,18 +13,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Unmarshal decodes data into what into points to. After an error the value is
+// Unmarshal decodes data into the value that target points to. After an error the value may be
 // partly filled and must not be used.
-func Unmarshal(data []byte, into any) (err error) {
+func Unmarshal(data []byte, target any) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			err = merry.Errorf("msgpack does not fit %T: %v", into, reason)
+			err = merry.Errorf("msgpack does not match %T: %v", target, reason)
 		}
 	}()
 	if err := checkShape(data); err != nil {
 		return merry.Wrap(err)
 	}
-	if err := msgpack.Unmarshal(data, into); err != nil {
+	if err := msgpack.Unmarshal(data, target); err != nil {
 		return merry.Wrap(err)
 	}
 	return nil
--- a/internal/safepack/safepack_test.go
+++ b/internal/safepack/safepack_test.go
@@ -16,7 +16,7 @@
 	At   time.Time `msgpack:"a"`
 }
 
-func TestUnmarshalGivesWhatWasWritten(t *testing.T) {
+func TestUnmarshalReturnsWhatWasMarshalled(t *testing.T) {
 	g := NewWithT(t)
 	data, err := msgpack.Marshal(message{"one", time.Unix(5, 0)})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -26,13 +26,13 @@
 	g.Expect(read.At.Equal(time.Unix(5, 0))).To(BeTrue())
 }
 
-func TestBytesThatDoNotFitAreAnError(t *testing.T) {
+func TestBytesThatDoNotMatchTheTypeAreAnError(t *testing.T) {
 	tests := []struct {
 		name string
 		data []byte
 	}{
 		{"nothing", nil},
-		{"cut off", []byte{0x82, 0xa1, 'n'}},
+		{"a truncated value", []byte{0x82, 0xa1, 'n'}},
 		{"a number for the name", []byte{0x81, 0xa1, 'n', 0x01}},
 		{"nil for the time, on which the library panics", []byte{0x81, 0xa1, 'a', 0xc0}},
 	}
@@ -45,16 +45,16 @@
 	}
 }
 
-// A message of 23 bytes ended the box that read it. A list in it said that it had 808 million
-// elements, the library made room for all of them before it read the first, and the runtime
-// ended the process, since memory that cannot be had is no panic. CI's fuzzing of the words on
-// store boxes found it in one run of several:
+// Guards against a false count that ends the process. A message of 23 bytes had a list with a count
+// of 808 million. The library allocated room for all elements before it read the first, and the
+// runtime ended the process, since running out of memory is not a panic. Fuzzing in CI reproduces
+// it in only one run of several:
 //
 //	fatal error: runtime: out of memory
 //	reflect.MakeSlice({0x8f0ba8, 0x7fb780}, 0x303030c2, 0x303030c2)
 //	msgpack/v5.growSliceValue(...) decode_slice.go:129
-func TestACountThatCannotBeTrueTakesNoMemory(t *testing.T) {
-	const mostBytes = 1 << 20
+func TestAFalseCountAllocatesNoMemory(t *testing.T) {
+	const maxBytes = 1 << 20
 	manyElements := []byte{0x02, 0x00, 0x00, 0x00} // 33 million, 2 GB of times
 	tests := []struct {
 		name string
@@ -76,28 +76,28 @@
 			g := NewWithT(t)
 			before := allocated()
 			g.Expect(Unmarshal(test.data, test.into)).To(HaveOccurred())
-			g.Expect(allocated() - before).To(BeNumerically("<", mostBytes))
+			g.Expect(allocated() - before).To(BeNumerically("<", maxBytes))
 		})
 	}
 }
 
-// allocated is how many bytes the process has ever asked for.
+// allocated returns the total bytes that the process has allocated so far.
 func allocated() uint64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.TotalAlloc
 }
 
-// Each level of lists in lists costs whoever decodes them a frame of the stack, and a stack
-// that is used up ends the process as well.
-func TestListsThatStandTooDeepAreAnError(t *testing.T) {
+// Guards against nesting that ends the process: each level of nested lists uses a stack frame of
+// the decoder, and a stack overflow ends the process as well.
+func TestListsNestedTooDeepAreAnError(t *testing.T) {
 	g := NewWithT(t)
 	var read any
 	g.Expect(Unmarshal([]byte(strings.Repeat("\x91", 1000)+"\xc0"), &read)).To(MatchError(ContainSubstring("too deep")))
 }
 
-// Whatever the library writes has a shape that is right, in each of its sizes.
-func TestAllThatTheLibraryWritesIsRead(t *testing.T) {
+// All values that the library encodes have a valid shape, in each of the encodings' sizes.
+func TestAllEncodingsOfTheLibraryAreDecoded(t *testing.T) {
 	tests := []any{
 		true, 1, -1, 200, -200, 70_000, -70_000, 1 << 40, -(1 << 40), float32(1.5), 2.5,
 		"", "short", strings.Repeat("x", 40), strings.Repeat("x", 300), strings.Repeat("x", 70_000),
@@ -138,12 +138,13 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		_ = Unmarshal(data, new(any)) // it must not end the process
+		_ = Unmarshal(data, new(any)) // must not crash the process
 		_ = Unmarshal(data, new([]message))
 	})
 }
 
-// What the check of the shape costs: 2,000 parts in columns, as boxes of a zone tell each other.
+// Measures the cost of the shape check for 2,000 parts in columns, as boxes of a zone send them to
+// each other.
 func BenchmarkUnmarshal(b *testing.B) {
 	parts := struct {
 		IDs    []string
--- a/internal/safepack/shape.go
+++ b/internal/safepack/shape.go
@@ -1,7 +1,7 @@
-// The shape of a value is read before the value: how many elements each list and map says
-// that it has, and how deep they stand in each other. The library believes these counts. It
-// makes a list of as many elements as 4 bytes say, so 23 bytes made it ask for 32 GB, which
-// ends the process without a panic that could be caught.
+// Validation of a value's shape before it is decoded: the counts of its lists and maps, and the
+// depth of their nesting. The library trusts the counts. It allocates a list of as many elements as
+// a 4-byte count specifies, so a message of 23 bytes made it request 32 GB, which ends the process
+// without a recoverable panic.
 
 package safepack
 
@@ -12,40 +12,40 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// deepest is how deep lists and maps may stand in each other. What boxes say to each other is
-// at most 7 deep; each level costs a frame of the stack of whoever decodes it.
-const deepest = 32
+// maxDepth is how deep lists and maps may be nested. Messages between boxes are at most 7 deep, and
+// each level uses a stack frame of the decoder.
+const maxDepth = 32
 
-// Errors of a value that must not be decoded.
+// Errors of values that must not be decoded.
 var (
-	// errCutOff says that the bytes end within a value.
-	errCutOff = merry.Sentinel("the bytes end within a value")
-	// errTooMany says that a list or map has a larger count than bytes that follow.
-	errTooMany = merry.Sentinel("a list or map has a larger count than bytes follow")
-	// errTooDeep says that lists and maps stand too deep in each other.
-	errTooDeep = merry.Sentinel("lists and maps stand too deep in each other")
-	// errUnknown says that a byte begins no value.
-	errUnknown = merry.Sentinel("a byte begins no value")
+	// errCutOff means that the data ends within a value.
+	errCutOff = merry.Sentinel("the data ends within a value")
+	// errTooMany means that the count of a list or map exceeds the number of bytes that follow.
+	errTooMany = merry.Sentinel("the count of a list or map exceeds the bytes that follow")
+	// errTooDeep means that lists and maps are nested too deep.
+	errTooDeep = merry.Sentinel("lists and maps are nested too deep")
+	// errUnknown means that a byte starts no valid value.
+	errUnknown = merry.Sentinel("a byte starts no valid value")
 )
 
-// head is a value without its elements.
+// head describes a value without its elements: its size and the number of its elements.
 type head struct {
 	bytes    int
 	elements int
 }
 
-// checkShape gives an error for a value that is cut off, counts more elements than bytes follow,
-// or is too deep. Bytes after the first value are not looked at.
+// checkShape returns an error for a value that is truncated, has a count greater than the number of
+// bytes that follow, or is nested too deep. It ignores bytes after the first value.
 func checkShape(data []byte) error {
-	open := make([]int, 1, deepest) // elements still to come, by depth
-	open[0] = 1
-	for len(open) > 0 {
-		last := len(open) - 1
-		if open[last] == 0 {
-			open = open[:last]
+	remaining := make([]int, 1, maxDepth) // elements not read yet, by depth
+	remaining[0] = 1
+	for len(remaining) > 0 {
+		last := len(remaining) - 1
+		if remaining[last] == 0 {
+			remaining = remaining[:last]
 			continue
 		}
-		open[last]--
+		remaining[last]--
 		next, err := readHead(data)
 		if err != nil {
 			return err
@@ -57,15 +57,15 @@
 		if next.elements > len(data) {
 			return errTooMany
 		}
-		if len(open) == deepest {
+		if len(remaining) == maxDepth {
 			return errTooDeep
 		}
-		open = append(open, next.elements)
+		remaining = append(remaining, next.elements)
 	}
 	return nil
 }
 
-// readHead reads the head of the value that data begins with.
+// readHead parses the head of the value at the start of data.
 func readHead(data []byte) (head, error) {
 	if len(data) == 0 {
 		return head{}, errCutOff
@@ -90,7 +90,7 @@
 	return next, nil
 }
 
-// readCount reads a count of 1, 2 or 4 bytes.
+// readCount decodes a count of 1, 2 or 4 bytes.
 func readCount(data []byte) int {
 	switch len(data) {
 	case 1:
@@ -101,19 +101,20 @@
 	return int(binary.BigEndian.Uint32(data))
 }
 
-// layout is how the values of one first byte are laid out.
+// layout describes the values that start with one byte.
 type layout struct {
-	// head is what each value of them has, its first byte and its count among the bytes. It is
-	// empty for a byte that begins no value.
+	// head has the size of the first byte, the count and any fixed part, and the elements that the
+	// first byte specifies. It is empty for a byte that starts no valid value.
 	head head
-	// countBytes is how long the count is that follows the first byte, each what a count of
-	// one adds.
+	// countBytes is the size of the count that follows the first byte, and each is what every unit
+	// of that count adds.
 	countBytes int
 	each       head
 }
 
-// layouts has the layout of each first byte, from msgpack's specification: a table, since a
-// check that searched a map took 68 µs instead of 24 (4,000 values, which are decoded in 200).
+// layouts holds the layout for each first byte, from msgpack's specification. It is a table because
+// lookups in a map made the check take 68 µs instead of 24 µs (4,000 values, whose decoding takes
+// 200 µs).
 var layouts = layoutTable()
 
 func layoutTable() [256]layout {
@@ -135,11 +136,11 @@
 	case msgpcode.IsFixedString(first):
 		return fixed(int(first & msgpcode.FixedStrMask))
 	}
-	return byFirst[first]
+	return layoutsByFirstByte[first]
 }
 
-// byFirst has the layouts of first bytes that carry no count themselves.
-var byFirst = map[byte]layout{
+// layoutsByFirstByte holds the layouts for first bytes that contain no count themselves.
+var layoutsByFirstByte = map[byte]layout{
 	msgpcode.Nil:   fixed(0),
 	msgpcode.False: fixed(0),
 	msgpcode.True:  fixed(0),
@@ -177,15 +178,16 @@
 	msgpcode.Ext32:    counted(4, extType, head{bytes: 1}),
 }
 
-// extType is the length of an extension's type.
+// extType is the size of an extension's type.
 const extType = 1
 
-// fixed is the layout of a first byte and some bytes after it.
+// fixed returns the layout of a first byte and a fixed number of bytes after it.
 func fixed(bytes int) layout {
 	return layout{head: head{bytes: 1 + bytes}}
 }
 
-// counted is the layout of a first byte, a count, some bytes, and what the count says.
+// counted returns the layout of a first byte, a count, a fixed number of bytes, and each times the
+// count.
 func counted(countBytes, bytes int, each head) layout {
 	return layout{head: head{bytes: 1 + countBytes + bytes}, countBytes: countBytes, each: each}
 }
