--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,7 @@
-// Package settings reads the daemon's settings from flags and environment
-// variables.
+// Package settings reads the daemon's settings from flags and environment variables.
 //
-// Every setting has both; the flag wins. All values are checked before anything
-// starts, and a bad one is one clear error that names the setting.
+// Every setting has both, and the flag takes precedence. All values are validated before anything
+// starts. An invalid value results in one clear error that names the setting.
 package settings
 
 import (
@@ -22,7 +21,7 @@
 	"github.com/cometlock/cometlock/internal/version"
 )
 
-// Settings are the daemon's settings.
+// Settings holds the settings of the daemon.
 type Settings struct {
 	Box          string
 	Zone         string
@@ -44,25 +43,25 @@
 	CallerTLS    TLSFiles
 }
 
-// TLSFiles names the files of one side's TLS; none are set without TLS.
+// TLSFiles holds the paths of the TLS files for one kind of connection; all are empty without TLS.
 type TLSFiles struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Enabled reports whether TLS is wanted.
+// Enabled reports whether any of the files is set.
 func (f TLSFiles) Enabled() bool { return f.Certificate != "" || f.Key != "" || f.Authority != "" }
 
-// envPrefix begins every variable.
+// envPrefix is the prefix of all environment variables.
 const envPrefix = "COMETLOCK_"
 
-// setting is one row of the table of settings.
+// setting is a row of the table of settings.
 type setting struct {
-	name     string // the flag; the variable is its upper-case form
-	standard string // default value
-	help     string // with the unit
-	set      func(s *Settings, text string) error
+	name         string // of the flag; the environment variable has its upper-case form
+	defaultValue string // as text
+	help         string // includes the unit
+	set          func(s *Settings, text string) error
 }
 
 func (s setting) variable() string {
@@ -95,7 +94,7 @@
 	}
 }
 
-// Parse reads the arguments (without the program's name) and the environment.
+// Parse parses the arguments (without the program's name) and the environment.
 func Parse(args []string, getenv func(string) string) (Settings, error) {
 	rows := table()
 	values := make([]string, len(rows))
@@ -104,7 +103,7 @@
 	parser.Version = version.Version
 	parser.ShowCompletion = false
 	for i, row := range rows {
-		values[i] = row.standard
+		values[i] = row.defaultValue
 		if value := getenv(row.variable()); value != "" {
 			values[i] = value
 		}
@@ -122,11 +121,12 @@
 	return settings, settings.complete()
 }
 
-// minLogRetention is twice the time for which a key can be claimed, so that the
-// first claim of a key is still held when the last timely one is judged.
+// minLogRetention is twice the time within which a key can be claimed, so that the first claim of a
+// key is still in the log when the last claim within that time is checked.
 const minLogRetention = 2 * claim.MaxWindow
 
-// complete fills in what depends on other settings.
+// complete sets the defaults that depend on other settings, and validates settings that depend on
+// each other.
 func (s *Settings) complete() error {
 	if s.Box == "" {
 		host, err := os.Hostname()
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// setAnswerKeys never repeats a key in an error.
+// setAnswerKeys never includes a key in an error.
 func setAnswerKeys(s *Settings, value string) error {
 	for i, key := range splitList(value) {
 		raw, err := hex.DecodeString(key)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/cometlock/cometlock/internal/settings"
 )
 
-func TestFlagsWinOverTheEnvironment(t *testing.T) {
+func TestFlagsTakePrecedenceOverTheEnvironment(t *testing.T) {
 	g := NewWithT(t)
 	env := map[string]string{
 		"COMETLOCK_ZONE": "from-env", "COMETLOCK_LOG": "127.0.0.1:1", "COMETLOCK_DRAIN_DELAY": "7s",
@@ -25,7 +25,7 @@
 	g.Expect(got.LogRetention).To(Equal(24 * time.Hour))
 }
 
-func TestABadSettingIsOneClearError(t *testing.T) {
+func TestAnInvalidSettingIsOneClearError(t *testing.T) {
 	cases := []struct {
 		name string
 		args []string
@@ -35,10 +35,10 @@
 		{"no log", []string{"--zone", "a"}, `--log (COMETLOCK_LOG): "" is not an IP address with a port`},
 		{"a host name", []string{"--zone", "a", "--log", "log:1"}, `--log (COMETLOCK_LOG): "log:1" is not an IP address with a port`},
 		{"a duration without a unit", []string{"--zone", "a", "--log", "127.0.0.1:1", "--drain-delay", "5"}, `--drain-delay (COMETLOCK_DRAIN_DELAY): "5" is not a duration such as 1m30s`},
-		{"a key that is no key", []string{"--zone", "a", "--log", "127.0.0.1:1", "--answer-keys", "secret"}, "--answer-keys (COMETLOCK_ANSWER_KEYS): key 1 is not hexadecimal"},
-		{"half of TLS", []string{"--zone", "a", "--log", "127.0.0.1:1", "--peer-tls-cert", "x"}, "--peer-tls-cert, --peer-tls-key and --peer-tls-ca go together"},
-		{"a log that forgets too soon", []string{"--zone", "a", "--log", "127.0.0.1:1", "--log-retention", "1h"}, "--log-retention (COMETLOCK_LOG_RETENTION): must be at least 4h0m0s, is 1h0m0s"},
-		{"no capacity", []string{"--zone", "a", "--log", "127.0.0.1:1", "--ring-capacity", "0"}, `--ring-capacity (COMETLOCK_RING_CAPACITY): "0" is not a number above 0`},
+		{"an invalid key", []string{"--zone", "a", "--log", "127.0.0.1:1", "--answer-keys", "secret"}, "--answer-keys (COMETLOCK_ANSWER_KEYS): key 1 is not hexadecimal"},
+		{"incomplete TLS files", []string{"--zone", "a", "--log", "127.0.0.1:1", "--peer-tls-cert", "x"}, "--peer-tls-cert, --peer-tls-key and --peer-tls-ca go together"},
+		{"a log retention that is too short", []string{"--zone", "a", "--log", "127.0.0.1:1", "--log-retention", "1h"}, "--log-retention (COMETLOCK_LOG_RETENTION): must be at least 4h0m0s, is 1h0m0s"},
+		{"a ring capacity of zero", []string{"--zone", "a", "--log", "127.0.0.1:1", "--ring-capacity", "0"}, `--ring-capacity (COMETLOCK_RING_CAPACITY): "0" is not a number above 0`},
 		{"an operators' key instead of its hash", []string{"--zone", "a", "--log", "127.0.0.1:1", "--operator-key-hash", "secret"}, "--operator-key-hash (COMETLOCK_OPERATOR_KEY_HASH): is not a SHA-256 in hexadecimal"},
 	}
 	for _, c := range cases {
