--- a/internal/advisory/advisory.go
+++ b/internal/advisory/advisory.go
@@ -1,6 +1,6 @@
 // Package advisory records what a backend server states about itself in its answers: the request
-// rate that it accepts from all boxes together, whether it is draining, and whether it asks one box
-// for a pause.
+// rate that it accepts from all boxes together, whether it is draining, and whether it requests a
+// pause from one box.
 //
 // An answer is newer than the server's entry in the registry, which may lag by seconds, or not be
 // written at all while the registry is down. A Record holds the newest statement of one incarnation
--- a/internal/entrybox/settings.go
+++ b/internal/entrybox/settings.go
@@ -46,7 +46,7 @@
 	ColdSlack   float64
 	// Mechanisms records which mechanisms are switched off.
 	Mechanisms mechanism.Switches
-	// FirstSystemStart says that the whole system is starting for the first time.
+	// FirstSystemStart is true when the whole system starts for the first time.
 	FirstSystemStart bool
 	// Cores is the number of processor cores that the process may use; 0 if the platform does not
 	// specify it.
