--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -280,8 +280,8 @@
 	return limits
 }
 
-// maxServerListAge is the maximum age of the list of servers of a box that calls cold ones. A box
-// that has been disconnected for longer uses a list of boxes that the other boxes may have
+// maxServerListAge is the age of its list of servers above which a box no longer calls cold ones. A
+// box that has been disconnected for longer uses a list of boxes that the other boxes may have
 // replaced.
 const maxServerListAge = 3 * time.Second
 
--- a/internal/entrybox/quarantine.go
+++ b/internal/entrybox/quarantine.go
@@ -30,9 +30,9 @@
 	})
 }
 
-// immediateCrashes is the number of crashes from which on other boxes receive a suspected request
-// immediately. Most requests under which one server crashed are involved in no further crash, and a
-// server that crashes takes down some ten calls.
+// immediateCrashes is the number of crashes at which a suspected request is sent to other boxes
+// immediately. After a single crash it is not: most such requests are involved in no further crash,
+// and a server that crashes takes down some ten calls.
 const immediateCrashes = 2
 
 // sharesImmediately reports whether a change is sent to other boxes before the next message is due.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -25,7 +25,7 @@
 type Sink interface {
 	// Begin is called once, before the first chunk, with the server and the run.
 	Begin(server *config.BackendServer, run engine.Run)
-	// Write sends a chunk. more means that another chunk is already buffered.
+	// Write sends a chunk. more means that another chunk is about to follow.
 	Write(chunk engine.Chunk, more bool) error
 }
 
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -69,8 +69,8 @@
 // New returns a router without routes.
 func New(cfg Config) *Router {
 	r := &Router{cfg: cfg, fleet: fleet.New(fleet.Config{Logger: cfg.Logger, LimitPosition: cfg.LimitPosition}), listStates: map[string]*listState{}, inFlight: map[string]int{}}
-	// Routed calls use no stored context and no declared weights, so the part index stays empty,
-	// and so does the registry, which follows no log.
+	// No parts are kept for routed calls and no weights are declared for them, so the part index
+	// stays empty, and so does the registry, which follows no log.
 	emptyRegistry := registry.New(registry.Config{Logger: cfg.Logger})
 	r.gateway = gateway.New(gateway.Config{
 		Protocol: Headers{}, Pool: handover.NewPool(handover.PoolConfig{}), Fleet: r.fleet, Parts: partindex.New(partindex.Config{}),
