--- a/internal/api/once.go
+++ b/internal/api/once.go
@@ -32,7 +32,7 @@
 //
 // A request without a key needs no claim: this process hands it over once, and
 // nobody else knows of it.
-func (s *Server) claimOnce(request *flow.Request) (*onceRun, *claim.Answer, *apierror.Error) {
+func (s *Server) claimOnce(request *flow.Request) (*onceRun, *claim.StoredResponse, *apierror.Error) {
 	if request.Repeatable || request.Idempotency == "" {
 		return nil, nil, nil
 	}
@@ -47,10 +47,10 @@
 		return nil, nil, claimRefusal(err)
 	}
 	switch decision.Verdict {
-	case claim.Won:
+	case claim.Granted:
 		return &onceRun{claims: s.claims, key: key, id: decision.ClaimID}, nil, nil
-	case claim.Finished:
-		return nil, &decision.Answer, nil
+	case claim.Completed:
+		return nil, &decision.Response, nil
 	default:
 		return nil, nil, verdictRefusal(decision.Verdict)
 	}
@@ -68,16 +68,16 @@
 
 // claimRefusal is the answer when the log decided nothing.
 func claimRefusal(err error) *apierror.Error {
-	if errors.Is(err, claim.ErrUnknown) {
+	if errors.Is(err, claim.ErrLogGap) {
 		return conflict("claim_unknown", apierror.Unknown, "whether an earlier request with this key has run is unknown")
 	}
 	refusal := apierror.NotReady("claim_not_decided", time.Second, "the key could not be claimed; this request was not run")
 	switch {
 	case errors.Is(err, claim.ErrNotReady):
 		refusal.Code = "claims_not_ready"
-	case errors.Is(err, claim.ErrNoLog):
+	case errors.Is(err, claim.ErrLogUnavailable):
 		refusal.Code = "log_unavailable"
-	case errors.Is(err, claim.ErrNoRoom):
+	case errors.Is(err, claim.ErrQueueFull):
 		refusal.Code = "claims_full"
 	}
 	return refusal
@@ -85,9 +85,9 @@
 
 func verdictRefusal(verdict claim.Verdict) *apierror.Error {
 	switch verdict {
-	case claim.OtherRequest:
+	case claim.KeyReused:
 		return conflict("idempotency_key_reused", apierror.NotRun, "the key was used for another request")
-	case claim.TooOld:
+	case claim.OutsideWindow:
 		return apierror.BadRequest("idempotency_key_age", "the key is too old, or from the future")
 	default:
 		refusal := conflict("idempotency_key_in_use", apierror.Unknown, "an earlier request with this key has begun and its end is not known")
@@ -101,21 +101,21 @@
 }
 
 // end states how the run ended. A nil claim has nothing to state.
-func (o *onceRun) end(failure *apierror.Error, answer claim.Answer) {
+func (o *onceRun) end(failure *apierror.Error, answer claim.StoredResponse) {
 	switch {
 	case o == nil:
 	case failure == nil:
-		o.claims.Done(o.key, o.id, answer)
+		o.claims.Complete(o.key, o.id, answer)
 	case failure.Outcome == apierror.NotRun:
-		o.claims.Renounce(o.key, o.id)
+		o.claims.Release(o.key, o.id)
 	case failure.Outcome == apierror.Ran:
-		o.claims.Done(o.key, o.id, claim.Answer{})
+		o.claims.Complete(o.key, o.id, claim.StoredResponse{})
 	}
 }
 
 // replay answers with the kept answer of an earlier request.
-func (s *Server) replay(w http.ResponseWriter, request *flow.Request, answer claim.Answer) {
-	if !answer.Whole {
+func (s *Server) replay(w http.ResponseWriter, request *flow.Request, answer claim.StoredResponse) {
+	if !answer.BodyStored {
 		s.refuse(w, request, conflict("answer_not_kept", apierror.Ran, "the request with this key has run; its answer is not kept"))
 		return
 	}
@@ -136,13 +136,13 @@
 
 // Write implements relay.Sink.
 func (c *capturingSink) Write(chunk engine.Chunk, more bool) error {
-	if c.enabled && len(chunk.Data) <= claim.MaxAnswerBytes {
+	if c.enabled && len(chunk.Data) <= claim.MaxResponseBytes {
 		c.body = append(c.body[:0], chunk.Data...)
 		c.done = true
 	}
 	return c.Sink.Write(chunk, more)
 }
 
-func (c *capturingSink) answer() claim.Answer {
-	return claim.Answer{Status: http.StatusOK, ContentType: "application/json", Body: c.body, Whole: c.done}
+func (c *capturingSink) answer() claim.StoredResponse {
+	return claim.StoredResponse{Status: http.StatusOK, ContentType: "application/json", Body: c.body, BodyStored: c.done}
 }
--- a/internal/api/responseobject.go
+++ b/internal/api/responseobject.go
@@ -73,7 +73,7 @@
 // newResponse describes a review, with its answer once it is completed.
 func newResponse(known review.Review, answer []byte) response {
 	described := response{
-		ID: known.Meta.ID, Object: "response", CreatedAt: known.Meta.Accepted.Unix(), Status: known.Status, Back: true,
+		ID: known.Meta.ID, Object: "response", CreatedAt: known.Meta.AcceptedAt.Unix(), Status: known.Status, Back: true,
 		Model: known.Meta.Model, Output: []outputMessage{}, Metadata: known.Meta.Metadata,
 	}
 	if !known.Meta.Deadline.IsZero() {
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -104,7 +104,7 @@
 	}
 	return review.Meta{
 		ID: reviewID(request), Organisation: request.Organisation.Name, Model: parsed.Model,
-		Accepted: request.Arrived.UTC(), Deadline: request.Deadline.UTC(), Digest: sha256.Sum256(body), Metadata: parsed.Metadata,
+		AcceptedAt: request.Arrived.UTC(), Deadline: request.Deadline.UTC(), Digest: sha256.Sum256(body), Metadata: parsed.Metadata,
 	}, content, parsed.Stream, nil
 }
 
@@ -183,11 +183,11 @@
 // reviewRefusal is what a caller is told of an error of the reviews.
 func reviewRefusal(err error) *apierror.Error {
 	switch {
-	case errors.Is(err, review.ErrMissing):
+	case errors.Is(err, review.ErrNotFound):
 		return apierror.Missing("response_not_found", "there is no such response")
-	case errors.Is(err, review.ErrOtherRequest):
+	case errors.Is(err, review.ErrIDReused):
 		return conflict("idempotency_key_reused", apierror.NotRun, "the key was used for another request")
-	case errors.Is(err, review.ErrUnknown):
+	case errors.Is(err, review.ErrOutcomeUnknown):
 		refusal := apierror.Failed("log_unknown", apierror.Unknown, "the log gave no answer; send the request again with the same Idempotency-Key")
 		refusal.Status = http.StatusServiceUnavailable
 		refusal.RetryAfter = time.Second
@@ -232,7 +232,7 @@
 	if known.Status != review.StatusCompleted {
 		return nil, nil
 	}
-	return s.reviews.Answer(ctx, known.Meta.Organisation, known.Meta.ID)
+	return s.reviews.Result(ctx, known.Meta.Organisation, known.Meta.ID)
 }
 
 // serveCancelResponse answers POST /v1/responses/{id}/cancel.
--- a/internal/api/services.go
+++ b/internal/api/services.go
@@ -113,7 +113,7 @@
 func (s *Server) runService(w http.ResponseWriter, call *serviceCall, claimed *onceRun) {
 	response, failure := s.callService(call)
 	if failure != nil {
-		claimed.end(failure, claim.Answer{})
+		claimed.end(failure, claim.StoredResponse{})
 		s.refuse(w, call.request, failure)
 		return
 	}
@@ -123,7 +123,7 @@
 	if whole {
 		claimed.end(nil, kept.answer(response))
 	} else {
-		claimed.end(apierror.Failed("answer_cut", apierror.Ran, "the answer broke off"), claim.Answer{})
+		claimed.end(apierror.Failed("answer_cut", apierror.Ran, "the answer broke off"), claim.StoredResponse{})
 	}
 	result := relay.Result{Chunks: 1, FirstChunk: time.Now()}
 	if !whole {
@@ -232,16 +232,16 @@
 }
 
 func (k *keeper) add(piece []byte) {
-	if k.tooLarge || len(k.body)+len(piece) > claim.MaxAnswerBytes {
+	if k.tooLarge || len(k.body)+len(piece) > claim.MaxResponseBytes {
 		k.tooLarge = true
 		return
 	}
 	k.body = append(k.body, piece...)
 }
 
-func (k *keeper) answer(response *http.Response) claim.Answer {
-	return claim.Answer{
+func (k *keeper) answer(response *http.Response) claim.StoredResponse {
+	return claim.StoredResponse{
 		Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"),
-		Body: k.body, Whole: !k.tooLarge,
+		Body: k.body, BodyStored: !k.tooLarge,
 	}
 }
--- a/internal/bench/claims.go
+++ b/internal/bench/claims.go
@@ -57,7 +57,7 @@
 
 func claimsAt(out io.Writer, delay time.Duration, offered int) error {
 	log := &pacedLog{Log: fakelog.New()}
-	service := claim.New(claim.Config{Log: log, Claimer: "bench", BatchDelay: delay, Window: func() time.Duration { return time.Hour }})
+	service := claim.New(claim.Config{Log: log, Incarnation: "bench", BatchDelay: delay, Window: func() time.Duration { return time.Hour }})
 	defer service.Close()
 	service.Warm()
 	time.Sleep(100 * time.Millisecond)
@@ -95,5 +95,5 @@
 	}
 	began := time.Now()
 	decision, err := service.Claim(context.Background(), claim.Key{Organisation: "bench", Text: key.String()}, claim.Digest{})
-	return time.Since(began), err == nil && decision.Verdict == claim.Won
+	return time.Since(began), err == nil && decision.Verdict == claim.Granted
 }
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -147,7 +147,7 @@
 		return []any{own, mustSnapshot(own)}
 	})
 	changed := config.Change{Set: []config.Entry{{Name: entries[500].Name, Value: bytes.Replace(entries[500].Value, []byte(`"share":1`), []byte(`"share":2`), 1)}}}
-	record := configlog.Record{Kind: configlog.KindChange, ApplyID: uuid.NewString(), Base: 0, Change: changed, Digest: entries.Apply(changed).Digest()}
+	record := configlog.Record{Kind: configlog.KindChange, ApplyID: uuid.NewString(), BaseVersion: 0, Change: changed, Digest: entries.Apply(changed).Digest()}
 	data, err := record.Encode()
 	if err != nil {
 		return nil
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -15,8 +15,8 @@
 // Config sets up a Service.
 type Config struct {
 	Log logservice.Log
-	// Claimer is the incarnation of this process.
-	Claimer string
+	// Incarnation is the incarnation of this process.
+	Incarnation string
 	// Window gives for how long after its making a key may be claimed; at most
 	// MaxWindow counts.
 	Window func() time.Duration
@@ -45,7 +45,7 @@
 	stop context.CancelFunc
 
 	mu      sync.Mutex
-	streams [Streams]*stream
+	streams [StreamCount]*stream
 	ended   sync.WaitGroup
 }
 
@@ -73,7 +73,7 @@
 
 // Warm begins to read back all streams.
 func (s *Service) Warm() {
-	for number := range Streams {
+	for number := range StreamCount {
 		s.stream(number)
 	}
 }
@@ -100,32 +100,32 @@
 	if err != nil {
 		return Decision{}, err
 	}
-	if age := time.Since(made); age >= min(s.cfg.Window(), MaxWindow) || age < -Skew {
-		return Decision{Verdict: TooOld}, nil
+	if age := time.Since(made); age >= min(s.cfg.Window(), MaxWindow) || age < -MaxClockSkew {
+		return Decision{Verdict: OutsideWindow}, nil
 	}
 	claimID, err := uuid.NewRandom()
 	if err != nil {
 		return Decision{}, err
 	}
-	entry := Entry{Kind: KindClaim, Key: key, Digest: digest, ClaimID: claimID, Claimer: s.cfg.Claimer}
+	entry := Entry{Kind: KindClaim, Key: key, Digest: digest, ClaimID: claimID, Claimer: s.cfg.Incarnation}
 	return s.stream(streamOf(key)).claim(ctx, entry)
 }
 
-// MaxAnswerBytes is the largest answer that is kept for callers that ask again.
-const MaxAnswerBytes = 16 << 10
+// MaxResponseBytes is the largest response that is kept for callers that ask again.
+const MaxResponseBytes = 16 << 10
 
-// Done states the answer of a request whose claim was won.
-func (s *Service) Done(key Key, claimID uuid.UUID, answer Answer) {
-	if len(answer.Body) > MaxAnswerBytes {
-		answer.Body, answer.Whole = nil, false
+// Complete records the response of a request whose claim was won.
+func (s *Service) Complete(key Key, claimID uuid.UUID, answer StoredResponse) {
+	if len(answer.Body) > MaxResponseBytes {
+		answer.Body, answer.BodyStored = nil, false
 	}
-	s.state(Entry{Kind: KindDone, Key: key, ClaimID: claimID, Answer: answer})
+	s.state(Entry{Kind: KindComplete, Key: key, ClaimID: claimID, Response: answer})
 }
 
-// Renounce states that a request whose claim was won did not run, and that
+// Release records that a request whose claim was won did not run, and that
 // this process never will run it.
-func (s *Service) Renounce(key Key, claimID uuid.UUID) {
-	s.state(Entry{Kind: KindRenounce, Key: key, ClaimID: claimID})
+func (s *Service) Release(key Key, claimID uuid.UUID) {
+	s.state(Entry{Kind: KindRelease, Key: key, ClaimID: claimID})
 }
 
 func (s *Service) state(entry Entry) {
--- a/internal/claim/fold.go
+++ b/internal/claim/fold.go
@@ -14,31 +14,31 @@
 	// at is the log's time of the claim.
 	at     time.Time
 	done   bool
-	answer Answer
+	answer StoredResponse
 }
 
 // Verdict says what became of a claim.
 type Verdict uint8
 
 const (
-	// Won means that this process, and no other, may run the request.
-	Won Verdict = iota + 1
-	// Taken means that another claim came first and its end is not known.
-	Taken
-	// Finished means that another claim came first and its answer is known.
-	Finished
-	// OtherRequest means that the key was used for another request.
-	OtherRequest
-	// TooOld means that the log got the claim when the key was too old.
-	TooOld
+	// Granted means that this process, and no other, may run the request.
+	Granted Verdict = iota + 1
+	// Held means that another claim came first and its end is not known.
+	Held
+	// Completed means that another claim came first and its answer is known.
+	Completed
+	// KeyReused means that the key was used for another request.
+	KeyReused
+	// OutsideWindow means that the log got the claim when the key was too old.
+	OutsideWindow
 )
 
 // Decision is what the log decided of a claim.
 type Decision struct {
 	Verdict Verdict
-	// Answer is set when the verdict is Finished.
-	Answer Answer
-	// ClaimID is set when the verdict is Won.
+	// Response is set when the verdict is Completed.
+	Response StoredResponse
+	// ClaimID is set when the verdict is Granted.
 	ClaimID uuid.UUID
 }
 
@@ -57,8 +57,8 @@
 
 func newFold() *fold { return &fold{holders: map[Key]*holder{}} }
 
-// Skew is how far the clocks of callers, boxes and the log may be apart.
-const Skew = time.Minute
+// MaxClockSkew is how far the clocks of callers, boxes and the log may be apart.
+const MaxClockSkew = time.Minute
 
 // MaxWindow is the longest time for which a key can be claimed. The window in
 // force is configuration and may differ between boxes for a moment; the fold
@@ -73,11 +73,11 @@
 	switch entry.Kind {
 	case KindClaim:
 		return f.claim(entry, at)
-	case KindDone:
+	case KindComplete:
 		if held := f.holders[entry.Key]; held != nil && held.claimID == entry.ClaimID && !held.done {
-			held.done, held.answer = true, entry.Answer
+			held.done, held.answer = true, entry.Response
 		}
-	case KindRenounce:
+	case KindRelease:
 		if held := f.holders[entry.Key]; held != nil && held.claimID == entry.ClaimID && !held.done {
 			delete(f.holders, entry.Key)
 		}
@@ -94,15 +94,15 @@
 		f.holders[entry.Key] = &holder{digest: entry.Digest, claimID: entry.ClaimID, claimer: entry.Claimer, at: at}
 		f.ages = append(f.ages, aged{key: entry.Key, id: entry.ClaimID, at: at})
 		if !timely(entry.Key, at) {
-			return Decision{Verdict: TooOld}
+			return Decision{Verdict: OutsideWindow}
 		}
-		return Decision{Verdict: Won, ClaimID: entry.ClaimID}
+		return Decision{Verdict: Granted, ClaimID: entry.ClaimID}
 	case held.digest != entry.Digest:
-		return Decision{Verdict: OtherRequest}
+		return Decision{Verdict: KeyReused}
 	case held.done:
-		return Decision{Verdict: Finished, Answer: held.answer}
+		return Decision{Verdict: Completed, Response: held.answer}
 	default:
-		return Decision{Verdict: Taken}
+		return Decision{Verdict: Held}
 	}
 }
 
@@ -114,15 +114,15 @@
 		return false
 	}
 	age := at.Sub(made)
-	return age < MaxWindow+Skew && age >= -Skew
+	return age < MaxWindow+MaxClockSkew && age >= -MaxClockSkew
 }
 
 // forget drops the keys that no claim can be timely for any more. A key was made
-// at most Skew after its first claim, so it is too old for good once MaxWindow
-// and twice Skew have passed by the log's time.
+// at most MaxClockSkew after its first claim, so it is too old for good once MaxWindow
+// and twice MaxClockSkew have passed by the log's time.
 func (f *fold) forget(now time.Time) {
 	kept := 0
-	for kept < len(f.ages) && now.Sub(f.ages[kept].at) > MaxWindow+2*Skew {
+	for kept < len(f.ages) && now.Sub(f.ages[kept].at) > MaxWindow+2*MaxClockSkew {
 		old := f.ages[kept]
 		if held := f.holders[old.key]; held != nil && held.claimID == old.id {
 			delete(f.holders, old.key)
@@ -139,10 +139,10 @@
 	case held == nil:
 		return Decision{}, false
 	case held.digest != digest:
-		return Decision{Verdict: OtherRequest}, true
+		return Decision{Verdict: KeyReused}, true
 	case held.done:
-		return Decision{Verdict: Finished, Answer: held.answer}, true
+		return Decision{Verdict: Completed, Response: held.answer}, true
 	default:
-		return Decision{Verdict: Taken}, true
+		return Decision{Verdict: Held}, true
 	}
 }
--- a/internal/claim/fold_test.go
+++ b/internal/claim/fold_test.go
@@ -20,30 +20,30 @@
 	one, two, three := uuid.New(), uuid.New(), uuid.New()
 	claims := func(id uuid.UUID) Entry { return Entry{Kind: KindClaim, Key: key, ClaimID: id} }
 	done := func(id uuid.UUID) Entry {
-		return Entry{Kind: KindDone, Key: key, ClaimID: id, Answer: Answer{Status: 200}}
+		return Entry{Kind: KindComplete, Key: key, ClaimID: id, Response: StoredResponse{Status: 200}}
 	}
-	renounce := func(id uuid.UUID) Entry { return Entry{Kind: KindRenounce, Key: key, ClaimID: id} }
+	renounce := func(id uuid.UUID) Entry { return Entry{Kind: KindRelease, Key: key, ClaimID: id} }
 	cases := []struct {
 		name    string
 		entries []Entry
 		after   time.Duration // of the last entry
 		want    Verdict       // of the last entry
 	}{
-		{"the first wins", []Entry{claims(one)}, 0, Won},
-		{"the second does not", []Entry{claims(one), claims(two)}, 0, Taken},
-		{"nor much later", []Entry{claims(one), claims(two)}, MaxWindow, Taken},
-		{"a finished one answers", []Entry{claims(one), done(one), claims(two)}, 0, Finished},
-		{"another's end is not this one's", []Entry{claims(one), done(two), claims(three)}, 0, Taken},
-		{"a renounced one frees the key", []Entry{claims(one), renounce(one), claims(two)}, 0, Won},
-		{"another's renouncing does not", []Entry{claims(one), claims(two), renounce(two), claims(three)}, 0, Taken},
-		{"nor renouncing after the end", []Entry{claims(one), done(one), renounce(one), claims(two)}, 0, Finished},
-		{"a renouncing that comes before its claim is lost", []Entry{renounce(one), claims(one), claims(two)}, 0, Taken},
-		{"another body is another request", []Entry{claims(one), {Kind: KindClaim, Key: key, ClaimID: two, Digest: Digest{1}}}, 0, OtherRequest},
-		{"organisations never meet", []Entry{claims(one), {Kind: KindClaim, Key: other, ClaimID: two}}, 0, Won},
-		{"a key too old for the log is void", []Entry{claims(one)}, MaxWindow + 2*time.Minute, TooOld},
-		{"a void claim still holds the key", []Entry{claims(one), claims(two)}, MaxWindow + 2*time.Minute, Taken},
-		{"a key from the future is void", []Entry{claims(one)}, -2 * time.Minute, TooOld},
-		{"a forgotten key is too old to be won again", []Entry{claims(one), claims(two)}, 3 * MaxWindow, TooOld},
+		{"the first wins", []Entry{claims(one)}, 0, Granted},
+		{"the second does not", []Entry{claims(one), claims(two)}, 0, Held},
+		{"nor much later", []Entry{claims(one), claims(two)}, MaxWindow, Held},
+		{"a finished one answers", []Entry{claims(one), done(one), claims(two)}, 0, Completed},
+		{"another's end is not this one's", []Entry{claims(one), done(two), claims(three)}, 0, Held},
+		{"a renounced one frees the key", []Entry{claims(one), renounce(one), claims(two)}, 0, Granted},
+		{"another's renouncing does not", []Entry{claims(one), claims(two), renounce(two), claims(three)}, 0, Held},
+		{"nor renouncing after the end", []Entry{claims(one), done(one), renounce(one), claims(two)}, 0, Completed},
+		{"a renouncing that comes before its claim is lost", []Entry{renounce(one), claims(one), claims(two)}, 0, Held},
+		{"another body is another request", []Entry{claims(one), {Kind: KindClaim, Key: key, ClaimID: two, Digest: Digest{1}}}, 0, KeyReused},
+		{"organisations never meet", []Entry{claims(one), {Kind: KindClaim, Key: other, ClaimID: two}}, 0, Granted},
+		{"a key too old for the log is void", []Entry{claims(one)}, MaxWindow + 2*time.Minute, OutsideWindow},
+		{"a void claim still holds the key", []Entry{claims(one), claims(two)}, MaxWindow + 2*time.Minute, Held},
+		{"a key from the future is void", []Entry{claims(one)}, -2 * time.Minute, OutsideWindow},
+		{"a forgotten key is too old to be won again", []Entry{claims(one), claims(two)}, 3 * MaxWindow, OutsideWindow},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 		g := NewWithT(t)
 		log := fakelog.New()
 		newService := func() *Service {
-			s := New(Config{Log: log, Claimer: "box", Window: func() time.Duration { return time.Hour }})
+			s := New(Config{Log: log, Incarnation: "box", Window: func() time.Duration { return time.Hour }})
 			s.Warm()
 			return s
 		}
@@ -79,7 +79,7 @@
 		old := Key{Organisation: "a", Text: KeyAt(uuid.Must(uuid.NewV7()).String(), time.Now())}
 		decision, err := service.Claim(context.Background(), old, Digest{})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(decision.Verdict).To(Equal(Won))
+		g.Expect(decision.Verdict).To(Equal(Granted))
 
 		// All records expire, though far too early, while a claim is under way.
 		late := Key{Organisation: "a", Text: old.Text}
@@ -90,18 +90,18 @@
 		s.pending[uuid.New()] = waiting
 		s.mu.Unlock()
 		s.Restart(1, time.Now())
-		g.Expect((<-waiting).err).To(MatchError(ErrUnknown))
+		g.Expect((<-waiting).err).To(MatchError(ErrLogGap))
 
 		// What the log promises to hold still counts: the key is younger than
 		// the retention, so a box that reads all of it may decide.
-		g.Expect(s.covered).To(BeTemporally("~", time.Now().Add(Skew-DefaultRetention), time.Second))
+		g.Expect(s.covered).To(BeTemporally("~", time.Now().Add(MaxClockSkew-DefaultRetention), time.Second))
 		s.mu.Lock()
 		s.ready = true
 		s.covered = time.Now()
 		s.mu.Unlock()
 		decision, err = service.Claim(context.Background(), late, Digest{})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(decision.Verdict).To(Equal(TooOld), "a claim from before what was read back may exist")
+		g.Expect(decision.Verdict).To(Equal(OutsideWindow), "a claim from before what was read back may exist")
 	})
 }
 
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -86,11 +86,11 @@
 			return []keyState{state}
 		}
 		return []keyState{state, {held: true, holder: op.attempt}}
-	case out.verdict == claim.Won && !state.held:
+	case out.verdict == claim.Granted && !state.held:
 		return []keyState{{held: true, holder: op.attempt}}
-	case out.verdict == claim.Taken && state.held && !state.done:
+	case out.verdict == claim.Held && state.held && !state.done:
 		return []keyState{state}
-	case out.verdict == claim.Finished && state.done && out.answer == state.holder:
+	case out.verdict == claim.Completed && state.done && out.answer == state.holder:
 		return []keyState{state}
 	default:
 		return nil
@@ -132,13 +132,13 @@
 			return // nothing was even tried
 		}
 		tr.record(a.key, porcupine.Operation{ClientId: a.number + 1000, Input: operation{attempt: a.number, release: true}, Output: claimOutput{}, Call: called, Return: math.MaxInt64})
-	case decision.Verdict == claim.TooOld:
+	case decision.Verdict == claim.OutsideWindow:
 		return
 	default:
-		op.Output = claimOutput{verdict: decision.Verdict, answer: decision.Answer.Status}
+		op.Output = claimOutput{verdict: decision.Verdict, answer: decision.Response.Status}
 	}
 	tr.record(a.key, op)
-	if err == nil && decision.Verdict == claim.Won {
+	if err == nil && decision.Verdict == claim.Granted {
 		tr.won(a, decision.ClaimID)
 	}
 }
@@ -153,13 +153,13 @@
 	case a.dies:
 		return
 	case a.renounces:
-		tr.boxes[a.box].Renounce(a.key, id)
+		tr.boxes[a.box].Release(a.key, id)
 		end.release = true
 	default:
 		tr.mu.Lock()
 		tr.runs[a.key]++
 		tr.mu.Unlock()
-		tr.boxes[a.box].Done(a.key, id, claim.Answer{Status: a.number, Whole: true})
+		tr.boxes[a.box].Complete(a.key, id, claim.StoredResponse{Status: a.number, BodyStored: true})
 		end.done = true
 	}
 	tr.record(a.key, porcupine.Operation{ClientId: a.number + 1000, Input: end, Output: claimOutput{}, Call: tr.now(), Return: math.MaxInt64})
@@ -217,7 +217,7 @@
 
 func (tr *trial) play(p plan) {
 	for i := range 3 {
-		service := claim.New(claim.Config{Log: tr.log, Claimer: fmt.Sprint("box-", i), PollWait: 30 * time.Minute, Window: func() time.Duration { return time.Hour }})
+		service := claim.New(claim.Config{Log: tr.log, Incarnation: fmt.Sprint("box-", i), PollWait: 30 * time.Minute, Window: func() time.Duration { return time.Hour }})
 		service.Warm()
 		tr.boxes = append(tr.boxes, service)
 	}
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -37,10 +37,10 @@
 const (
 	// KindClaim asks for the right to run.
 	KindClaim Kind = 1
-	// KindDone states the answer of the run.
-	KindDone Kind = 2
-	// KindRenounce states that the claimer did not run and never will.
-	KindRenounce Kind = 3
+	// KindComplete states the response of the run.
+	KindComplete Kind = 2
+	// KindRelease states that the claimer did not run and never will.
+	KindRelease Kind = 3
 )
 
 // Key is an organisation's idempotency key. Keys of different organisations
@@ -53,13 +53,13 @@
 // Digest identifies the content of a request.
 type Digest [32]byte
 
-// Answer is a finished run's answer, kept for callers that ask again.
-type Answer struct {
+// StoredResponse is the response of a finished run, kept for callers that ask again.
+type StoredResponse struct {
 	Status      int    `msgpack:"s"`
 	ContentType string `msgpack:"c"`
 	Body        []byte `msgpack:"b"`
-	// Whole is false when the body was too large to keep.
-	Whole bool `msgpack:"w"`
+	// BodyStored is false when the body was too large to keep.
+	BodyStored bool `msgpack:"w"`
 }
 
 // Entry is one statement about a key.
@@ -70,8 +70,8 @@
 	// ClaimID names the claim; only its claimer knows it before the log does.
 	ClaimID uuid.UUID `msgpack:"i"`
 	// Claimer is the incarnation of the claiming process.
-	Claimer string `msgpack:"p,omitempty"`
-	Answer  Answer `msgpack:"a,omitempty"`
+	Claimer  string         `msgpack:"p,omitempty"`
+	Response StoredResponse `msgpack:"a,omitempty"`
 }
 
 // batch is one record of a claim stream.
@@ -96,8 +96,8 @@
 	return decoded.Entries, nil
 }
 
-// Streams is the number of claim streams that keys are spread over.
-const Streams = 16
+// StreamCount is the number of claim streams that keys are spread over.
+const StreamCount = 16
 
 // streamOf gives the stream of a key.
 func streamOf(key Key) int {
@@ -106,7 +106,7 @@
 	_, _ = hash.Write([]byte(key.Organisation))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(key.Text))
-	return int(hash.Sum32() % Streams)
+	return int(hash.Sum32() % StreamCount)
 }
 
 // StreamName gives the name of a claim stream in the log.
--- a/internal/claim/stream.go
+++ b/internal/claim/stream.go
@@ -14,20 +14,20 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Errors of a claim. All but ErrUnknown mean that the request was not run.
+// Errors of a claim. All but ErrLogGap mean that the request was not run.
 var (
 	// ErrNotReady says that the claims of the past are not read back yet.
 	ErrNotReady = merry.Sentinel("the claims of the past are not read back yet")
-	// ErrNoLog says that the log service did not take the claim.
-	ErrNoLog = merry.Sentinel("the log service does not take claims now")
-	// ErrNoRoom says that too many claims are waiting.
-	ErrNoRoom = merry.Sentinel("too many claims are waiting")
-	// ErrNoDecision says that the claim's place in the log was not learnt in
+	// ErrLogUnavailable says that the log service did not take the claim.
+	ErrLogUnavailable = merry.Sentinel("the log service does not take claims now")
+	// ErrQueueFull says that too many claims are waiting.
+	ErrQueueFull = merry.Sentinel("too many claims are waiting")
+	// ErrUndecided says that the claim's place in the log was not learnt in
 	// time. This process has renounced it.
-	ErrNoDecision = merry.Sentinel("the claim was not seen in the log in time")
-	// ErrUnknown says that this process lost the thread of the log with the
+	ErrUndecided = merry.Sentinel("the claim was not seen in the log in time")
+	// ErrLogGap says that this process lost the thread of the log with the
 	// claim under way; an earlier claim may have run.
-	ErrUnknown = merry.Sentinel("the thread of the log was lost")
+	ErrLogGap = merry.Sentinel("the thread of the log was lost")
 )
 
 // stream writes and follows one claim stream. Two duties share it: loopAppend
@@ -78,7 +78,7 @@
 	}
 	if !s.entries.TryPush(entry) {
 		s.abandon(entry)
-		return Decision{}, ErrNoRoom
+		return Decision{}, ErrQueueFull
 	}
 	select {
 	case r := <-answer:
@@ -89,7 +89,7 @@
 		// Nobody waits for the decision any more, so this process will never
 		// run the request: if the claim wins, it must not block the key.
 		s.renounce(entry)
-		return Decision{}, ErrNoDecision
+		return Decision{}, ErrUndecided
 	}
 	r := <-answer
 	return r.decision, r.err
@@ -109,10 +109,10 @@
 	if decision, decided := s.fold.held(entry.Key, entry.Digest); decided {
 		return nil, decision, nil
 	}
-	if made.Add(-Skew).Before(s.covered) {
+	if made.Add(-MaxClockSkew).Before(s.covered) {
 		// Records from before the first that was read back may have held a
 		// claim of this key.
-		return nil, Decision{Verdict: TooOld}, nil
+		return nil, Decision{Verdict: OutsideWindow}, nil
 	}
 	answer := make(chan result, 1)
 	s.pending[entry.ClaimID] = answer
@@ -131,7 +131,7 @@
 
 // renounce states that the claim's request did not run and never will.
 func (s *stream) renounce(entry Entry) {
-	entry.Kind = KindRenounce
+	entry.Kind = KindRelease
 	// Without room the key stays in the state "unknown", which is safe.
 	_ = s.entries.TryPush(entry)
 }
@@ -165,14 +165,14 @@
 // collect waits a moment for more entries to share the append with.
 func (s *stream) collect(ctx context.Context, first Entry) []Entry {
 	entries := []Entry{first}
-	size := len(first.Answer.Body)
+	size := len(first.Response.Body)
 	timer := time.NewTimer(s.cfg.BatchDelay)
 	defer timer.Stop()
 	for len(entries) < maxBatchEntries && size < maxBatchBytes {
 		select {
 		case entry := <-s.entries.Items():
 			entries = append(entries, entry)
-			size += len(entry.Answer.Body)
+			size += len(entry.Response.Body)
 		case <-timer.C:
 			return entries
 		case <-ctx.Done():
@@ -193,7 +193,7 @@
 	s.appends++
 	s.mu.Unlock()
 	if errors.Is(err, logservice.ErrNotTaken) {
-		s.failAll(entries, ErrNoLog)
+		s.failAll(entries, ErrLogUnavailable)
 		s.keepFinal(ctx, entries)
 	}
 	// An append without an answer may have taken effect. It is never sent
@@ -242,11 +242,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for claimID := range s.pending {
-		s.settle(claimID, result{err: ErrUnknown})
+		s.settle(claimID, result{err: ErrLogGap})
 	}
 	s.fold = newFold()
 	s.ready = false
-	s.covered = began.Add(Skew - s.cfg.Retention)
+	s.covered = began.Add(MaxClockSkew - s.cfg.Retention)
 }
 
 // Take implements tail.Sink.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -197,11 +197,11 @@
 	if _, ok := errors.AsType[*config.InvalidError](err); ok {
 		return ExitInvalid
 	}
-	if _, ok := errors.AsType[*configlog.BeatenError](err); ok {
+	if _, ok := errors.AsType[*configlog.ConflictError](err); ok {
 		return ExitBeaten
 	}
 	switch {
-	case errors.Is(err, configlog.ErrUnknownEnd):
+	case errors.Is(err, configlog.ErrOutcomeUnknown):
 		return ExitUnknown
 	case errors.Is(err, errNotEverywhere):
 		return ExitNotEverywhere
--- a/internal/cli/configuration.go
+++ b/internal/cli/configuration.go
@@ -130,8 +130,8 @@
 	began := time.Now()
 	result := applied{ApplyID: uuid.NewString(), Changed: true}
 	t.progress("apply %s", result.ApplyID)
-	result.Version, err = configlog.Apply(ctx, configlog.ApplyConfig{Log: log, ApplyID: result.ApplyID, Base: base, LookFor: t.options.lookFor}, file)
-	if errors.Is(err, configlog.ErrNothingToDo) {
+	result.Version, err = configlog.Apply(ctx, configlog.ApplyConfig{Log: log, ApplyID: result.ApplyID, BaseVersion: base, ReadBackTimeout: t.options.lookFor}, file)
+	if errors.Is(err, configlog.ErrNoChange) {
 		result.Changed = false
 		result.Version, err = inForce(ctx, log)
 	}
--- a/internal/configlog/apply.go
+++ b/internal/configlog/apply.go
@@ -13,8 +13,8 @@
 	"github.com/cometlock/cometlock/internal/logservice"
 )
 
-// BeatenError says that another change came first.
-type BeatenError struct {
+// ConflictError says that another change came first.
+type ConflictError struct {
 	// Version is the version that beat this one.
 	Version int64
 	// ApplyID is the apply that made it, as far as it is known.
@@ -22,30 +22,30 @@
 }
 
 // Error implements the error interface.
-func (e *BeatenError) Error() string {
+func (e *ConflictError) Error() string {
 	if e.ApplyID == "" {
 		return fmt.Sprintf("version %d is in force, which is not the one that was planned against", e.Version)
 	}
 	return fmt.Sprintf("another change came first: version %d by apply %s is in force", e.Version, e.ApplyID)
 }
 
-// ErrUnknownEnd says that the log gave no answer and that the change was not
+// ErrOutcomeUnknown says that the log gave no answer and that the change was not
 // found in it yet: it may still appear.
-var ErrUnknownEnd = merry.Sentinel("the log service gave no answer; whether the change will take effect is unknown")
+var ErrOutcomeUnknown = merry.Sentinel("the log service gave no answer; whether the change will take effect is unknown")
 
-// ErrNothingToDo says that the file says what is already in force.
-var ErrNothingToDo = merry.Sentinel("the file says what is in force already")
+// ErrNoChange says that the file says what is already in force.
+var ErrNoChange = merry.Sentinel("the file says what is in force already")
 
 // ApplyConfig sets up one Apply.
 type ApplyConfig struct {
 	Log logservice.Log
 	// ApplyID names this apply; it must be new.
 	ApplyID string
-	// Base, when set, is the version that the operator planned against; any
+	// BaseVersion, when set, is the version that the operator planned against; any
 	// other version in force is refused.
-	Base *int64
-	// LookFor is how long to look for a change whose append got no answer.
-	LookFor time.Duration
+	BaseVersion *int64
+	// ReadBackTimeout is how long to look for a change whose append got no answer.
+	ReadBackTimeout time.Duration
 }
 
 // Apply puts a whole file into force and gives its version. "Accepted" is said
@@ -56,8 +56,8 @@
 		return 0, merry.Prepend(err, "read the version in force")
 	}
 	state, _ := reader.State()
-	if cfg.Base != nil && *cfg.Base != state.Version {
-		return 0, &BeatenError{Version: state.Version}
+	if cfg.BaseVersion != nil && *cfg.BaseVersion != state.Version {
+		return 0, &ConflictError{Version: state.Version}
 	}
 	record, err := changeTo(state, file, cfg.ApplyID)
 	if err != nil {
@@ -80,16 +80,16 @@
 	}
 	change := state.Entries.Diff(target)
 	if change.Empty() {
-		return Record{}, ErrNothingToDo
+		return Record{}, ErrNoChange
 	}
-	return Record{Kind: KindChange, ApplyID: applyID, Base: state.Version, Change: change, Digest: target.Digest()}, nil
+	return Record{Kind: KindChange, ApplyID: applyID, BaseVersion: state.Version, Change: change, Digest: target.Digest()}, nil
 }
 
 // readBack reads on from the state the change was made against until the fold
 // meets it, or a change that beats it. An append without an answer is looked for
 // but never sent again: it may be in the log already, or still on its way.
 func readBack(ctx context.Context, cfg ApplyConfig, reader *Reader) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, cfg.LookFor)
+	ctx, cancel := context.WithTimeout(ctx, cfg.ReadBackTimeout)
 	defer cancel()
 	search := &search{applyID: cfg.ApplyID}
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
@@ -97,12 +97,12 @@
 			return struct{}{}, err
 		}
 		if search.verdict == 0 {
-			return struct{}{}, ErrUnknownEnd
+			return struct{}{}, ErrOutcomeUnknown
 		}
 		return struct{}{}, nil
-	}, backoff.WithBackOff(backoff.NewConstantBackOff(pollPause)), backoff.WithMaxElapsedTime(cfg.LookFor))
+	}, backoff.WithBackOff(backoff.NewConstantBackOff(pollPause)), backoff.WithMaxElapsedTime(cfg.ReadBackTimeout))
 	if err != nil {
-		return 0, merry.Wrap(ErrUnknownEnd, merry.AppendMessage(err.Error()))
+		return 0, merry.Wrap(ErrOutcomeUnknown, merry.AppendMessage(err.Error()))
 	}
 	return search.end()
 }
@@ -119,7 +119,7 @@
 	verdict Verdict
 	offset  int64
 	// winner is the first other change accepted before the verdict.
-	winner BeatenError
+	winner ConflictError
 }
 
 func (s *search) see(event Event) {
@@ -128,7 +128,7 @@
 	case event.Record.ApplyID == s.applyID:
 		s.verdict, s.offset = event.Verdict, event.Offset
 	case event.Verdict == Accepted && s.winner.ApplyID == "":
-		s.winner = BeatenError{Version: event.Offset, ApplyID: event.Record.ApplyID}
+		s.winner = ConflictError{Version: event.Offset, ApplyID: event.Record.ApplyID}
 	}
 }
 
@@ -136,7 +136,7 @@
 	switch s.verdict {
 	case Accepted:
 		return s.offset, nil
-	case Beaten:
+	case Conflict:
 		return 0, &s.winner
 	default:
 		return 0, merry.Errorf("the log holds the change in a damaged form, at offset %d", s.offset)
--- a/internal/configlog/configlog_test.go
+++ b/internal/configlog/configlog_test.go
@@ -20,7 +20,7 @@
 func fileNamed(deployment string) *config.File { return &config.File{Deployment: deployment} }
 
 func apply(log logservice.Log, id, deployment string) (int64, error) {
-	cfg := configlog.ApplyConfig{Log: log, ApplyID: id, LookFor: 5 * time.Second}
+	cfg := configlog.ApplyConfig{Log: log, ApplyID: id, ReadBackTimeout: 5 * time.Second}
 	return configlog.Apply(context.Background(), cfg, fileNamed(deployment))
 }
 
@@ -44,7 +44,7 @@
 		{name: "no fault", wantAfter: "new"},
 		{name: "the answer is lost after the write", faults: fakelog.Faults{LoseAnswers: 1}, wantAfter: "new"},
 		{name: "the write takes effect late", faults: fakelog.Faults{LateAppends: 1, Delay: 2 * time.Second}, wantAfter: "new"},
-		{name: "the write takes effect after we stopped looking", faults: fakelog.Faults{LateAppends: 1, Delay: 20 * time.Second}, wantErr: configlog.ErrUnknownEnd, wantAfter: "new"},
+		{name: "the write takes effect after we stopped looking", faults: fakelog.Faults{LateAppends: 1, Delay: 20 * time.Second}, wantErr: configlog.ErrOutcomeUnknown, wantAfter: "new"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 			if err == nil {
 				continue
 			}
-			beaten, ok := errors.AsType[*configlog.BeatenError](err)
+			beaten, ok := errors.AsType[*configlog.ConflictError](err)
 			g.Expect(ok).To(BeTrue(), "got %v", err)
 			g.Expect(beaten.ApplyID).To(Equal("apply-" + winner))
 		}
@@ -161,12 +161,12 @@
 	g.Expect(ahead.CatchUp(ctx)).To(Succeed())
 	state, _ := ahead.State()
 
-	g.Expect(ahead.Adopt(old)).To(BeFalse())
-	g.Expect(behind.Adopt(state)).To(BeTrue())
+	g.Expect(ahead.ApplySnapshot(old)).To(BeFalse())
+	g.Expect(behind.ApplySnapshot(state)).To(BeTrue())
 	forged := state
 	forged.Version, forged.ReadTo = 99, 99
 	forged.Entries = old.Entries
-	g.Expect(behind.Adopt(forged)).To(BeFalse(), "a state that does not match its digest is refused")
+	g.Expect(behind.ApplySnapshot(forged)).To(BeFalse(), "a state that does not match its digest is refused")
 }
 
 // A box that has lost the thread of the log keeps its version in force, also when
@@ -189,7 +189,7 @@
 	g.Expect(ahead.CatchUp(ctx)).To(MatchError(configlog.ErrNoCheckpoint))
 
 	old, _ := behind.State()
-	g.Expect(ahead.Adopt(old)).To(BeFalse())
+	g.Expect(ahead.ApplySnapshot(old)).To(BeFalse())
 	state, known := ahead.State()
 	g.Expect(known).To(BeFalse())
 	g.Expect(state.Version).To(Equal(int64(1)))
@@ -207,13 +207,13 @@
 	g.Expect(len(data)).To(BeNumerically("<", logservice.MaxRecordBytes))
 	record, err := configlog.Decode(data)
 	g.Expect(err).NotTo(HaveOccurred())
-	adopted, whole := record.Adopt()
+	adopted, whole := record.CheckpointState()
 	g.Expect(whole).To(BeTrue())
 	g.Expect(adopted).To(Equal(state))
 }
 
 func FuzzDecode(f *testing.F) {
-	data, err := configlog.Empty().Checkpoint().Encode()
+	data, err := configlog.EmptyState().Checkpoint().Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -222,8 +222,8 @@
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		// Whatever the bytes are, folding them neither fails nor accepts a
 		// change whose digest does not match.
-		state, verdict := configlog.Fold(configlog.Empty(), 0, data)
-		if verdict == configlog.Accepted && !state.Whole() {
+		state, verdict := configlog.Fold(configlog.EmptyState(), 0, data)
+		if verdict == configlog.Accepted && !state.Valid() {
 			panic("accepted a change that does not match its digest")
 		}
 	})
--- a/internal/configlog/fold.go
+++ b/internal/configlog/fold.go
@@ -19,8 +19,8 @@
 	Entries config.Entries `msgpack:"e"`
 }
 
-// Empty is the state before the first record of the stream.
-func Empty() State {
+// EmptyState is the state before the first record of the stream.
+func EmptyState() State {
 	return State{Version: config.NoVersion, ReadTo: -1, Digest: config.Entries{}.Digest()}
 }
 
@@ -30,8 +30,8 @@
 const (
 	// Accepted means that the change is now in force.
 	Accepted Verdict = iota + 1
-	// Beaten means that another change came first; the record is void.
-	Beaten
+	// Conflict means that another change came first; the record is void.
+	Conflict
 	// Corrupt means that the record does not give the digest it names, or is
 	// no record at all; it is void.
 	Corrupt
@@ -44,7 +44,7 @@
 	switch v {
 	case Accepted:
 		return "accepted"
-	case Beaten:
+	case Conflict:
 		return "beaten"
 	case Corrupt:
 		return "corrupt"
@@ -70,8 +70,8 @@
 	if record.Kind == KindCheckpoint {
 		return state, Skipped
 	}
-	if record.Base != state.Version {
-		return state, Beaten
+	if record.BaseVersion != state.Version {
+		return state, Conflict
 	}
 	entries := state.Entries.Apply(record.Change)
 	digest := entries.Digest()
@@ -81,8 +81,8 @@
 	return State{Version: offset, ReadTo: offset, Digest: digest, Entries: entries}, Accepted
 }
 
-// Adopt gives the state that a checkpoint states, if its content is whole.
-func (r Record) Adopt() (State, bool) {
+// CheckpointState gives the state that a checkpoint states, if its content is whole.
+func (r Record) CheckpointState() (State, bool) {
 	if r.Kind != KindCheckpoint || r.Entries.Digest() != r.Digest {
 		return State{}, false
 	}
@@ -94,6 +94,6 @@
 	return Record{Kind: KindCheckpoint, Version: s.Version, AsOf: s.ReadTo, Digest: s.Digest, Entries: s.Entries}
 }
 
-// Whole reports whether the content matches its digest, which is checked of
+// Valid reports whether the content matches its digest, which is checked of
 // every state that another process sends.
-func (s State) Whole() bool { return s.Entries.Digest() == s.Digest }
+func (s State) Valid() bool { return s.Entries.Digest() == s.Digest }
--- a/internal/configlog/history_test.go
+++ b/internal/configlog/history_test.go
@@ -29,7 +29,7 @@
 	if len(n.versions) > 0 {
 		version, content = n.versions[len(n.versions)-1], n.contents[len(n.contents)-1]
 	}
-	if record.Kind == configlog.KindChange && record.Base == version {
+	if record.Kind == configlog.KindChange && record.BaseVersion == version {
 		next := maps.Clone(content)
 		for _, name := range record.Change.Remove {
 			delete(next, name)
@@ -97,7 +97,7 @@
 		change = config.Change{Remove: []string{name}}
 	}
 	h.drafts = append(h.drafts, configlog.Record{
-		Kind: configlog.KindChange, ApplyID: fmt.Sprint(len(h.drafts)), Base: state.Version, Change: change,
+		Kind: configlog.KindChange, ApplyID: fmt.Sprint(len(h.drafts)), BaseVersion: state.Version, Change: change,
 		Digest: state.Entries.Apply(change).Digest(),
 	})
 }
@@ -146,7 +146,7 @@
 // tell has one box take over the state of another.
 func (h *history) tell(t *rapid.T) {
 	if state, known := h.box(t).State(); known {
-		h.box(t).Adopt(state)
+		h.box(t).ApplySnapshot(state)
 	}
 }
 
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -28,16 +28,16 @@
 }
 
 // NewReader makes a reader that knows nothing yet.
-func NewReader(log logservice.Log) *Reader { return &Reader{log: log, state: Empty()} }
+func NewReader(log logservice.Log) *Reader { return &Reader{log: log, state: EmptyState()} }
 
 // State gives the folded state and whether it is known yet.
 func (r *Reader) State() (State, bool) { return r.state, r.known }
 
-// Adopt takes over the state of a peer if it is whole and newer, and reports
+// ApplySnapshot takes over the state of a peer if it is whole and newer, and reports
 // whether it did. A version never goes back, also while this reader has lost
 // the thread of the log and is waiting for a checkpoint.
-func (r *Reader) Adopt(state State) bool {
-	if !state.Whole() || state.Version < r.state.Version {
+func (r *Reader) ApplySnapshot(state State) bool {
+	if !state.Valid() || state.Version < r.state.Version {
 		return false
 	}
 	if r.known && state.ReadTo <= r.state.ReadTo {
@@ -110,7 +110,7 @@
 	if checkpoint.AsOf+1 < r.pending[0].Offset {
 		return
 	}
-	state, whole := checkpoint.Adopt()
+	state, whole := checkpoint.CheckpointState()
 	if !whole || state.Version < r.state.Version {
 		return
 	}
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -46,8 +46,8 @@
 	Kind Kind `msgpack:"k"`
 	// ApplyID names the operator's apply, so that a lost answer can be looked up.
 	ApplyID string `msgpack:"a,omitempty"`
-	// Base is the version that a change was made against.
-	Base int64 `msgpack:"b"`
+	// BaseVersion is the version that a change was made against.
+	BaseVersion int64 `msgpack:"b"`
 	// Change is what a change alters.
 	Change config.Change `msgpack:"c"`
 	// Digest is the digest of the whole result.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -201,13 +201,13 @@
 	})
 	relaying := relay.New(relay.Config{Engines: engines, Reopen: d.dispatcher.Reopen})
 	d.settle = settle.New(settle.Config{Logger: d.logger, Scope: d.metrics.Scope()})
-	d.claims = claim.New(claim.Config{Log: log, Claimer: d.incarnation, Window: d.keyWindow, Retention: d.settings.LogRetention})
+	d.claims = claim.New(claim.Config{Log: log, Incarnation: d.incarnation, Window: d.keyWindow, Retention: d.settings.LogRetention})
 
 	// Reviews run through the server, and the server answers for them.
 	var server *api.Server
 	d.reviews = review.New(review.Config{
-		Log: log, Logger: d.logger, Box: d.settings.Box, Live: d.exchange.Live, Retention: d.settings.LogRetention,
-		KeepAnswers: d.keepAnswers, Parallel: d.parallelReviews,
+		Log: log, Logger: d.logger, BoxName: d.settings.Box, LiveBoxes: d.exchange.Live, Retention: d.settings.LogRetention,
+		ResultRetention: d.keepAnswers, MaxParallel: d.parallelReviews,
 		Run: func(ctx context.Context, task review.Task) ([]byte, error) { return server.RunReview(ctx, task) },
 	})
 	server = api.New(api.Config{
--- a/internal/daemonmain/daemonmain.go
+++ b/internal/daemonmain/daemonmain.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, err
 	}
-	version, err := configlog.Apply(ctx, configlog.ApplyConfig{Log: set.Log(), ApplyID: uuid.NewString(), LookFor: applyTimeout}, file)
+	version, err := configlog.Apply(ctx, configlog.ApplyConfig{Log: set.Log(), ApplyID: uuid.NewString(), ReadBackTimeout: applyTimeout}, file)
 	if err != nil {
 		set.Close()
 		return nil, err
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -88,7 +88,7 @@
 		cfg.OnChange = func(*config.Snapshot) {}
 	}
 	return &Follower{
-		cfg: cfg, reader: configlog.NewReader(cfg.Log), state: configlog.Empty(), checkpointTime: time.Now(),
+		cfg: cfg, reader: configlog.NewReader(cfg.Log), state: configlog.EmptyState(), checkpointTime: time.Now(),
 		offers: ring.New[configlog.State](ring.Config{Name: "config_offers", Capacity: offersCapacity}),
 	}
 }
@@ -180,7 +180,7 @@
 	for {
 		select {
 		case state := <-f.offers.Items():
-			if f.reader.Adopt(state) {
+			if f.reader.ApplySnapshot(state) {
 				f.publish(SourcePeer)
 			}
 		default:
@@ -193,7 +193,7 @@
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.RetryDelay)
 	defer cancel()
 	state, err := f.offers.Pop(ctx)
-	if err == nil && f.reader.Adopt(state) {
+	if err == nil && f.reader.ApplySnapshot(state) {
 		f.publish(SourcePeer)
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -42,7 +42,7 @@
 	})
 	const versions = 200
 	for version := range int64(versions) {
-		g.Expect(f.reader.Adopt(configlog.State{Version: version, ReadTo: version, Digest: entries.Digest(), Entries: entries})).To(BeTrue())
+		g.Expect(f.reader.ApplySnapshot(configlog.State{Version: version, ReadTo: version, Digest: entries.Digest(), Entries: entries})).To(BeTrue())
 		f.publish(SourcePeer)
 	}
 	stop.Store(true)
--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -30,7 +30,7 @@
 // kept. Each change names its base version, so the first one must build on exactly that version.
 func (h *history) since(version int64) ([]Change, bool) {
 	for i, change := range h.changes {
-		if change.Record.Base == version {
+		if change.Record.BaseVersion == version {
 			return append([]Change(nil), h.changes[i:]...), true
 		}
 	}
--- a/internal/peer/message_test.go
+++ b/internal/peer/message_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"status", Message{Status: Status{Box: "b", Zone: "z", Incarnation: "i", Version: 7, Leaving: true}, Want: true}},
 		{"state", Message{State: &state}},
-		{"changes", Message{Changes: []follow.Change{{Offset: 3, Record: configlog.Record{Kind: configlog.KindChange, ApplyID: "x", Base: 1, Digest: entries.Digest()}}}}},
+		{"changes", Message{Changes: []follow.Change{{Offset: 3, Record: configlog.Record{Kind: configlog.KindChange, ApplyID: "x", BaseVersion: 1, Digest: entries.Digest()}}}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -17,7 +17,7 @@
 // quietSource is a box without any configuration.
 type quietSource struct{}
 
-func (quietSource) State() configlog.State              { return configlog.Empty() }
+func (quietSource) State() configlog.State              { return configlog.EmptyState() }
 func (quietSource) Since(int64) ([]follow.Change, bool) { return nil, false }
 func (quietSource) Offer(configlog.State)               {}
 func (quietSource) OfferChanges([]follow.Change) bool   { return false }
--- a/internal/review/decide.go
+++ b/internal/review/decide.go
@@ -24,11 +24,11 @@
 	if !s.ready {
 		return nil, ErrNotReady
 	}
-	return nil, ErrMissing
+	return nil, ErrNotFound
 }
 
-// Answer gives the answer of a completed review, out of the log.
-func (s *Service) Answer(ctx context.Context, organisation, id string) ([]byte, error) {
+// Result gives the answer of a completed review, out of the log.
+func (s *Service) Result(ctx context.Context, organisation, id string) ([]byte, error) {
 	s.mu.Lock()
 	e, err := s.find(organisation, id)
 	if err != nil {
@@ -47,7 +47,7 @@
 		changed := s.changed
 		s.mu.Unlock()
 		known, err := s.Get(organisation, id)
-		if err != nil || known.Status.Ended() {
+		if err != nil || known.Status.IsFinal() {
 			return known, err
 		}
 		select {
@@ -94,7 +94,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return Review{}, ErrUnknown
+			return Review{}, ErrOutcomeUnknown
 		}
 	}
 }
--- a/internal/review/describe.go
+++ b/internal/review/describe.go
@@ -18,8 +18,8 @@
 	EndedAt time.Time
 }
 
-// Ended reports whether a status is final.
-func (s Status) Ended() bool {
+// IsFinal reports whether a status is final.
+func (s Status) IsFinal() bool {
 	return s == StatusCompleted || s == StatusFailed || s == StatusCancelled
 }
 
--- a/internal/review/fold.go
+++ b/internal/review/fold.go
@@ -104,8 +104,8 @@
 		return nil // another organisation has no say in a review
 	}
 	first := lies.offsets[0]
-	if record.Repeats != original {
-		first = record.Repeats
+	if record.CopyOf != original {
+		first = record.CopyOf
 	}
 	f.state(e, record, lies, first)
 	return e
@@ -113,20 +113,20 @@
 
 // collect gives where a content lies once all its parts have come in order.
 func (f *fold) collect(record Record, offset int64, at time.Time) (place, bool) {
-	if record.Parts == 1 {
+	if record.PartCount == 1 {
 		return place{offsets: []int64{offset}, at: at}, true
 	}
 	f.dropOldParts(at)
-	offsets := f.parts[record.Set].offsets
-	if len(offsets) != record.Part {
+	offsets := f.parts[record.ContentID].offsets
+	if len(offsets) != record.PartIndex {
 		return place{}, false // a part is missing: it has expired
 	}
 	offsets = append(offsets, offset)
-	if len(offsets) < record.Parts {
-		f.parts[record.Set] = partial{offsets: offsets, at: at}
+	if len(offsets) < record.PartCount {
+		f.parts[record.ContentID] = partial{offsets: offsets, at: at}
 		return place{}, false
 	}
-	delete(f.parts, record.Set)
+	delete(f.parts, record.ContentID)
 	return place{offsets: offsets, at: at}, true
 }
 
--- a/internal/review/fold_test.go
+++ b/internal/review/fold_test.go
@@ -19,7 +19,7 @@
 	f := newFold()
 	begin := time.Unix(1_000_000, 0)
 	for _, s := range steps {
-		meta := Meta{ID: "r", Organisation: "one", Accepted: begin}
+		meta := Meta{ID: "r", Organisation: "one", AcceptedAt: begin}
 		for _, record := range split(s.kind, meta, s.repeats, nil) {
 			data, err := record.encode()
 			if err != nil {
--- a/internal/review/history_test.go
+++ b/internal/review/history_test.go
@@ -55,8 +55,8 @@
 		live = func() []string { return view }
 	}
 	box := review.New(review.Config{
-		Log: f.log, Logger: zerolog.Nop(), Box: name, Live: live, Retention: retention,
-		KeepAnswers: func() time.Duration { return keepAnswers }, Parallel: func() int { return 4 },
+		Log: f.log, Logger: zerolog.Nop(), BoxName: name, LiveBoxes: live, Retention: retention,
+		ResultRetention: func() time.Duration { return keepAnswers }, MaxParallel: func() int { return 4 },
 		Interval: 30 * time.Second, PollWait: 30 * time.Minute,
 		Run: func(ctx context.Context, task review.Task) ([]byte, error) { return f.run(ctx, name, task) },
 	})
@@ -108,7 +108,7 @@
 }
 
 func meta(id string) review.Meta {
-	return review.Meta{ID: id, Organisation: "one", Model: "m", Accepted: time.Now()}
+	return review.Meta{ID: id, Organisation: "one", Model: "m", AcceptedAt: time.Now()}
 }
 
 func accept(box *review.Service, id string) error {
@@ -217,7 +217,7 @@
 			if err != nil || known.Status != review.StatusCompleted {
 				continue
 			}
-			if answer, err := box.Answer(context.Background(), "one", id); err == nil {
+			if answer, err := box.Result(context.Background(), "one", id); err == nil {
 				tr.see(id, string(answer))
 			}
 		}
@@ -263,7 +263,7 @@
 			}
 		}
 		for _, id := range tr.refused {
-			if _, err := box.Get("one", id); !errors.Is(err, review.ErrMissing) {
+			if _, err := box.Get("one", id); !errors.Is(err, review.ErrNotFound) {
 				return id + " was refused and is there"
 			}
 		}
--- a/internal/review/measure.go
+++ b/internal/review/measure.go
@@ -14,10 +14,10 @@
 	runtime.ReadMemStats(&before)
 	f := newFold()
 	for i := range reviews {
-		meta := Meta{ID: fmt.Sprintf("resp_%032d", i), Organisation: "an organisation", Model: "a model", Accepted: time.Now(), Deadline: time.Now()}
+		meta := Meta{ID: fmt.Sprintf("resp_%032d", i), Organisation: "an organisation", Model: "a model", AcceptedAt: time.Now(), Deadline: time.Now()}
 		for _, record := range split(KindAccepted, meta, original, []byte("request")) {
 			if data, err := record.encode(); err == nil {
-				f.apply(int64(i), meta.Accepted, data)
+				f.apply(int64(i), meta.AcceptedAt, data)
 			}
 		}
 	}
--- a/internal/review/record.go
+++ b/internal/review/record.go
@@ -53,19 +53,19 @@
 	return k == KindCompleted || k == KindFailed || k == KindCancelled
 }
 
-// original is the value of Record.Repeats in a record that repeats none.
+// original is the value of Record.CopyOf in a record that repeats none.
 const original int64 = -1
 
 // Record is one record of the stream. Contents that do not fit one record are
-// spread over several with the same Set.
+// spread over several with the same ContentID.
 type Record struct {
 	Kind Kind `msgpack:"k"`
-	// Set names the append that the record is a part of.
-	Set   uuid.UUID `msgpack:"s"`
-	Part  int       `msgpack:"p"`
-	Parts int       `msgpack:"n"`
-	// Repeats is the offset of the first part of the records that these repeat.
-	Repeats int64 `msgpack:"r"`
+	// ContentID names the append that the record is a part of.
+	ContentID uuid.UUID `msgpack:"s"`
+	PartIndex int       `msgpack:"p"`
+	PartCount int       `msgpack:"n"`
+	// CopyOf is the offset of the first part of the records that these repeat.
+	CopyOf int64 `msgpack:"r"`
 	// Meta describes the review in every record, so that each stands alone.
 	Meta Meta `msgpack:"m"`
 	// Content is a part of the packed request or answer.
@@ -77,7 +77,7 @@
 	ID           string    `msgpack:"i"`
 	Organisation string    `msgpack:"o"`
 	Model        string    `msgpack:"m"`
-	Accepted     time.Time `msgpack:"a"`
+	AcceptedAt   time.Time `msgpack:"a"`
 	// Deadline is zero for a review without one.
 	Deadline time.Time `msgpack:"d"`
 	// Digest identifies the request, for callers that send it again.
@@ -101,7 +101,7 @@
 	if err := safepack.Unmarshal(data, &record); err != nil {
 		return Record{}, merry.Prepend(err, "decode review")
 	}
-	if record.Kind < KindAccepted || record.Kind > KindDeleted || record.Parts < 1 || record.Part < 0 || record.Part >= record.Parts || record.Meta.ID == "" {
+	if record.Kind < KindAccepted || record.Kind > KindDeleted || record.PartCount < 1 || record.PartIndex < 0 || record.PartIndex >= record.PartCount || record.Meta.ID == "" {
 		return Record{}, merry.New("the record is not one of a review")
 	}
 	return record, nil
@@ -121,7 +121,7 @@
 	for i := range records {
 		begin := min(i*partBytes, len(packed))
 		end := min(begin+partBytes, len(packed))
-		records[i] = Record{Kind: kind, Set: set, Part: i, Parts: parts, Repeats: repeats, Meta: meta, Content: packed[begin:end]}
+		records[i] = Record{Kind: kind, ContentID: set, PartIndex: i, PartCount: parts, CopyOf: repeats, Meta: meta, Content: packed[begin:end]}
 	}
 	return records
 }
--- a/internal/review/runner.go
+++ b/internal/review/runner.go
@@ -42,7 +42,7 @@
 
 // dueTime is when a review should be done: its deadline, or its patience.
 func dueTime(e *entry) time.Time {
-	due := e.meta.Accepted.Add(patience)
+	due := e.meta.AcceptedAt.Add(patience)
 	if !e.meta.Deadline.IsZero() && e.meta.Deadline.Before(due) {
 		return e.meta.Deadline
 	}
@@ -74,8 +74,8 @@
 
 // startDue starts the most pressing reviews that fall to this box.
 func (s *Service) startDue(ctx context.Context) {
-	live := s.cfg.Live()
-	limit := s.cfg.Parallel()
+	live := s.cfg.LiveBoxes()
+	limit := s.cfg.MaxParallel()
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 			return
 		}
 		_, here := s.running[e.meta.ID]
-		if here || s.retries[e.meta.ID].at.After(now) || ownerOf(e.meta.ID, live) != s.cfg.Box {
+		if here || s.retries[e.meta.ID].at.After(now) || ownerOf(e.meta.ID, live) != s.cfg.BoxName {
 			continue
 		}
 		runCtx, cancel := context.WithCancel(ctx)
@@ -172,7 +172,7 @@
 	// may be older than it.
 	_, _ = s.AwaitEnd(ctx, meta.Organisation, meta.ID)
 	known, err := s.Get(meta.Organisation, meta.ID)
-	return errors.Is(err, ErrMissing) || known.Status.Ended()
+	return errors.Is(err, ErrNotFound) || known.Status.IsFinal()
 }
 
 func (s *Service) learn(took time.Duration) {
@@ -206,7 +206,7 @@
 		return false
 	}
 	left := e.meta.Deadline.Sub(now)
-	whole := e.meta.Deadline.Sub(e.meta.Accepted)
+	whole := e.meta.Deadline.Sub(e.meta.AcceptedAt)
 	return left < whole/riskPart || left.Seconds() < riskPart*s.seconds
 }
 
@@ -253,7 +253,7 @@
 }
 
 func (s *Service) dueRepetitions() []repetition {
-	live := s.cfg.Live()
+	live := s.cfg.LiveBoxes()
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,12 +262,12 @@
 	}
 	var due []repetition
 	for id, e := range s.fold.reviews {
-		if e.forgettable(now, s.cfg.KeepAnswers(), s.cfg.Retention) {
+		if e.forgettable(now, s.cfg.ResultRetention(), s.cfg.Retention) {
 			delete(s.fold.reviews, id)
 			continue
 		}
 		kind := e.due(now, s.cfg.Retention)
-		if kind == 0 || len(due) >= maxRepetitions || ownerOf(id, live) != s.cfg.Box {
+		if kind == 0 || len(due) >= maxRepetitions || ownerOf(id, live) != s.cfg.BoxName {
 			continue
 		}
 		due = append(due, e.repetition(kind))
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -20,14 +20,14 @@
 var (
 	// ErrNotAccepted says that the review is certainly not in the log.
 	ErrNotAccepted = merry.Sentinel("the log service does not take reviews now")
-	// ErrUnknown says that the review may have been accepted.
-	ErrUnknown = merry.Sentinel("whether the review was accepted is not known")
+	// ErrOutcomeUnknown says that the review may have been accepted.
+	ErrOutcomeUnknown = merry.Sentinel("whether the review was accepted is not known")
 	// ErrNotReady says that the log has not been read to its end yet.
 	ErrNotReady = merry.Sentinel("the reviews are not read back yet")
-	// ErrMissing says that the organisation has no such review.
-	ErrMissing = merry.Sentinel("there is no such review")
-	// ErrOtherRequest says that the name belongs to another request.
-	ErrOtherRequest = merry.Sentinel("another review has this name")
+	// ErrNotFound says that the organisation has no such review.
+	ErrNotFound = merry.Sentinel("there is no such review")
+	// ErrIDReused says that the name belongs to another request.
+	ErrIDReused = merry.Sentinel("another review has this name")
 	// ErrTooLarge says that the request does not fit the log.
 	ErrTooLarge = merry.Sentinel("the review is too large")
 )
@@ -36,17 +36,17 @@
 type Config struct {
 	Log    logservice.Log
 	Logger zerolog.Logger
-	// Box names this entry box; Live lists the boxes believed to be live.
-	Box  string
-	Live func() []string
+	// BoxName names this entry box; LiveBoxes lists the boxes believed to be live.
+	BoxName   string
+	LiveBoxes func() []string
 	// Retention is for how long the log keeps records at least.
 	Retention time.Duration
-	// KeepAnswers gives for how long an ended review can be fetched.
-	KeepAnswers func() time.Duration
+	// ResultRetention gives for how long an ended review can be fetched.
+	ResultRetention func() time.Duration
 	// Run answers a review. It is called on a goroutine of its own.
 	Run Runner
-	// Parallel gives how many reviews this box runs at once.
-	Parallel func() int
+	// MaxParallel gives how many reviews this box runs at once.
+	MaxParallel func() int
 	// Interval is the time between two looks at what is to be done.
 	Interval time.Duration
 	// PollWait is how long a read may wait at the log.
@@ -126,7 +126,7 @@
 const drainTick = 20 * time.Millisecond
 
 // Drain waits until the reviews that run here have ended, or ctx ends. No new
-// one begins meanwhile if Parallel gives 0.
+// one begins meanwhile if MaxParallel gives 0.
 func (s *Service) Drain(ctx context.Context) {
 	for s.State().Running > 0 && ctx.Err() == nil {
 		waiting.For(ctx, drainTick)
@@ -172,7 +172,7 @@
 	if !s.isReady() {
 		return Review{}, ErrNotReady
 	}
-	if known, err := s.sameAs(meta); err == nil || errors.Is(err, ErrOtherRequest) {
+	if known, err := s.sameAs(meta); err == nil || errors.Is(err, ErrIDReused) {
 		return known, err
 	}
 	if err := s.append(ctx, split(KindAccepted, meta, original, packed)); err != nil {
@@ -193,10 +193,10 @@
 	defer s.mu.Unlock()
 	e, ok := s.fold.reviews[meta.ID]
 	if !ok || !e.accepted.known() {
-		return Review{}, ErrMissing
+		return Review{}, ErrNotFound
 	}
 	if e.meta.Organisation != meta.Organisation || e.meta.Digest != meta.Digest {
-		return Review{}, ErrOtherRequest
+		return Review{}, ErrIDReused
 	}
 	return s.describe(e), nil
 }
@@ -214,7 +214,7 @@
 		switch {
 		case errors.Is(err, logservice.ErrNotTaken):
 			return ErrNotAccepted
-		case err != nil && record.Part < record.Parts-1:
+		case err != nil && record.PartIndex < record.PartCount-1:
 			return ErrNotAccepted // the parts after this one were never sent
 		case err != nil:
 			return nil // await sees whether it got there
@@ -230,13 +230,13 @@
 		changed := s.changed
 		s.mu.Unlock()
 		known, err := s.sameAs(meta)
-		if err == nil || errors.Is(err, ErrOtherRequest) {
+		if err == nil || errors.Is(err, ErrIDReused) {
 			return known, err
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return Review{}, ErrUnknown
+			return Review{}, ErrOutcomeUnknown
 		}
 	}
 }
--- a/internal/review/state.go
+++ b/internal/review/state.go
@@ -43,7 +43,7 @@
 func (s *State) add(review Review) {
 	described := WaitingState{
 		ID: review.Meta.ID, Organisation: review.Meta.Organisation, Model: review.Meta.Model, Status: review.Status,
-		Accepted: review.Meta.Accepted, AtRisk: review.AtRisk, Missed: review.Missed,
+		Accepted: review.Meta.AcceptedAt, AtRisk: review.AtRisk, Missed: review.Missed,
 	}
 	if !review.Meta.Deadline.IsZero() {
 		described.Deadline = &review.Meta.Deadline
@@ -54,6 +54,6 @@
 	if review.Missed {
 		s.Missed++
 	}
-	s.OldestSeconds = max(s.OldestSeconds, time.Since(review.Meta.Accepted).Seconds())
+	s.OldestSeconds = max(s.OldestSeconds, time.Since(review.Meta.AcceptedAt).Seconds())
 	s.Waiting = append(s.Waiting, described)
 }
--- a/internal/standinsmain/standinsmain.go
+++ b/internal/standinsmain/standinsmain.go
@@ -94,7 +94,7 @@
 	}
 	defer set.Close()
 	if opts.apply {
-		if _, err := configlog.Apply(ctx, configlog.ApplyConfig{Log: set.Log(), ApplyID: uuid.NewString(), LookFor: 5 * time.Second}, file); err != nil {
+		if _, err := configlog.Apply(ctx, configlog.ApplyConfig{Log: set.Log(), ApplyID: uuid.NewString(), ReadBackTimeout: 5 * time.Second}, file); err != nil {
 			return err
 		}
 	}
--- a/internal/testfleet/testfleet.go
+++ b/internal/testfleet/testfleet.go
@@ -112,7 +112,7 @@
 
 // Apply puts a file into force.
 func (f *Fleet) Apply(file *config.File) (int64, error) {
-	return configlog.Apply(context.Background(), configlog.ApplyConfig{Log: f.set.Log(), ApplyID: uuid.NewString(), LookFor: 5 * time.Second}, file)
+	return configlog.Apply(context.Background(), configlog.ApplyConfig{Log: f.set.Log(), ApplyID: uuid.NewString(), ReadBackTimeout: 5 * time.Second}, file)
 }
 
 // AddBox starts one more entry box.
