--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -12,23 +12,23 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Config sets up a Service.
+// Config configures a Service.
 type Config struct {
 	Log logservice.Log
-	// Incarnation is the incarnation of this process.
+	// Incarnation identifies this process; it changes on every restart.
 	Incarnation string
-	// Window gives for how long after its making a key may be claimed; at most
-	// MaxWindow counts.
+	// Window returns how long after its creation a key may be claimed; values above MaxWindow
+	// are capped.
 	Window func() time.Duration
-	// Retention is for how long the log keeps records at least. It must be
-	// twice MaxWindow or more: the first claim of a key must still be held when
-	// the last timely one is judged.
+	// Retention is the minimum time for which the log keeps records. It must be at least twice
+	// MaxWindow: the first claim of a key must still be stored when the last claim within the
+	// window is decided.
 	Retention time.Duration
-	// BatchDelay is how long a claim waits for others to share an append.
+	// BatchDelay is how long an entry waits for others to share its append.
 	BatchDelay time.Duration
-	// PollWait is how long a read may wait at the log for a new record.
+	// PollWait is how long the log may hold a read open while it waits for a new record.
 	PollWait time.Duration
-	// RetryDelay is the pause after the log failed.
+	// RetryDelay is the delay after a failed read from or append to the log.
 	RetryDelay time.Duration
 }
 
@@ -38,25 +38,25 @@
 	DefaultRetention  = 24 * time.Hour
 )
 
-// Service claims keys for this process.
+// Service claims idempotency keys on behalf of this process.
 type Service struct {
 	cfg  Config
-	life context.Context
+	ctx  context.Context
 	stop context.CancelFunc
 
 	mu      sync.Mutex
 	streams [StreamCount]*stream
-	ended   sync.WaitGroup
+	workers sync.WaitGroup
 }
 
-// New makes a service. A stream is read back when its first key comes, or all
-// at once by Warm.
+// New creates a service. A stream is read from the log when its first key is claimed; Warm
+// starts reading all of them.
 func New(cfg Config) *Service {
 	setDefault(&cfg.BatchDelay, DefaultBatchDelay)
 	setDefault(&cfg.RetryDelay, tail.DefaultRetryDelay)
 	setDefault(&cfg.Retention, DefaultRetention)
-	life, stop := context.WithCancel(context.Background())
-	return &Service{cfg: cfg, life: life, stop: stop}
+	ctx, stop := context.WithCancel(context.Background())
+	return &Service{cfg: cfg, ctx: ctx, stop: stop}
 }
 
 func setDefault(field *time.Duration, value time.Duration) {
@@ -65,13 +65,13 @@
 	}
 }
 
-// Close ends the service. Claims under way end with an error.
+// Close stops the service. Claims in progress return an error.
 func (s *Service) Close() {
 	s.stop()
-	s.ended.Wait()
+	s.workers.Wait()
 }
 
-// Warm begins to read back all streams.
+// Warm starts reading all streams from the log.
 func (s *Service) Warm() {
 	for number := range StreamCount {
 		s.stream(number)
@@ -84,23 +84,23 @@
 	if s.streams[number] == nil {
 		opened := newStream(number, s.cfg)
 		s.streams[number] = opened
-		s.ended.Go(func() { opened.loopAppend(s.life) })
-		following := tail.New(tail.Config{
+		s.workers.Go(func() { opened.loopAppend(s.ctx) })
+		follower := tail.New(tail.Config{
 			Log: s.cfg.Log, Stream: opened.name, Sink: opened, PollWait: s.cfg.PollWait, RetryDelay: s.cfg.RetryDelay,
 		})
-		s.ended.Go(func() { following.Loop(s.life) })
+		s.workers.Go(func() { follower.Loop(s.ctx) })
 	}
 	return s.streams[number]
 }
 
-// Claim asks for the right to run a request. An error means that nothing was
-// decided; see the errors for what it says of a run.
+// Claim requests the right to run a request. An error means that the log decided nothing; the
+// documentation of the errors states whether an earlier request may have run.
 func (s *Service) Claim(ctx context.Context, key Key, digest Digest) (Decision, error) {
-	made, err := KeyTime(key.Text)
+	created, err := KeyTime(key.Text)
 	if err != nil {
 		return Decision{}, err
 	}
-	if age := time.Since(made); age >= min(s.cfg.Window(), MaxWindow) || age < -MaxClockSkew {
+	if age := time.Since(created); age >= min(s.cfg.Window(), MaxWindow) || age < -MaxClockSkew {
 		return Decision{Verdict: OutsideWindow}, nil
 	}
 	claimID, err := uuid.NewRandom()
@@ -111,29 +111,29 @@
 	return s.stream(streamOf(key)).claim(ctx, entry)
 }
 
-// MaxResponseBytes is the largest response that is kept for callers that ask again.
+// MaxResponseBytes bounds the response bodies that are stored for callers that retry.
 const MaxResponseBytes = 16 << 10
 
-// Complete records the response of a request whose claim was won.
+// Complete records the response of a request whose claim was granted.
 func (s *Service) Complete(key Key, claimID uuid.UUID, answer StoredResponse) {
 	if len(answer.Body) > MaxResponseBytes {
 		answer.Body, answer.BodyStored = nil, false
 	}
-	s.state(Entry{Kind: KindComplete, Key: key, ClaimID: claimID, Response: answer})
+	s.enqueue(Entry{Kind: KindComplete, Key: key, ClaimID: claimID, Response: answer})
 }
 
-// Release records that a request whose claim was won did not run, and that
-// this process never will run it.
+// Release records that a request whose claim was granted did not run and that this process will
+// never run it.
 func (s *Service) Release(key Key, claimID uuid.UUID) {
-	s.state(Entry{Kind: KindRelease, Key: key, ClaimID: claimID})
+	s.enqueue(Entry{Kind: KindRelease, Key: key, ClaimID: claimID})
 }
 
-func (s *Service) state(entry Entry) {
-	// Without room the key stays in the state "unknown", which is safe.
-	_ = s.stream(streamOf(entry.Key)).entries.TryPush(entry)
+func (s *Service) enqueue(entry Entry) {
+	// If the queue is full, the key stays claimed without a known outcome, which is safe.
+	_ = s.stream(streamOf(entry.Key)).queue.TryPush(entry)
 }
 
-// StreamState is the part of a state dump that describes one stream.
+// StreamState describes one stream in a state dump.
 type StreamState struct {
 	Name    string `json:"name"`
 	Ready   bool   `json:"ready"`
@@ -143,7 +143,7 @@
 	Appends int64  `json:"appends"`
 }
 
-// State describes the streams that this process follows.
+// State describes the streams that this process reads.
 func (s *Service) State() []StreamState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,29 +160,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return StreamState{
-		Name: s.name, Ready: s.ready, Next: s.next, Keys: len(s.fold.holders),
+		Name: s.name, Ready: s.ready, Next: s.next, Keys: len(s.table.keys),
 		Pending: len(s.pending), Appends: s.appends,
 	}
 }
 
-// drainTick is how often Drain looks whether all is written.
-const drainTick = 10 * time.Millisecond
+// drainPollInterval is how often Drain checks for unwritten entries.
+const drainPollInterval = 10 * time.Millisecond
 
-// Drain waits until what was stated of finished runs has been handed to the log,
-// or ctx ends. Callers that ask again get the answer only if it got there.
+// Drain waits until the outcomes of finished runs have been sent to the log, or until ctx ends.
+// Callers that retry get a response only if it reached the log.
 func (s *Service) Drain(ctx context.Context) {
-	for s.unwritten() > 0 && ctx.Err() == nil {
-		waiting.For(ctx, drainTick)
+	for s.totalUnwritten() > 0 && ctx.Err() == nil {
+		waiting.For(ctx, drainPollInterval)
 	}
 }
 
-func (s *Service) unwritten() int {
+func (s *Service) totalUnwritten() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	total := 0
 	for _, opened := range s.streams {
 		if opened != nil {
-			total += opened.unwrittenEntries()
+			total += opened.countUnwritten()
 		}
 	}
 	return total
--- a/internal/claim/export_test.go
+++ b/internal/claim/export_test.go
@@ -6,8 +6,9 @@
 	"github.com/google/uuid"
 )
 
-// KeyAt gives the key that has the random part of another and a time. The uuid
-// library never goes back in time, as a paused clock does between tests.
+// KeyAt returns a key with the random part of text and the given creation time. The uuid
+// library's clock is monotonic and would not follow the virtual clock when that starts again in
+// the next test.
 func KeyAt(text string, at time.Time) string {
 	id := uuid.MustParse(text)
 	millis := at.UnixMilli()
--- a/internal/claim/fold.go
+++ b/internal/claim/fold.go
@@ -6,34 +6,35 @@
 	"github.com/google/uuid"
 )
 
-// holder is what the log says of one key.
-type holder struct {
+// keyState is the state of one key according to the log.
+type keyState struct {
 	digest  Digest
 	claimID uuid.UUID
 	claimer string
-	// at is the log's time of the claim.
-	at     time.Time
-	done   bool
-	answer StoredResponse
+	// claimedAt is the log's timestamp of the claim.
+	claimedAt time.Time
+	completed bool
+	response  StoredResponse
 }
 
-// Verdict says what became of a claim.
+// Verdict is the log's decision on a claim.
 type Verdict uint8
 
 const (
 	// Granted means that this process, and no other, may run the request.
 	Granted Verdict = iota + 1
-	// Held means that another claim came first and its end is not known.
+	// Held means that an earlier claim holds the key and its outcome is not known.
 	Held
-	// Completed means that another claim came first and its answer is known.
+	// Completed means that an earlier claim holds the key and its response is stored.
 	Completed
-	// KeyReused means that the key was used for another request.
+	// KeyReused means that the key was used for a different request.
 	KeyReused
-	// OutsideWindow means that the log got the claim when the key was too old.
+	// OutsideWindow means that the key was too old, or dated in the future, when the claim was
+	// made or reached the log, or that an earlier claim of the key may have expired unread.
 	OutsideWindow
 )
 
-// Decision is what the log decided of a claim.
+// Decision is the decision on a claim.
 type Decision struct {
 	Verdict Verdict
 	// Response is set when the verdict is Completed.
@@ -42,106 +43,105 @@
 	ClaimID uuid.UUID
 }
 
-// fold is the state of one claim stream.
-type fold struct {
-	holders map[Key]*holder
-	// ages lists the keys in the order of their claims, for forgetting.
-	ages []aged
+// keyTable is the state of one claim stream: the result of applying its records in order.
+type keyTable struct {
+	keys map[Key]*keyState
+	// expiryQueue lists the keys in the order of their claims, for eviction.
+	expiryQueue []expiryEntry
 }
 
-type aged struct {
-	key Key
-	id  uuid.UUID
-	at  time.Time
+type expiryEntry struct {
+	key       Key
+	claim     uuid.UUID
+	claimedAt time.Time
 }
 
-func newFold() *fold { return &fold{holders: map[Key]*holder{}} }
+func newKeyTable() *keyTable { return &keyTable{keys: map[Key]*keyState{}} }
 
-// MaxClockSkew is how far the clocks of callers, boxes and the log may be apart.
+// MaxClockSkew bounds the difference between the clocks of callers, boxes and the log.
 const MaxClockSkew = time.Minute
 
-// MaxWindow is the longest time for which a key can be claimed. The window in
-// force is configuration and may differ between boxes for a moment; the fold
-// must not, so it remembers keys by this constant.
+// MaxWindow bounds the claim window. The configured window may differ between boxes while a
+// change propagates, but the tables must not differ, so they evict keys by this constant.
 const MaxWindow = 2 * time.Hour
 
-// apply takes over one entry that the log took at a time, and gives what it
-// decided of a claim. It depends on nothing but the log, so that every process
-// decides alike; so a claim's age is measured by the log's time.
-func (f *fold) apply(entry Entry, at time.Time) Decision {
-	f.forget(at)
+// apply applies an entry with the log's timestamp and returns the decision if it is a claim. It
+// depends only on the log, so that every process reaches the same decision; for that reason a
+// claim's age is measured with the log's timestamp.
+func (t *keyTable) apply(entry Entry, at time.Time) Decision {
+	t.evictExpired(at)
 	switch entry.Kind {
 	case KindClaim:
-		return f.claim(entry, at)
+		return t.applyClaim(entry, at)
 	case KindComplete:
-		if held := f.holders[entry.Key]; held != nil && held.claimID == entry.ClaimID && !held.done {
-			held.done, held.answer = true, entry.Response
+		if state := t.keys[entry.Key]; state != nil && state.claimID == entry.ClaimID && !state.completed {
+			state.completed, state.response = true, entry.Response
 		}
 	case KindRelease:
-		if held := f.holders[entry.Key]; held != nil && held.claimID == entry.ClaimID && !held.done {
-			delete(f.holders, entry.Key)
+		if state := t.keys[entry.Key]; state != nil && state.claimID == entry.ClaimID && !state.completed {
+			delete(t.keys, entry.Key)
 		}
 	}
 	return Decision{}
 }
 
-// claim takes over a claim. The first of a key holds it even when the key is too
-// old by then: which claim is first must not hang on what the window is.
-func (f *fold) claim(entry Entry, at time.Time) Decision {
-	held := f.holders[entry.Key]
+// applyClaim applies a claim. The first claim of a key holds it even when the key is outside
+// the window by then: the order of claims must not depend on the window.
+func (t *keyTable) applyClaim(entry Entry, at time.Time) Decision {
+	state := t.keys[entry.Key]
 	switch {
-	case held == nil:
-		f.holders[entry.Key] = &holder{digest: entry.Digest, claimID: entry.ClaimID, claimer: entry.Claimer, at: at}
-		f.ages = append(f.ages, aged{key: entry.Key, id: entry.ClaimID, at: at})
-		if !timely(entry.Key, at) {
+	case state == nil:
+		t.keys[entry.Key] = &keyState{digest: entry.Digest, claimID: entry.ClaimID, claimer: entry.Claimer, claimedAt: at}
+		t.expiryQueue = append(t.expiryQueue, expiryEntry{key: entry.Key, claim: entry.ClaimID, claimedAt: at})
+		if !inWindow(entry.Key, at) {
 			return Decision{Verdict: OutsideWindow}
 		}
 		return Decision{Verdict: Granted, ClaimID: entry.ClaimID}
-	case held.digest != entry.Digest:
+	case state.digest != entry.Digest:
 		return Decision{Verdict: KeyReused}
-	case held.done:
-		return Decision{Verdict: Completed, Response: held.answer}
+	case state.completed:
+		return Decision{Verdict: Completed, Response: state.response}
 	default:
 		return Decision{Verdict: Held}
 	}
 }
 
-// timely reports whether the log took a claim while its key could be claimed.
-// A process that was paused after it looked at the clock fails here.
-func timely(key Key, at time.Time) bool {
-	made, err := KeyTime(key.Text)
+// inWindow reports whether the log received a claim while its key could be claimed. It rejects
+// the claim of a process that was paused between its own check of the key's age and the append.
+func inWindow(key Key, at time.Time) bool {
+	created, err := KeyTime(key.Text)
 	if err != nil {
 		return false
 	}
-	age := at.Sub(made)
+	age := at.Sub(created)
 	return age < MaxWindow+MaxClockSkew && age >= -MaxClockSkew
 }
 
-// forget drops the keys that no claim can be timely for any more. A key was made
-// at most MaxClockSkew after its first claim, so it is too old for good once MaxWindow
-// and twice MaxClockSkew have passed by the log's time.
-func (f *fold) forget(now time.Time) {
-	kept := 0
-	for kept < len(f.ages) && now.Sub(f.ages[kept].at) > MaxWindow+2*MaxClockSkew {
-		old := f.ages[kept]
-		if held := f.holders[old.key]; held != nil && held.claimID == old.id {
-			delete(f.holders, old.key)
+// evictExpired drops the keys that are too old for any further claim. A key is created at most
+// MaxClockSkew after the time of its first claim, so it can no longer be in the window once
+// MaxWindow plus twice MaxClockSkew have passed by the log's timestamps.
+func (t *keyTable) evictExpired(now time.Time) {
+	evicted := 0
+	for evicted < len(t.expiryQueue) && now.Sub(t.expiryQueue[evicted].claimedAt) > MaxWindow+2*MaxClockSkew {
+		oldest := t.expiryQueue[evicted]
+		if state := t.keys[oldest.key]; state != nil && state.claimID == oldest.claim {
+			delete(t.keys, oldest.key)
 		}
-		kept++
+		evicted++
 	}
-	f.ages = f.ages[kept:]
+	t.expiryQueue = t.expiryQueue[evicted:]
 }
 
-// held gives what is decided of a key already.
-func (f *fold) held(key Key, digest Digest) (Decision, bool) {
-	held := f.holders[key]
+// lookup returns the decision on a key that is already claimed.
+func (t *keyTable) lookup(key Key, digest Digest) (Decision, bool) {
+	state := t.keys[key]
 	switch {
-	case held == nil:
+	case state == nil:
 		return Decision{}, false
-	case held.digest != digest:
+	case state.digest != digest:
 		return Decision{Verdict: KeyReused}, true
-	case held.done:
-		return Decision{Verdict: Completed, Response: held.answer}, true
+	case state.completed:
+		return Decision{Verdict: Completed, Response: state.response}, true
 	default:
 		return Decision{Verdict: Held}, true
 	}
--- a/internal/claim/fold_test.go
+++ b/internal/claim/fold_test.go
@@ -12,59 +12,59 @@
 	"github.com/cometlock/cometlock/internal/fakelog"
 )
 
-func TestFoldDecidesByTheOrderOfTheLog(t *testing.T) {
+func TestClaimsAreDecidedInLogOrder(t *testing.T) {
 	key := Key{Organisation: "a", Text: uuid.Must(uuid.NewV7()).String()}
 	other := Key{Organisation: "b", Text: key.Text}
 	made, err := KeyTime(key.Text)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	one, two, three := uuid.New(), uuid.New(), uuid.New()
-	claims := func(id uuid.UUID) Entry { return Entry{Kind: KindClaim, Key: key, ClaimID: id} }
-	done := func(id uuid.UUID) Entry {
+	claimed := func(id uuid.UUID) Entry { return Entry{Kind: KindClaim, Key: key, ClaimID: id} }
+	completed := func(id uuid.UUID) Entry {
 		return Entry{Kind: KindComplete, Key: key, ClaimID: id, Response: StoredResponse{Status: 200}}
 	}
-	renounce := func(id uuid.UUID) Entry { return Entry{Kind: KindRelease, Key: key, ClaimID: id} }
+	released := func(id uuid.UUID) Entry { return Entry{Kind: KindRelease, Key: key, ClaimID: id} }
 	cases := []struct {
 		name    string
 		entries []Entry
 		after   time.Duration // of the last entry
 		want    Verdict       // of the last entry
 	}{
-		{"the first wins", []Entry{claims(one)}, 0, Granted},
-		{"the second does not", []Entry{claims(one), claims(two)}, 0, Held},
-		{"nor much later", []Entry{claims(one), claims(two)}, MaxWindow, Held},
-		{"a finished one answers", []Entry{claims(one), done(one), claims(two)}, 0, Completed},
-		{"another's end is not this one's", []Entry{claims(one), done(two), claims(three)}, 0, Held},
-		{"a renounced one frees the key", []Entry{claims(one), renounce(one), claims(two)}, 0, Granted},
-		{"another's renouncing does not", []Entry{claims(one), claims(two), renounce(two), claims(three)}, 0, Held},
-		{"nor renouncing after the end", []Entry{claims(one), done(one), renounce(one), claims(two)}, 0, Completed},
-		{"a renouncing that comes before its claim is lost", []Entry{renounce(one), claims(one), claims(two)}, 0, Held},
-		{"another body is another request", []Entry{claims(one), {Kind: KindClaim, Key: key, ClaimID: two, Digest: Digest{1}}}, 0, KeyReused},
-		{"organisations never meet", []Entry{claims(one), {Kind: KindClaim, Key: other, ClaimID: two}}, 0, Granted},
-		{"a key too old for the log is void", []Entry{claims(one)}, MaxWindow + 2*time.Minute, OutsideWindow},
-		{"a void claim still holds the key", []Entry{claims(one), claims(two)}, MaxWindow + 2*time.Minute, Held},
-		{"a key from the future is void", []Entry{claims(one)}, -2 * time.Minute, OutsideWindow},
-		{"a forgotten key is too old to be won again", []Entry{claims(one), claims(two)}, 3 * MaxWindow, OutsideWindow},
+		{"the first claim is granted", []Entry{claimed(one)}, 0, Granted},
+		{"the second is not", []Entry{claimed(one), claimed(two)}, 0, Held},
+		{"nor is a much later one", []Entry{claimed(one), claimed(two)}, MaxWindow, Held},
+		{"a completed key returns its response", []Entry{claimed(one), completed(one), claimed(two)}, 0, Completed},
+		{"a completion by another claim is ignored", []Entry{claimed(one), completed(two), claimed(three)}, 0, Held},
+		{"a release frees the key", []Entry{claimed(one), released(one), claimed(two)}, 0, Granted},
+		{"a release by another claim does not", []Entry{claimed(one), claimed(two), released(two), claimed(three)}, 0, Held},
+		{"nor does a release after completion", []Entry{claimed(one), completed(one), released(one), claimed(two)}, 0, Completed},
+		{"a release before its claim is ignored", []Entry{released(one), claimed(one), claimed(two)}, 0, Held},
+		{"another body with the same key is rejected", []Entry{claimed(one), {Kind: KindClaim, Key: key, ClaimID: two, Digest: Digest{1}}}, 0, KeyReused},
+		{"keys of organisations are independent", []Entry{claimed(one), {Kind: KindClaim, Key: other, ClaimID: two}}, 0, Granted},
+		{"a key that is too old at the log's time is rejected", []Entry{claimed(one)}, MaxWindow + 2*time.Minute, OutsideWindow},
+		{"a claim outside the window still holds the key", []Entry{claimed(one), claimed(two)}, MaxWindow + 2*time.Minute, Held},
+		{"a key from the future is rejected", []Entry{claimed(one)}, -2 * time.Minute, OutsideWindow},
+		{"an evicted key is too old to be granted again", []Entry{claimed(one), claimed(two)}, 3 * MaxWindow, OutsideWindow},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			f := newFold()
+			table := newKeyTable()
 			var got Decision
 			for i, entry := range c.entries {
 				at := made
 				if i == len(c.entries)-1 {
 					at = made.Add(c.after)
 				}
-				got = f.apply(entry, at)
+				got = table.apply(entry, at)
 			}
 			g.Expect(got.Verdict).To(Equal(c.want))
 		})
 	}
 }
 
-// A box whose place in the log has expired cannot tell whether an earlier claim
-// was there. It decides nothing on such keys.
-func TestLosingTheThreadOfTheLogDecidesNothing(t *testing.T) {
+// When records expire before a box has read them, an earlier claim may be among them. The box
+// must reject pending claims and keys from before the gap instead of granting them.
+func TestNoClaimIsGrantedAcrossALogGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		log := fakelog.New()
@@ -81,7 +81,8 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(decision.Verdict).To(Equal(Granted))
 
-		// All records expire, though far too early, while a claim is under way.
+		// The log expires all records, long before their retention ends, while a claim is
+		// pending.
 		late := Key{Organisation: "a", Text: old.Text}
 		number := streamOf(late)
 		s := service.stream(number)
@@ -92,16 +93,16 @@
 		s.Restart(1, time.Now())
 		g.Expect((<-waiting).err).To(MatchError(ErrLogGap))
 
-		// What the log promises to hold still counts: the key is younger than
-		// the retention, so a box that reads all of it may decide.
-		g.Expect(s.covered).To(BeTemporally("~", time.Now().Add(MaxClockSkew-DefaultRetention), time.Second))
+		// The log still stores everything within its retention. The key is younger than that,
+		// so a box that reads all of the log may decide on it.
+		g.Expect(s.historyStart).To(BeTemporally("~", time.Now().Add(MaxClockSkew-DefaultRetention), time.Second))
 		s.mu.Lock()
 		s.ready = true
-		s.covered = time.Now()
+		s.historyStart = time.Now()
 		s.mu.Unlock()
 		decision, err = service.Claim(context.Background(), late, Digest{})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(decision.Verdict).To(Equal(OutsideWindow), "a claim from before what was read back may exist")
+		g.Expect(decision.Verdict).To(Equal(OutsideWindow), "an earlier claim may exist in the records that were not read")
 	})
 }
 
@@ -124,9 +125,9 @@
 		if err != nil {
 			return
 		}
-		folded := newFold()
+		table := newKeyTable()
 		for _, entry := range entries {
-			folded.apply(entry, time.Unix(0, 0))
+			table.apply(entry, time.Unix(0, 0))
 		}
 	})
 }
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -22,21 +22,21 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, rapidtest.Config{Checks: 300, Steps: 30}) }
 
-// attempt is one request that carries a key.
+// attempt is one request with an idempotency key.
 type attempt struct {
 	number  int
 	key     claim.Key
 	box     int
 	startAt time.Duration
-	// pause is the time between winning the claim and running.
+	// pause is the time between the grant and the run.
 	pause time.Duration
-	// dies says that the process ends instead of running.
-	dies bool
-	// renounces says that the request could not be handed over.
-	renounces bool
+	// crashes means that the process crashes instead of running the request.
+	crashes bool
+	// releases means that the request could not be sent to a server.
+	releases bool
 }
 
-// claimOutput is what the porcupine model sees of an attempt.
+// claimOutput is the output of an attempt in the porcupine model.
 type claimOutput struct {
 	verdict claim.Verdict
 	answer  int
@@ -49,14 +49,14 @@
 	release bool
 }
 
-// keyState is the model's state of one key: free, held by an attempt, or done.
+// keyState is the model's state of one key: free, held by an attempt, or completed.
 type keyState struct {
 	held   bool
 	holder int
 	done   bool
 }
 
-// claimModel is what a single copy of the claims would do.
+// claimModel is the sequential specification of the claims.
 var claimModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{keyState{}} },
 	Step: func(state, input, output any) []any {
@@ -80,8 +80,8 @@
 		}
 		return []keyState{{held: true, holder: op.attempt, done: true}}
 	case out.failed:
-		// Nobody knows whether the claim got into the log; one that did is
-		// renounced, which may get lost as well.
+		// The claim may or may not have reached the log. If it did, this process releases it,
+		// and the release may be lost as well.
 		if state.held {
 			return []keyState{state}
 		}
@@ -97,72 +97,72 @@
 	}
 }
 
-// trial is one random history in virtual time.
-type trial struct {
+// history is one random history in virtual time.
+type history struct {
 	log    *fakelog.Log
 	boxes  []*claim.Service
-	begin  time.Time
+	start  time.Time
 	mu     sync.Mutex
 	runs   map[claim.Key]int
 	events map[claim.Key][]porcupine.Operation
 	wins   int
 }
 
-func (tr *trial) now() int64 { return int64(time.Since(tr.begin)) }
+func (h *history) now() int64 { return int64(time.Since(h.start)) }
 
-func (tr *trial) record(key claim.Key, op porcupine.Operation) {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	tr.events[key] = append(tr.events[key], op)
+func (h *history) record(key claim.Key, op porcupine.Operation) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.events[key] = append(h.events[key], op)
 }
 
-// run makes one attempt from claim to the end.
-func (tr *trial) run(a attempt) {
+// runAttempt plays an attempt from its claim to its outcome.
+func (h *history) runAttempt(a attempt) {
 	time.Sleep(a.startAt)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	called := tr.now()
-	decision, err := tr.boxes[a.box].Claim(ctx, a.key, claim.Digest{})
-	op := porcupine.Operation{ClientId: a.number, Input: operation{attempt: a.number}, Call: called, Return: tr.now()}
+	called := h.now()
+	decision, err := h.boxes[a.box].Claim(ctx, a.key, claim.Digest{})
+	op := porcupine.Operation{ClientId: a.number, Input: operation{attempt: a.number}, Call: called, Return: h.now()}
 	switch {
 	case err != nil:
 		op.Output = claimOutput{failed: true}
 		op.Return = math.MaxInt64
 		if errors.Is(err, claim.ErrNotReady) {
-			return // nothing was even tried
+			return // no claim was appended
 		}
-		tr.record(a.key, porcupine.Operation{ClientId: a.number + 1000, Input: operation{attempt: a.number, release: true}, Output: claimOutput{}, Call: called, Return: math.MaxInt64})
+		h.record(a.key, porcupine.Operation{ClientId: a.number + 1000, Input: operation{attempt: a.number, release: true}, Output: claimOutput{}, Call: called, Return: math.MaxInt64})
 	case decision.Verdict == claim.OutsideWindow:
 		return
 	default:
 		op.Output = claimOutput{verdict: decision.Verdict, answer: decision.Response.Status}
 	}
-	tr.record(a.key, op)
+	h.record(a.key, op)
 	if err == nil && decision.Verdict == claim.Granted {
-		tr.won(a, decision.ClaimID)
+		h.finishRun(a, decision.ClaimID)
 	}
 }
 
-func (tr *trial) won(a attempt, id uuid.UUID) {
-	tr.mu.Lock()
-	tr.wins++
-	tr.mu.Unlock()
+func (h *history) finishRun(a attempt, id uuid.UUID) {
+	h.mu.Lock()
+	h.wins++
+	h.mu.Unlock()
 	time.Sleep(a.pause)
 	end := operation{attempt: a.number}
 	switch {
-	case a.dies:
+	case a.crashes:
 		return
-	case a.renounces:
-		tr.boxes[a.box].Release(a.key, id)
+	case a.releases:
+		h.boxes[a.box].Release(a.key, id)
 		end.release = true
 	default:
-		tr.mu.Lock()
-		tr.runs[a.key]++
-		tr.mu.Unlock()
-		tr.boxes[a.box].Complete(a.key, id, claim.StoredResponse{Status: a.number, BodyStored: true})
+		h.mu.Lock()
+		h.runs[a.key]++
+		h.mu.Unlock()
+		h.boxes[a.box].Complete(a.key, id, claim.StoredResponse{Status: a.number, BodyStored: true})
 		end.done = true
 	}
-	tr.record(a.key, porcupine.Operation{ClientId: a.number + 1000, Input: end, Output: claimOutput{}, Call: tr.now(), Return: math.MaxInt64})
+	h.record(a.key, porcupine.Operation{ClientId: a.number + 1000, Input: end, Output: claimOutput{}, Call: h.now(), Return: math.MaxInt64})
 }
 
 func drawAttempt(t *rapid.T, number int, keys []claim.Key) attempt {
@@ -171,17 +171,17 @@
 	return attempt{
 		number: number, key: rapid.SampledFrom(keys).Draw(t, "key"), box: rapid.IntRange(0, 2).Draw(t, "box"),
 		startAt: time.Duration(rapid.IntRange(0, 12_000).Draw(t, "start")) * time.Millisecond,
-		pause:   pause, dies: end == 0, renounces: end == 1,
+		pause:   pause, crashes: end == 0, releases: end == 1,
 	}
 }
 
-// disturb sets faults of the log, one after the other.
-func (tr *trial) disturb(faults []fakelog.Faults) {
+// injectFaults applies the faults to the log, one after the other.
+func (h *history) injectFaults(faults []fakelog.Faults) {
 	for _, fault := range faults {
-		tr.log.SetFaults(fault)
+		h.log.SetFaults(fault)
 		time.Sleep(1500 * time.Millisecond)
 	}
-	tr.log.SetFaults(fakelog.Faults{})
+	h.log.SetFaults(fakelog.Faults{})
 }
 
 func drawFaults(t *rapid.T) fakelog.Faults {
@@ -200,7 +200,7 @@
 	}
 }
 
-// plan is what a history does, drawn before it begins.
+// plan is the input of a history, drawn before it starts.
 type plan struct {
 	attempts []attempt
 	faults   []fakelog.Faults
@@ -215,22 +215,22 @@
 	return drawn
 }
 
-func (tr *trial) play(p plan) {
+func (h *history) runPlan(p plan) {
 	for i := range 3 {
-		service := claim.New(claim.Config{Log: tr.log, Incarnation: fmt.Sprint("box-", i), PollWait: 30 * time.Minute, Window: func() time.Duration { return time.Hour }})
+		service := claim.New(claim.Config{Log: h.log, Incarnation: fmt.Sprint("box-", i), PollWait: 30 * time.Minute, Window: func() time.Duration { return time.Hour }})
 		service.Warm()
-		tr.boxes = append(tr.boxes, service)
+		h.boxes = append(h.boxes, service)
 	}
 	time.Sleep(time.Second)
 	var ended sync.WaitGroup
-	ended.Go(func() { tr.disturb(p.faults) })
+	ended.Go(func() { h.injectFaults(p.faults) })
 	for _, a := range p.attempts {
-		// Keys are drawn by the real clock, and the history's begins elsewhere.
-		a.key.Text = claim.KeyAt(a.key.Text, tr.begin)
-		ended.Go(func() { tr.run(a) })
+		// Keys are drawn with the real clock; the history runs on a virtual one.
+		a.key.Text = claim.KeyAt(a.key.Text, h.start)
+		ended.Go(func() { h.runAttempt(a) })
 	}
 	ended.Wait()
-	for _, box := range tr.boxes {
+	for _, box := range h.boxes {
 		box.Close()
 	}
 }
@@ -241,10 +241,10 @@
 		p := drawPlan(rt)
 		var violation string
 		synctest.Test(t, func(*testing.T) {
-			tr := &trial{log: fakelog.New(), begin: time.Now(), runs: map[claim.Key]int{}, events: map[claim.Key][]porcupine.Operation{}}
-			tr.play(p)
-			violation = tr.violation()
-			wins += tr.wins
+			h := &history{log: fakelog.New(), start: time.Now(), runs: map[claim.Key]int{}, events: map[claim.Key][]porcupine.Operation{}}
+			h.runPlan(p)
+			violation = h.violation()
+			wins += h.wins
 		})
 		attempts, faults = attempts+len(p.attempts), faults+len(p.faults)
 		if violation != "" {
@@ -255,16 +255,16 @@
 	NewWithT(t).Expect(wins).To(BeNumerically(">", 100))
 }
 
-// violation says what promise a history broke, or nothing.
-func (tr *trial) violation() string {
-	for key, runs := range tr.runs {
+// violation describes the invariant that the history violated, or is empty.
+func (h *history) violation() string {
+	for key, runs := range h.runs {
 		if runs > 1 {
 			return fmt.Sprintf("key %v ran %d times", key, runs)
 		}
 	}
-	for key, events := range tr.events {
+	for key, events := range h.events {
 		if !porcupine.CheckOperations(claimModel, events) {
-			return fmt.Sprintf("the history of key %v is not that of a single copy: %+v", key, events)
+			return fmt.Sprintf("the history of key %v is not linearizable: %+v", key, events)
 		}
 	}
 	return ""
--- a/internal/claim/measure.go
+++ b/internal/claim/measure.go
@@ -7,23 +7,23 @@
 	"github.com/google/uuid"
 )
 
-// MemoryPerKey gives the memory, in bytes, that each of so many claimed keys
-// takes. The bench prints it and docs/CAPACITY.md multiplies it.
+// MemoryPerKey returns the memory per claimed key, in bytes, in a table of that many keys. The
+// benchmark prints it and docs/CAPACITY.md multiplies it.
 func MemoryPerKey(keys int, at time.Time) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	f := newFold()
+	table := newKeyTable()
 	for range keys {
-		f.apply(Entry{Kind: KindClaim, Key: Key{Organisation: "an organisation", Text: uuid.NewString()}, ClaimID: uuid.New(), Claimer: "a box"}, at)
+		table.apply(Entry{Kind: KindClaim, Key: Key{Organisation: "an organisation", Text: uuid.NewString()}, ClaimID: uuid.New(), Claimer: "a box"}, at)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(f)
+	runtime.KeepAlive(table)
 	return (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(keys)
 }
 
-// LogBytesPerClaim gives the bytes that a claim takes in the log when so many
+// LogBytesPerClaim returns the bytes that a claim occupies in the log when batchSize claims
 // share an append.
 func LogBytesPerClaim(batchSize int) float64 {
 	entries := make([]Entry, batchSize)
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -1,22 +1,20 @@
-// Package claim decides once, for all entry boxes, who may run a request that
-// may not be repeated.
-//
-// A caller that got no answer sends its request again, and the balancer hands it
-// to another box, perhaps in another zone. Both requests carry the same key. So
-// before such a request runs, its box appends a claim to the platform's log;
-// the first claim of a key in log order wins, and only the process that made
-// it may run the request, once, ever. There is no lease that runs out: a
-// claimer that died leaves its key in the state "unknown", because nobody can
-// tell whether it ran, and a claimer that was merely paused wakes up as the
-// only one that may run.
+// Package claim enforces at-most-once execution of requests that must not be repeated, by
+// idempotency keys that all entry boxes claim in a shared log.
+// A caller that got no response retries its request, and the balancer may send the retry to
+// another box, perhaps in another zone. Both requests have the same key. Before such a request
+// runs, its box appends a claim to the platform's log; the first claim of a key in log order is
+// granted, and only the process that appended it may run the request, once. A claim is not a
+// lease and does not time out. If the claiming process crashed, the outcome for its key stays
+// unknown, because no other process can determine whether the request ran; if it was only
+// paused, it is still the only process that may run it when it resumes.
 //
 //	offset  record              state of key K
-//	4       claim K by box a    a may run it
-//	5       claim K by box b    void: b answers "unknown"
-//	6       done K by a, 200    b and all others answer with a's answer
+//	4       claim K by box a    a may run the request
+//	5       claim K by box b    rejected: b responds "outcome unknown"
+//	6       complete K by a     b and all others respond with a's response
 //
-// A claimer that certainly did not run, and never will, renounces; the next
-// claim then wins.
+// A process whose request did not run, and never will, releases the claim; the next claim of
+// the key is then granted.
 package claim
 
 import (
@@ -31,43 +29,44 @@
 	"github.com/cometlock/cometlock/internal/safepack"
 )
 
-// Kind tells the kinds of entries apart.
+// Kind is the kind of an entry.
 type Kind uint8
 
 const (
-	// KindClaim asks for the right to run.
+	// KindClaim requests the right to run.
 	KindClaim Kind = 1
-	// KindComplete states the response of the run.
+	// KindComplete records the response of the run.
 	KindComplete Kind = 2
-	// KindRelease states that the claimer did not run and never will.
+	// KindRelease records that the claiming process did not run the request and never will.
 	KindRelease Kind = 3
 )
 
-// Key is an organisation's idempotency key. Keys of different organisations
-// never meet.
+// Key is an organisation's idempotency key. Keys of different organisations are independent,
+// even with the same text.
 type Key struct {
 	Organisation string `msgpack:"o"`
 	Text         string `msgpack:"k"`
 }
 
-// Digest identifies the content of a request.
+// Digest is the hash of a request's content.
 type Digest [32]byte
 
-// StoredResponse is the response of a finished run, kept for callers that ask again.
+// StoredResponse is the response of a finished run, stored for callers that retry.
 type StoredResponse struct {
 	Status      int    `msgpack:"s"`
 	ContentType string `msgpack:"c"`
 	Body        []byte `msgpack:"b"`
-	// BodyStored is false when the body was too large to keep.
+	// BodyStored is false if the body was too large to store.
 	BodyStored bool `msgpack:"w"`
 }
 
-// Entry is one statement about a key.
+// Entry is one change to the state of a key.
 type Entry struct {
 	Kind   Kind   `msgpack:"t"`
 	Key    Key    `msgpack:"k"`
 	Digest Digest `msgpack:"d,omitempty"`
-	// ClaimID names the claim; only its claimer knows it before the log does.
+	// ClaimID identifies the claim. It is random, and no other process has it before the claim
+	// is in the log.
 	ClaimID uuid.UUID `msgpack:"i"`
 	// Claimer is the incarnation of the claiming process.
 	Claimer  string         `msgpack:"p,omitempty"`
@@ -87,7 +86,7 @@
 	return data, nil
 }
 
-// Decode reads a record of a claim stream.
+// Decode decodes a record of a claim stream.
 func Decode(data []byte) ([]Entry, error) {
 	var decoded batch
 	if err := safepack.Unmarshal(data, &decoded); err != nil {
@@ -96,28 +95,28 @@
 	return decoded.Entries, nil
 }
 
-// StreamCount is the number of claim streams that keys are spread over.
+// StreamCount is the number of claim streams that keys are distributed over.
 const StreamCount = 16
 
-// streamOf gives the stream of a key.
+// streamOf returns the number of a key's stream.
 func streamOf(key Key) int {
 	hash := fnv.New32a()
-	// Writing to this hash never fails.
+	// Write never returns an error for this hash.
 	_, _ = hash.Write([]byte(key.Organisation))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(key.Text))
 	return int(hash.Sum32() % StreamCount)
 }
 
-// StreamName gives the name of a claim stream in the log.
+// StreamName returns the name of a claim stream in the log.
 func StreamName(stream int) string { return "claims-" + strconv.Itoa(stream) }
 
-// KeyTime reads when a key was made. Keys are UUIDs of version 7, which carry
-// their time, so that a key that is older than the log's memory can be told.
+// KeyTime returns the creation time of a key. Keys are UUIDs of version 7, which contain a
+// timestamp, so that keys older than the log's retention can be detected.
 func KeyTime(text string) (time.Time, error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != 7 {
-		return time.Time{}, merry.New("an idempotency key is a UUID of version 7")
+		return time.Time{}, merry.New("the idempotency key is not a UUID of version 7")
 	}
 	seconds, nanos := id.Time().UnixTime()
 	return time.Unix(seconds, nanos), nil
--- a/internal/claim/stream.go
+++ b/internal/claim/stream.go
@@ -14,37 +14,37 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Errors of a claim. All but ErrLogGap mean that the request was not run.
+// Errors of a claim. All except ErrLogGap mean that the request has not run.
 var (
-	// ErrNotReady says that the claims of the past are not read back yet.
-	ErrNotReady = merry.Sentinel("the claims of the past are not read back yet")
-	// ErrLogUnavailable says that the log service did not take the claim.
-	ErrLogUnavailable = merry.Sentinel("the log service does not take claims now")
-	// ErrQueueFull says that too many claims are waiting.
-	ErrQueueFull = merry.Sentinel("too many claims are waiting")
-	// ErrUndecided says that the claim's place in the log was not learnt in
-	// time. This process has renounced it.
-	ErrUndecided = merry.Sentinel("the claim was not seen in the log in time")
-	// ErrLogGap says that this process lost the thread of the log with the
-	// claim under way; an earlier claim may have run.
-	ErrLogGap = merry.Sentinel("the thread of the log was lost")
+	// ErrNotReady means that the existing claims have not been read from the log yet.
+	ErrNotReady = merry.Sentinel("the existing claims have not been read from the log yet")
+	// ErrLogUnavailable means that the log service did not accept the claim.
+	ErrLogUnavailable = merry.Sentinel("the log service did not accept the claim")
+	// ErrQueueFull means that too many entries are waiting to be appended.
+	ErrQueueFull = merry.Sentinel("the queue of claims is full")
+	// ErrUndecided means that the claim was not read back from the log before the deadline.
+	// This process has released it.
+	ErrUndecided = merry.Sentinel("the claim was not read back from the log in time")
+	// ErrLogGap means that records expired before this process read them, while the claim was
+	// pending; a request with an earlier claim may have run.
+	ErrLogGap = merry.Sentinel("log records expired before they were read")
 )
 
-// stream writes and follows one claim stream. Two duties share it: loopAppend
-// writes batches, a tail folds the log; mu guards what both touch.
+// stream writes and reads one claim stream. loopAppend appends batches and a tail applies the
+// log's records to the table; mu protects what both use.
 type stream struct {
-	name    string
-	cfg     Config
-	entries *ring.Ring[Entry]
+	name  string
+	cfg   Config
+	queue *ring.Ring[Entry]
 
-	mu      sync.Mutex
-	fold    *fold
-	next    int64
-	ready   bool
-	covered time.Time
-	pending map[uuid.UUID]chan result
-	appends int64
-	// writing is the number of entries taken from the ring and not written.
+	mu           sync.Mutex
+	table        *keyTable
+	next         int64
+	ready        bool
+	historyStart time.Time
+	pending      map[uuid.UUID]chan result
+	appends      int64
+	// writing is the number of entries taken from the queue whose append has not returned yet.
 	writing int
 }
 
@@ -53,10 +53,10 @@
 	err      error
 }
 
-// entriesCapacity bounds the entries that wait for a batch.
-const entriesCapacity = 4096
+// queueCapacity bounds the entries that wait to be appended.
+const queueCapacity = 4096
 
-// maxBatch bounds the entries and bytes of one append.
+// Limits on the number of entries and the response bytes of one append.
 const (
 	maxBatchEntries = 512
 	maxBatchBytes   = logservice.MaxRecordBytes / 2
@@ -65,39 +65,39 @@
 func newStream(number int, cfg Config) *stream {
 	return &stream{
 		name: StreamName(number), cfg: cfg,
-		entries: ring.New[Entry](ring.Config{Name: StreamName(number), Capacity: entriesCapacity}),
-		fold:    newFold(), pending: map[uuid.UUID]chan result{},
+		queue: ring.New[Entry](ring.Config{Name: StreamName(number), Capacity: queueCapacity}),
+		table: newKeyTable(), pending: map[uuid.UUID]chan result{},
 	}
 }
 
-// claim asks the log for the right to run.
+// claim appends a claim and waits for the decision.
 func (s *stream) claim(ctx context.Context, entry Entry) (Decision, error) {
-	answer, decision, err := s.begin(entry)
-	if answer == nil {
+	outcome, decision, err := s.register(entry)
+	if outcome == nil {
 		return decision, err
 	}
-	if !s.entries.TryPush(entry) {
-		s.abandon(entry)
+	if !s.queue.TryPush(entry) {
+		s.unregister(entry)
 		return Decision{}, ErrQueueFull
 	}
 	select {
-	case r := <-answer:
+	case r := <-outcome:
 		return r.decision, r.err
 	case <-ctx.Done():
 	}
-	if s.abandon(entry) {
-		// Nobody waits for the decision any more, so this process will never
-		// run the request: if the claim wins, it must not block the key.
-		s.renounce(entry)
+	if s.unregister(entry) {
+		// The request has timed out, so this process will never run it: a claim that is granted
+		// later must not block the key.
+		s.release(entry)
 		return Decision{}, ErrUndecided
 	}
-	r := <-answer
+	r := <-outcome
 	return r.decision, r.err
 }
 
-// begin registers a claim, unless what is known decides it already.
-func (s *stream) begin(entry Entry) (<-chan result, Decision, error) {
-	made, err := KeyTime(entry.Key.Text)
+// register adds a pending claim, unless the table or the key's age already decides it.
+func (s *stream) register(entry Entry) (<-chan result, Decision, error) {
+	created, err := KeyTime(entry.Key.Text)
 	if err != nil {
 		return nil, Decision{}, err
 	}
@@ -106,22 +106,21 @@
 	if !s.ready {
 		return nil, Decision{}, ErrNotReady
 	}
-	if decision, decided := s.fold.held(entry.Key, entry.Digest); decided {
+	if decision, decided := s.table.lookup(entry.Key, entry.Digest); decided {
 		return nil, decision, nil
 	}
-	if made.Add(-MaxClockSkew).Before(s.covered) {
-		// Records from before the first that was read back may have held a
-		// claim of this key.
+	if created.Add(-MaxClockSkew).Before(s.historyStart) {
+		// An earlier claim of this key may be in a record that expired before this process
+		// started reading.
 		return nil, Decision{Verdict: OutsideWindow}, nil
 	}
-	answer := make(chan result, 1)
-	s.pending[entry.ClaimID] = answer
-	return answer, Decision{}, nil
+	outcome := make(chan result, 1)
+	s.pending[entry.ClaimID] = outcome
+	return outcome, Decision{}, nil
 }
 
-// abandon takes a claim back that nobody waits for, and reports whether it was
-// still undecided.
-func (s *stream) abandon(entry Entry) bool {
+// unregister removes a pending claim and reports whether it was still undecided.
+func (s *stream) unregister(entry Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, undecided := s.pending[entry.ClaimID]
@@ -129,48 +128,48 @@
 	return undecided
 }
 
-// renounce states that the claim's request did not run and never will.
-func (s *stream) renounce(entry Entry) {
+// release records that the claim's request did not run and never will.
+func (s *stream) release(entry Entry) {
 	entry.Kind = KindRelease
-	// Without room the key stays in the state "unknown", which is safe.
-	_ = s.entries.TryPush(entry)
+	// If the queue is full, the key stays claimed without a known outcome, which is safe.
+	_ = s.queue.TryPush(entry)
 }
 
-// loopAppend writes entries in batches until ctx ends.
+// loopAppend appends entries in batches until ctx ends.
 func (s *stream) loopAppend(ctx context.Context) {
 	for {
-		first, err := s.entries.Pop(ctx)
+		first, err := s.queue.Pop(ctx)
 		if err != nil {
 			return
 		}
-		s.noteWriting(1)
-		entries := s.collect(ctx, first)
+		s.setWriting(1)
+		entries := s.collectBatch(ctx, first)
 		s.append(ctx, entries)
-		s.noteWriting(0)
+		s.setWriting(0)
 	}
 }
 
-func (s *stream) noteWriting(entries int) {
+func (s *stream) setWriting(entries int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writing = entries
 }
 
-func (s *stream) unwrittenEntries() int {
+func (s *stream) countUnwritten() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.writing + s.entries.State().Depth
+	return s.writing + s.queue.State().Depth
 }
 
-// collect waits a moment for more entries to share the append with.
-func (s *stream) collect(ctx context.Context, first Entry) []Entry {
+// collectBatch waits up to BatchDelay for more entries to share the append.
+func (s *stream) collectBatch(ctx context.Context, first Entry) []Entry {
 	entries := []Entry{first}
 	size := len(first.Response.Body)
 	timer := time.NewTimer(s.cfg.BatchDelay)
 	defer timer.Stop()
 	for len(entries) < maxBatchEntries && size < maxBatchBytes {
 		select {
-		case entry := <-s.entries.Items():
+		case entry := <-s.queue.Items():
 			entries = append(entries, entry)
 			size += len(entry.Response.Body)
 		case <-timer.C:
@@ -185,7 +184,7 @@
 func (s *stream) append(ctx context.Context, entries []Entry) {
 	data, err := encode(entries)
 	if err != nil {
-		s.failAll(entries, err)
+		s.failClaims(entries, err)
 		return
 	}
 	_, err = s.cfg.Log.Append(ctx, s.name, data)
@@ -193,39 +192,39 @@
 	s.appends++
 	s.mu.Unlock()
 	if errors.Is(err, logservice.ErrNotTaken) {
-		s.failAll(entries, ErrLogUnavailable)
-		s.keepFinal(ctx, entries)
+		s.failClaims(entries, ErrLogUnavailable)
+		s.requeueOutcomes(ctx, entries)
 	}
-	// An append without an answer may have taken effect. It is never sent
-	// again; the tail sees it if it is there.
+	// An append without a response may have taken effect. It is never retried; if it took
+	// effect, the tail reads its record.
 }
 
-// keepFinal holds on to statements about finished runs, which must reach the
-// log some time: without them the key stays "unknown".
-func (s *stream) keepFinal(ctx context.Context, entries []Entry) {
+// requeueOutcomes queues the completions and releases of a failed append again, because without
+// them the outcome of their keys stays unknown.
+func (s *stream) requeueOutcomes(ctx context.Context, entries []Entry) {
 	waiting.For(ctx, s.cfg.RetryDelay)
 	for _, entry := range entries {
 		if entry.Kind != KindClaim {
-			_ = s.entries.TryPush(entry)
+			_ = s.queue.TryPush(entry)
 		}
 	}
 }
 
-func (s *stream) failAll(entries []Entry, err error) {
+func (s *stream) failClaims(entries []Entry, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, entry := range entries {
 		if entry.Kind == KindClaim {
-			s.settle(entry.ClaimID, result{err: err})
+			s.resolve(entry.ClaimID, result{err: err})
 		}
 	}
 }
 
-// settle tells a waiting claim its end. The caller holds mu.
-func (s *stream) settle(claimID uuid.UUID, r result) {
-	if answer, ok := s.pending[claimID]; ok {
+// resolve delivers the result of a pending claim. The caller holds mu.
+func (s *stream) resolve(claimID uuid.UUID, r result) {
+	if outcome, ok := s.pending[claimID]; ok {
 		delete(s.pending, claimID)
-		answer <- r
+		outcome <- r
 	}
 }
 
@@ -236,17 +235,17 @@
 	s.ready = true
 }
 
-// Restart implements tail.Sink. Records that this process has not seen have
-// expired, so what was under way can no longer be decided.
+// Restart implements tail.Sink. Records that this process has not read have expired, so pending
+// claims can no longer be decided.
 func (s *stream) Restart(_ int64, began time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for claimID := range s.pending {
-		s.settle(claimID, result{err: ErrLogGap})
+		s.resolve(claimID, result{err: ErrLogGap})
 	}
-	s.fold = newFold()
+	s.table = newKeyTable()
 	s.ready = false
-	s.covered = began.Add(MaxClockSkew - s.cfg.Retention)
+	s.historyStart = began.Add(MaxClockSkew - s.cfg.Retention)
 }
 
 // Take implements tail.Sink.
@@ -256,12 +255,12 @@
 	s.next = record.Offset + 1
 	entries, err := Decode(record.Data)
 	if err != nil {
-		return // a record that is damaged for one reader is so for all
+		return // a corrupt record is skipped by all readers
 	}
 	for _, entry := range entries {
-		decision := s.fold.apply(entry, record.Time)
+		decision := s.table.apply(entry, record.Time)
 		if entry.Kind == KindClaim {
-			s.settle(entry.ClaimID, result{decision: decision})
+			s.resolve(entry.ClaimID, result{decision: decision})
 		}
 	}
 }
