--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -66,7 +66,7 @@
 
 // sort puts every list in the order of its names, so that files that say the
 // same have the same digest.
-func (f *File) sort() {
+func (f *File) sortLists() {
 	slices.SortFunc(f.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.Organisations, func(a, b Organisation) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.Models, func(a, b Model) int { return cmp.Compare(a.Name, b.Name) })
@@ -93,14 +93,14 @@
 // check finds every fault that the YAML decoder cannot see.
 func check(file *File) []Fault {
 	c := &checker{file: file}
-	c.checkTop()
-	c.zones = names(c, "zones", file.Zones, func(z Zone) string { return z.Name })
-	c.models = names(c, "models", file.Models, func(m Model) string { return m.Name })
-	c.servers = names(c, "backend_servers", file.BackendServers, func(s BackendServer) string { return s.Name })
-	names(c, "organisations", file.Organisations, func(o Organisation) string { return o.Name })
-	c.services = names(c, "plain_services", file.PlainServices, func(s PlainService) string { return s.Name })
-	names(c, "links", file.Links, Link.name)
-	names(c, "routes", file.Routes, func(r Route) string { return r.Name })
+	c.checkGlobal()
+	c.zones = indexNames(c, "zones", file.Zones, func(z Zone) string { return z.Name })
+	c.models = indexNames(c, "models", file.Models, func(m Model) string { return m.Name })
+	c.servers = indexNames(c, "backend_servers", file.BackendServers, func(s BackendServer) string { return s.Name })
+	indexNames(c, "organisations", file.Organisations, func(o Organisation) string { return o.Name })
+	c.services = indexNames(c, "plain_services", file.PlainServices, func(s PlainService) string { return s.Name })
+	indexNames(c, "links", file.Links, Link.name)
+	indexNames(c, "routes", file.Routes, func(r Route) string { return r.Name })
 	c.checkOrganisations()
 	c.checkModels()
 	c.checkServers()
@@ -114,7 +114,7 @@
 	c.faults = append(c.faults, Fault{Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-func names[T any](c *checker, list string, items []T, name func(T) string) map[string]int {
+func indexNames[T any](c *checker, list string, items []T, name func(T) string) map[string]int {
 	seen := make(map[string]int, len(items))
 	for i, item := range items {
 		field := fmt.Sprintf("%s[%d].name", list, i)
@@ -135,7 +135,7 @@
 	return seen
 }
 
-func (c *checker) checkTop() {
+func (c *checker) checkGlobal() {
 	if c.file.Deployment == "" {
 		c.add("deployment", "a name is needed")
 	}
@@ -177,7 +177,7 @@
 		field := fmt.Sprintf("organisations[%d]", i)
 		c.checkPositive(field+".share", float64(organisation.Share))
 		c.checkPositive(field+".max_in_flight", float64(organisation.MaxInFlight))
-		if !organisation.Priority.known() {
+		if !organisation.Priority.isValid() {
 			c.add(field+".priority", "%q is not a priority", organisation.Priority)
 		}
 		if len(organisation.KeyHashes) == 0 {
@@ -205,10 +205,10 @@
 		c.checkPositive(field+".max_prompt_tokens", float64(model.MaxPromptTokens))
 		c.checkPositive(field+".prefill_tokens_per_second", model.PrefillTokensPerSecond)
 		c.checkPositive(field+".kv_bytes_per_token", float64(model.KVBytesPerToken))
-		held := slices.ContainsFunc(c.file.BackendServers, func(s BackendServer) bool {
+		served := slices.ContainsFunc(c.file.BackendServers, func(s BackendServer) bool {
 			return (s.Role == RoleRunner || s.Role == RolePlainService) && slices.Contains(s.Models, model.Name)
 		})
-		if !held {
+		if !served {
 			c.add(field, "no runner holds %q", model.Name)
 		}
 	}
@@ -255,12 +255,12 @@
 	for i, link := range c.file.Links {
 		field := fmt.Sprintf("links[%d]", i)
 		c.checkPositive(field+".bytes_per_second", float64(link.BytesPerSecond))
-		c.checkLinkEnd(field+".from", link.From)
-		c.checkLinkEnd(field+".to", link.To)
+		c.checkLinkEndpoint(field+".from", link.From)
+		c.checkLinkEndpoint(field+".to", link.To)
 	}
 }
 
-func (c *checker) checkLinkEnd(field, name string) {
+func (c *checker) checkLinkEndpoint(field, name string) {
 	_, isZone := c.zones[name]
 	_, isServer := c.servers[name]
 	if !isZone && !isServer {
--- a/internal/config/entries.go
+++ b/internal/config/entries.go
@@ -115,7 +115,7 @@
 }
 
 // top is the part of a file that is not in one of its lists.
-type top struct {
+type globalSettings struct {
 	Deployment  string      `json:"deployment"`
 	Objectives  Objectives  `json:"objectives"`
 	Limits      Limits      `json:"limits"`
@@ -125,7 +125,7 @@
 // Entries takes the file apart.
 func (f *File) Entries() (Entries, error) {
 	builder := entryBuilder{}
-	builder.add(listTop, top{Deployment: f.Deployment, Objectives: f.Objectives, Limits: f.Limits, WeightStore: f.WeightStore})
+	builder.add(listTop, globalSettings{Deployment: f.Deployment, Objectives: f.Objectives, Limits: f.Limits, WeightStore: f.WeightStore})
 	addList(&builder, listZones, f.Zones, func(z Zone) string { return z.Name })
 	addList(&builder, listOrganisations, f.Organisations, func(o Organisation) string { return o.Name })
 	addList(&builder, listModels, f.Models, func(m Model) string { return m.Name })
@@ -164,44 +164,44 @@
 func (e Entries) File() (*File, error) {
 	file := &File{}
 	for _, entry := range e {
-		if err := file.put(entry); err != nil {
+		if err := file.addEntry(entry); err != nil {
 			return nil, merry.Prependf(err, "entry %s", entry.Name)
 		}
 	}
-	file.sort()
+	file.sortLists()
 	return file, nil
 }
 
-func (f *File) put(entry Entry) error {
+func (f *File) addEntry(entry Entry) error {
 	list, _, _ := strings.Cut(entry.Name, "/")
 	switch list {
 	case listTop:
-		var part top
+		var part globalSettings
 		if err := json.Unmarshal(entry.Value, &part); err != nil {
 			return err
 		}
 		f.Deployment, f.Objectives, f.Limits, f.WeightStore = part.Deployment, part.Objectives, part.Limits, part.WeightStore
 		return nil
 	case listZones:
-		return putItem(&f.Zones, entry.Value)
+		return appendItem(&f.Zones, entry.Value)
 	case listOrganisations:
-		return putItem(&f.Organisations, entry.Value)
+		return appendItem(&f.Organisations, entry.Value)
 	case listModels:
-		return putItem(&f.Models, entry.Value)
+		return appendItem(&f.Models, entry.Value)
 	case listServers:
-		return putItem(&f.BackendServers, entry.Value)
+		return appendItem(&f.BackendServers, entry.Value)
 	case listLinks:
-		return putItem(&f.Links, entry.Value)
+		return appendItem(&f.Links, entry.Value)
 	case listServices:
-		return putItem(&f.PlainServices, entry.Value)
+		return appendItem(&f.PlainServices, entry.Value)
 	case listRoutes:
-		return putItem(&f.Routes, entry.Value)
+		return appendItem(&f.Routes, entry.Value)
 	default:
 		return merry.Errorf("unknown list %q", list)
 	}
 }
 
-func putItem[T any](list *[]T, value []byte) error {
+func appendItem[T any](list *[]T, value []byte) error {
 	var item T
 	if err := json.Unmarshal(value, &item); err != nil {
 		return err
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -37,7 +37,7 @@
 // Priorities lists all priorities, most urgent first.
 func Priorities() []Priority { return []Priority{PriorityInstant, PriorityNormal, PriorityReview} }
 
-func (p Priority) known() bool { return slices.Contains(Priorities(), p) }
+func (p Priority) isValid() bool { return slices.Contains(Priorities(), p) }
 
 // File is the whole declarative configuration of one deployment.
 type File struct {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -76,7 +76,7 @@
 		sortFaults(faults)
 		return nil, &InvalidError{faults: faults}
 	}
-	file.sort()
+	file.sortLists()
 	return file, nil
 }
 
@@ -121,7 +121,7 @@
 	}
 	line := node.Line
 	for _, part := range strings.FieldsFunc(path, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
-		if node = child(node, part); node == nil {
+		if node = childNode(node, part); node == nil {
 			return line
 		}
 		line = node.Line
@@ -129,7 +129,7 @@
 	return line
 }
 
-func child(node *yaml.Node, part string) *yaml.Node {
+func childNode(node *yaml.Node, part string) *yaml.Node {
 	switch node.Kind {
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(node.Content); i += 2 {
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -77,7 +77,7 @@
 
 // checkRoutes checks which calls the routes take, and that no two take the same.
 func (c *checker) checkRoutes() {
-	places := map[string]string{}
+	matches := map[string]string{}
 	for i, route := range c.file.Routes {
 		field := fmt.Sprintf("routes[%d]", i)
 		if route.Host == "" || strings.ContainsAny(route.Host, "/: \t") {
@@ -86,11 +86,11 @@
 		if !strings.HasPrefix(route.PathPrefix, "/") {
 			c.add(field+".path_prefix", "%q does not begin with /", route.PathPrefix)
 		}
-		place := strings.ToLower(route.Host) + route.PathPrefix
-		if other, taken := places[place]; taken {
-			c.add(field+".path_prefix", "%s is already the place of %q", place, other)
+		match := strings.ToLower(route.Host) + route.PathPrefix
+		if other, taken := matches[match]; taken {
+			c.add(field+".path_prefix", "%s is already the place of %q", match, other)
 		}
-		places[place] = route.Name
+		matches[match] = route.Name
 		c.checkTreatment(field, route)
 		c.checkSplits(field, route)
 	}
@@ -106,7 +106,7 @@
 	if route.Resumable && route.Kind != RouteStream {
 		c.add(field+".resumable", "only a stream can be resumed")
 	}
-	if !route.Priority.known() {
+	if !route.Priority.isValid() {
 		c.add(field+".priority", "%q is not a priority", route.Priority)
 	}
 	c.checkPositive(field+".time_limit_ms", float64(route.TimeLimitMillis))
--- a/internal/configlog/apply.go
+++ b/internal/configlog/apply.go
@@ -59,7 +59,7 @@
 	if cfg.BaseVersion != nil && *cfg.BaseVersion != state.Version {
 		return 0, &ConflictError{Version: state.Version}
 	}
-	record, err := changeTo(state, file, cfg.ApplyID)
+	record, err := newChangeRecord(state, file, cfg.ApplyID)
 	if err != nil {
 		return 0, err
 	}
@@ -73,7 +73,7 @@
 	return readBack(ctx, cfg, reader)
 }
 
-func changeTo(state State, file *config.File, applyID string) (Record, error) {
+func newChangeRecord(state State, file *config.File, applyID string) (Record, error) {
 	target, err := file.Entries()
 	if err != nil {
 		return Record{}, err
@@ -91,30 +91,30 @@
 func readBack(ctx context.Context, cfg ApplyConfig, reader *Reader) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, cfg.ReadBackTimeout)
 	defer cancel()
-	search := &search{applyID: cfg.ApplyID}
+	search := &applySearch{applyID: cfg.ApplyID}
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
-		if _, err := reader.Poll(ctx, pollWait, search.see); err != nil {
+		if _, err := reader.Poll(ctx, pollWait, search.observe); err != nil {
 			return struct{}{}, err
 		}
 		if search.verdict == 0 {
 			return struct{}{}, ErrOutcomeUnknown
 		}
 		return struct{}{}, nil
-	}, backoff.WithBackOff(backoff.NewConstantBackOff(pollPause)), backoff.WithMaxElapsedTime(cfg.ReadBackTimeout))
+	}, backoff.WithBackOff(backoff.NewConstantBackOff(pollDelay)), backoff.WithMaxElapsedTime(cfg.ReadBackTimeout))
 	if err != nil {
 		return 0, merry.Wrap(ErrOutcomeUnknown, merry.AppendMessage(err.Error()))
 	}
-	return search.end()
+	return search.result()
 }
 
 // Pace of looking for a change in the log.
 const (
 	pollWait  = 100 * time.Millisecond
-	pollPause = 50 * time.Millisecond
+	pollDelay = 50 * time.Millisecond
 )
 
 // search looks for one apply among the records of the stream.
-type search struct {
+type applySearch struct {
 	applyID string
 	verdict Verdict
 	offset  int64
@@ -122,7 +122,7 @@
 	winner ConflictError
 }
 
-func (s *search) see(event Event) {
+func (s *applySearch) observe(event Event) {
 	switch {
 	case s.verdict != 0 || event.Record.Kind == KindCheckpoint:
 	case event.Record.ApplyID == s.applyID:
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *search) end() (int64, error) {
+func (s *applySearch) result() (int64, error) {
 	switch s.verdict {
 	case Accepted:
 		return s.offset, nil
--- a/internal/configlog/history_test.go
+++ b/internal/configlog/history_test.go
@@ -19,12 +19,12 @@
 
 // naive is a single copy of the configuration that never forgets a record: the
 // version in force after each offset, computed the long way round with maps.
-type naive struct {
+type referenceModel struct {
 	versions []int64
 	contents []map[string]string
 }
 
-func (n *naive) take(offset int64, record configlog.Record) {
+func (n *referenceModel) apply(offset int64, record configlog.Record) {
 	version, content := config.NoVersion, map[string]string{}
 	if len(n.versions) > 0 {
 		version, content = n.versions[len(n.versions)-1], n.contents[len(n.contents)-1]
@@ -54,7 +54,7 @@
 // history drives operators, boxes and the log through one random history.
 type history struct {
 	log   *fakelog.Log
-	model naive
+	model referenceModel
 	boxes []*configlog.Reader
 	// highest is the highest version each box, or its replacement, had in force
 	// since it was last without any state.
@@ -78,11 +78,11 @@
 		offset = int64(len(h.model.versions))
 	}
 	h.log.SetFaults(fakelog.Faults{})
-	h.model.take(offset, record)
+	h.model.apply(offset, record)
 }
 
 // prepare has an operator read the log through a box and draft a change.
-func (h *history) prepare(t *rapid.T) {
+func (h *history) draftChange(t *rapid.T) {
 	box := h.box(t)
 	if _, err := box.Poll(context.Background(), 0, nil); err != nil {
 		return
@@ -144,7 +144,7 @@
 }
 
 // tell has one box take over the state of another.
-func (h *history) tell(t *rapid.T) {
+func (h *history) shareState(t *rapid.T) {
 	if state, known := h.box(t).State(); known {
 		h.box(t).ApplySnapshot(state)
 	}
@@ -181,8 +181,8 @@
 			h.highest = append(h.highest, config.NoVersion)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"prepare": h.prepare, "append": h.appendDraft, "checkpoint": h.checkpoint, "expire": h.expire,
-			"poll": h.poll, "poll again": h.poll, "replace": h.replace, "tell": h.tell, "": h.check,
+			"prepare": h.draftChange, "append": h.appendDraft, "checkpoint": h.checkpoint, "expire": h.expire,
+			"poll": h.poll, "poll again": h.poll, "replace": h.replace, "tell": h.shareState, "": h.check,
 		})
 		histories++
 		faults += h.faults
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -20,7 +20,7 @@
 	state State
 	// known is false until the state is the fold of the stream from its
 	// beginning, of a checkpoint, or of what a peer sent.
-	known bool
+	hasState bool
 	// next is the offset to read next.
 	next int64
 	// pending holds the records that wait for a checkpoint to build on.
@@ -31,7 +31,7 @@
 func NewReader(log logservice.Log) *Reader { return &Reader{log: log, state: EmptyState()} }
 
 // State gives the folded state and whether it is known yet.
-func (r *Reader) State() (State, bool) { return r.state, r.known }
+func (r *Reader) State() (State, bool) { return r.state, r.hasState }
 
 // ApplySnapshot takes over the state of a peer if it is whole and newer, and reports
 // whether it did. A version never goes back, also while this reader has lost
@@ -40,10 +40,10 @@
 	if !state.Valid() || state.Version < r.state.Version {
 		return false
 	}
-	if r.known && state.ReadTo <= r.state.ReadTo {
+	if r.hasState && state.ReadTo <= r.state.ReadTo {
 		return false
 	}
-	r.state, r.known = state, true
+	r.state, r.hasState = state, true
 	r.next = state.ReadTo + 1
 	r.pending = nil
 	return true
@@ -61,7 +61,7 @@
 func (r *Reader) Poll(ctx context.Context, wait time.Duration, each func(Event)) (atEnd bool, err error) {
 	page, err := r.log.Read(ctx, Stream, logservice.ReadOptions{From: r.next, Wait: wait})
 	if expired, ok := errors.AsType[*logservice.ExpiredError](err); ok {
-		r.restart(expired.Earliest)
+		r.restartAt(expired.Earliest)
 		return false, nil
 	}
 	if err != nil {
@@ -72,15 +72,15 @@
 		// that the state came from, and nothing in it can be trusted.
 		return false, ErrNoCheckpoint
 	}
-	if !r.known && r.next == 0 {
-		r.known = true
+	if !r.hasState && r.next == 0 {
+		r.hasState = true
 	}
 	for _, record := range page.Records {
 		r.next = record.Offset + 1
-		r.take(record, each)
+		r.ingest(record, each)
 	}
 	atEnd = r.next >= page.Next
-	if atEnd && !r.known {
+	if atEnd && !r.hasState {
 		return true, ErrNoCheckpoint
 	}
 	return atEnd, nil
@@ -89,14 +89,14 @@
 // restart begins again at the earliest held record. What was known stays in
 // force until a checkpoint gives something newer, but it can no longer be built
 // upon: changes between it and the earliest held record are lost to this reader.
-func (r *Reader) restart(earliest int64) {
+func (r *Reader) restartAt(earliest int64) {
 	r.next = earliest
 	r.pending = nil
-	r.known = false
+	r.hasState = false
 }
 
-func (r *Reader) take(record logservice.Record, each func(Event)) {
-	if r.known {
+func (r *Reader) ingest(record logservice.Record, each func(Event)) {
+	if r.hasState {
 		r.fold(record, each)
 		return
 	}
@@ -114,7 +114,7 @@
 	if !whole || state.Version < r.state.Version {
 		return
 	}
-	r.state, r.known = state, true
+	r.state, r.hasState = state, true
 	pending := r.pending
 	r.pending = nil
 	for _, held := range pending {
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -62,16 +62,16 @@
 // The first byte of an encoded record says how the rest is packed. Checkpoints
 // of 10,000 organisations would not fit a log record unpacked.
 const (
-	packedPlain byte = 0
-	packedZstd  byte = 1
+	encodingPlain byte = 0
+	encodingZstd  byte = 1
 )
 
 // packAbove is the size in bytes from which packing is worth its time.
-const packAbove = 16 << 10
+const compressAbove = 16 << 10
 
 // maxUnpackedBytes bounds what a record may unpack to, so that a damaged record
 // cannot fill the memory.
-const maxUnpackedBytes = 64 << 20
+const maxDecompressedBytes = 64 << 20
 
 // Encode gives the bytes for the log.
 func (r Record) Encode() ([]byte, error) {
@@ -79,19 +79,19 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "encode configuration record")
 	}
-	if len(data) < packAbove {
-		return append([]byte{packedPlain}, data...), nil
+	if len(data) < compressAbove {
+		return append([]byte{encodingPlain}, data...), nil
 	}
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
-	return encoder.EncodeAll(data, []byte{packedZstd}), nil
+	return encoder.EncodeAll(data, []byte{encodingZstd}), nil
 }
 
 // Decode reads the bytes of a log record.
 func Decode(data []byte) (Record, error) {
-	data, err := unpack(data)
+	data, err := decompress(data)
 	if err != nil {
 		return Record{}, merry.Prepend(err, "unpack configuration record")
 	}
@@ -105,14 +105,14 @@
 	return record, nil
 }
 
-func unpack(data []byte) ([]byte, error) {
+func decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 {
 		return nil, merry.New("empty record")
 	}
-	if data[0] == packedPlain {
+	if data[0] == encodingPlain {
 		return data[1:], nil
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUnpackedBytes))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
--- a/internal/review/decide.go
+++ b/internal/review/decide.go
@@ -17,8 +17,8 @@
 
 // find gives an organisation's review. The caller holds mu.
 func (s *Service) find(organisation, id string) (*entry, error) {
-	e, ok := s.fold.reviews[id]
-	if ok && e.meta.Organisation == organisation && !e.deleted && (e.accepted.known() || e.end != 0) {
+	e, ok := s.table.reviews[id]
+	if ok && e.meta.Organisation == organisation && !e.deleted && (e.request.isSet() || e.endKind != 0) {
 		return e, nil
 	}
 	if !s.ready {
@@ -35,9 +35,9 @@
 		s.mu.Unlock()
 		return nil, err
 	}
-	lies := e.ended
+	loc := e.result
 	s.mu.Unlock()
-	return s.content(ctx, lies)
+	return s.readContent(ctx, loc)
 }
 
 // AwaitEnd waits until a review has ended or ctx ends.
@@ -46,31 +46,31 @@
 		s.mu.Lock()
 		changed := s.changed
 		s.mu.Unlock()
-		known, err := s.Get(organisation, id)
-		if err != nil || known.Status.IsFinal() {
-			return known, err
+		found, err := s.Get(organisation, id)
+		if err != nil || found.Status.IsFinal() {
+			return found, err
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return known, ctx.Err()
+			return found, ctx.Err()
 		}
 	}
 }
 
 // Cancel ends a review that waits or runs; Delete has it forgotten.
 func (s *Service) Cancel(ctx context.Context, organisation, id string) (Review, error) {
-	return s.decide(ctx, organisation, id, KindCancelled, func(e *entry) bool { return e.end != 0 })
+	return s.appendDecision(ctx, organisation, id, KindCancelled, func(e *entry) bool { return e.endKind != 0 })
 }
 
 // Delete has a review forgotten, whatever its status.
 func (s *Service) Delete(ctx context.Context, organisation, id string) (Review, error) {
-	return s.decide(ctx, organisation, id, KindDeleted, func(e *entry) bool { return e.deleted })
+	return s.appendDecision(ctx, organisation, id, KindDeleted, func(e *entry) bool { return e.deleted })
 }
 
 // decide appends a statement of the review's organisation and waits until it, or
 // an earlier one, is in force.
-func (s *Service) decide(ctx context.Context, organisation, id string, kind Kind, decided func(*entry) bool) (Review, error) {
+func (s *Service) appendDecision(ctx context.Context, organisation, id string, kind Kind, decided func(*entry) bool) (Review, error) {
 	s.mu.Lock()
 	e, err := s.find(organisation, id)
 	if err != nil {
@@ -86,10 +86,10 @@
 	}
 	for {
 		s.mu.Lock()
-		changed, known, done := s.changed, s.describe(e), decided(e)
+		changed, found, done := s.changed, s.describe(e), decided(e)
 		s.mu.Unlock()
 		if done {
-			return known, nil
+			return found, nil
 		}
 		select {
 		case <-changed:
--- a/internal/review/describe.go
+++ b/internal/review/describe.go
@@ -33,7 +33,7 @@
 		described.AtRisk = s.atRisk(e, time.Now())
 	}
 	ended := time.Now()
-	if e.end != 0 {
+	if e.endKind != 0 {
 		ended = e.endedAt
 	}
 	described.Missed = !e.meta.Deadline.IsZero() && ended.After(e.meta.Deadline)
@@ -45,7 +45,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var reviews []Review
-	for _, e := range s.pressing() {
+	for _, e := range s.byDueTime() {
 		reviews = append(reviews, s.describe(e))
 	}
 	return reviews
@@ -53,9 +53,9 @@
 
 // pressing lists the waiting reviews, the most pressing first. The caller
 // holds mu.
-func (s *Service) pressing() []*entry {
+func (s *Service) byDueTime() []*entry {
 	var waiting []*entry
-	for _, e := range s.fold.reviews {
+	for _, e := range s.table.reviews {
 		if e.waiting() {
 			waiting = append(waiting, e)
 		}
--- a/internal/review/fold.go
+++ b/internal/review/fold.go
@@ -19,35 +19,35 @@
 )
 
 // place is where a whole content lies in the log.
-type place struct {
+type location struct {
 	offsets []int64
 	// at is the log's time of the last part.
-	at time.Time
+	appendedAt time.Time
 }
 
-func (p place) last() int64 { return p.offsets[len(p.offsets)-1] }
+func (p location) last() int64 { return p.offsets[len(p.offsets)-1] }
 
-func (p place) known() bool { return len(p.offsets) > 0 }
+func (p location) isSet() bool { return len(p.offsets) > 0 }
 
 // entry is what the log says of one review.
 type entry struct {
-	meta     Meta
-	accepted place
+	meta    Meta
+	request location
 	// firstAccepted is the offset of the original accepted record.
-	firstAccepted int64
+	acceptedOffset int64
 	// end is how the review ended; zero while it has not.
-	end Kind
+	endKind Kind
 	// endedFirst is the offset of the original record of the end, endedAt its
 	// time, and ended where its content lies.
-	endedFirst int64
-	endedAt    time.Time
-	ended      place
-	deleted    bool
-	deletedAt  place
+	endOffset int64
+	endedAt   time.Time
+	result    location
+	deleted   bool
+	deletion  location
 }
 
 func (e *entry) status() Status {
-	switch e.end {
+	switch e.endKind {
 	case KindCompleted:
 		return StatusCompleted
 	case KindFailed:
@@ -60,19 +60,19 @@
 }
 
 // waiting reports whether the review still has to be run.
-func (e *entry) waiting() bool { return e.end == 0 && !e.deleted && e.accepted.known() }
+func (e *entry) waiting() bool { return e.endKind == 0 && !e.deleted && e.request.isSet() }
 
 // fold is the state of the stream. It depends on nothing but the log.
-type fold struct {
+type reviewTable struct {
 	reviews map[string]*entry
 	// parts collects contents of which not all parts have come.
-	parts map[uuid.UUID]partial
+	partials map[uuid.UUID]partial
 }
 
 // partial is a content of which not all parts have come.
 type partial struct {
-	offsets []int64
-	at      time.Time
+	offsets    []int64
+	appendedAt time.Time
 }
 
 // maxPartAge is the time, by the log, after which the rest of a content is no
@@ -80,100 +80,100 @@
 // is not whole, as if its beginning had expired, and nobody was told otherwise.
 const maxPartAge = 10 * time.Minute
 
-func newFold() *fold {
-	return &fold{reviews: map[string]*entry{}, parts: map[uuid.UUID]partial{}}
+func newReviewTable() *reviewTable {
+	return &reviewTable{reviews: map[string]*entry{}, partials: map[uuid.UUID]partial{}}
 }
 
 // apply takes over one record that the log took at an offset and time. It gives
 // the review that the record completed a statement about, or nil.
-func (f *fold) apply(offset int64, at time.Time, data []byte) *entry {
+func (t *reviewTable) apply(offset int64, at time.Time, data []byte) *entry {
 	record, err := decode(data)
 	if err != nil {
 		return nil
 	}
-	lies, whole := f.collect(record, offset, at)
+	loc, whole := t.collectParts(record, offset, at)
 	if !whole {
 		return nil
 	}
-	e := f.reviews[record.Meta.ID]
+	e := t.reviews[record.Meta.ID]
 	if e == nil {
 		e = &entry{meta: record.Meta}
-		f.reviews[record.Meta.ID] = e
+		t.reviews[record.Meta.ID] = e
 	}
 	if e.meta.Organisation != record.Meta.Organisation {
 		return nil // another organisation has no say in a review
 	}
-	first := lies.offsets[0]
+	first := loc.offsets[0]
 	if record.CopyOf != original {
 		first = record.CopyOf
 	}
-	f.state(e, record, lies, first)
+	t.applyStatement(e, record, loc, first)
 	return e
 }
 
 // collect gives where a content lies once all its parts have come in order.
-func (f *fold) collect(record Record, offset int64, at time.Time) (place, bool) {
+func (t *reviewTable) collectParts(record Record, offset int64, at time.Time) (location, bool) {
 	if record.PartCount == 1 {
-		return place{offsets: []int64{offset}, at: at}, true
+		return location{offsets: []int64{offset}, appendedAt: at}, true
 	}
-	f.dropOldParts(at)
-	offsets := f.parts[record.ContentID].offsets
+	t.dropStaleParts(at)
+	offsets := t.partials[record.ContentID].offsets
 	if len(offsets) != record.PartIndex {
-		return place{}, false // a part is missing: it has expired
+		return location{}, false // a part is missing: it has expired
 	}
 	offsets = append(offsets, offset)
 	if len(offsets) < record.PartCount {
-		f.parts[record.ContentID] = partial{offsets: offsets, at: at}
-		return place{}, false
+		t.partials[record.ContentID] = partial{offsets: offsets, appendedAt: at}
+		return location{}, false
 	}
-	delete(f.parts, record.ContentID)
-	return place{offsets: offsets, at: at}, true
+	delete(t.partials, record.ContentID)
+	return location{offsets: offsets, appendedAt: at}, true
 }
 
-func (f *fold) dropOldParts(now time.Time) {
-	for set, begun := range f.parts {
-		if now.Sub(begun.at) > maxPartAge {
-			delete(f.parts, set)
+func (t *reviewTable) dropStaleParts(now time.Time) {
+	for set, incomplete := range t.partials {
+		if now.Sub(incomplete.appendedAt) > maxPartAge {
+			delete(t.partials, set)
 		}
 	}
 }
 
-func (f *fold) state(e *entry, record Record, lies place, first int64) {
+func (t *reviewTable) applyStatement(e *entry, record Record, loc location, first int64) {
 	switch {
 	case record.Kind == KindAccepted:
-		f.accept(e, record, lies, first)
+		t.applyAccepted(e, record, loc, first)
 	case record.Kind == KindDeleted:
-		e.deleted, e.deletedAt = true, lies
-	case e.end == 0 || first < e.endedFirst:
+		e.deleted, e.deletion = true, loc
+	case e.endKind == 0 || first < e.endOffset:
 		// The first end counts. It may be read after a later one when only its
 		// repetition is still held.
-		e.end, e.endedFirst, e.ended, e.endedAt = record.Kind, first, lies, lies.at
+		e.endKind, e.endOffset, e.result, e.endedAt = record.Kind, first, loc, loc.appendedAt
 		e.meta.Reason = record.Meta.Reason
-	case first == e.endedFirst:
-		e.ended = lies
+	case first == e.endOffset:
+		e.result = loc
 	}
 }
 
 // accept takes over an accepted record. Of two different requests under the
 // same name the first counts.
-func (f *fold) accept(e *entry, record Record, lies place, first int64) {
-	if !e.accepted.known() || first < e.firstAccepted {
-		e.meta, e.firstAccepted, e.accepted = record.Meta, first, lies
+func (t *reviewTable) applyAccepted(e *entry, record Record, loc location, first int64) {
+	if !e.request.isSet() || first < e.acceptedOffset {
+		e.meta, e.acceptedOffset, e.request = record.Meta, first, loc
 		return
 	}
-	if first == e.firstAccepted || record.Meta.Digest == e.meta.Digest {
-		e.accepted = lies
+	if first == e.acceptedOffset || record.Meta.Digest == e.meta.Digest {
+		e.request = loc
 	}
 }
 
 // forgettable reports whether nothing of a review is needed any more at a time:
 // it ended longer ago than answers are kept, and no record is held that would
 // make a new box take it for one that waits.
-func (e *entry) forgettable(now time.Time, keepAnswers, retention time.Duration) bool {
+func (e *entry) evictable(now time.Time, keepAnswers, retention time.Duration) bool {
 	if e.waiting() {
 		return false
 	}
-	if e.accepted.known() && now.Sub(e.accepted.at) < retention {
+	if e.request.isSet() && now.Sub(e.request.appendedAt) < retention {
 		return false
 	}
 	return e.deleted || now.Sub(e.endedAt) > keepAnswers
@@ -182,20 +182,20 @@
 // due reports which content of a review must be appended again, so that it
 // outlives the log's retention. A statement that ends a review must also lie
 // behind every record that accepts it: a new box may find only the later one.
-func (e *entry) due(now time.Time, retention time.Duration) Kind {
-	old := func(p place) bool { return now.Sub(p.at) > retention/2 }
+func (e *entry) reappendKind(now time.Time, retention time.Duration) Kind {
+	old := func(p location) bool { return now.Sub(p.appendedAt) > retention/2 }
 	switch {
 	case e.waiting():
-		if old(e.accepted) {
+		if old(e.request) {
 			return KindAccepted
 		}
 	case e.deleted:
-		if old(e.deletedAt) || (e.accepted.known() && e.accepted.last() > e.deletedAt.last()) {
+		if old(e.deletion) || (e.request.isSet() && e.request.last() > e.deletion.last()) {
 			return KindDeleted
 		}
-	case e.end.ends():
-		if old(e.ended) || (e.accepted.known() && e.accepted.last() > e.ended.last()) {
-			return e.end
+	case e.endKind.isEnd():
+		if old(e.result) || (e.request.isSet() && e.request.last() > e.result.last()) {
+			return e.endKind
 		}
 	}
 	return 0
--- a/internal/review/fold_test.go
+++ b/internal/review/fold_test.go
@@ -16,7 +16,7 @@
 }
 
 func play(steps []step) *entry {
-	f := newFold()
+	table := newReviewTable()
 	begin := time.Unix(1_000_000, 0)
 	for _, s := range steps {
 		meta := Meta{ID: "r", Organisation: "one", AcceptedAt: begin}
@@ -25,10 +25,10 @@
 			if err != nil {
 				panic(err)
 			}
-			f.apply(s.offset, begin.Add(s.after), data)
+			table.apply(s.offset, begin.Add(s.after), data)
 		}
 	}
-	return f.reviews["r"]
+	return table.reviews["r"]
 }
 
 func TestTheFirstEndInLogOrderCounts(t *testing.T) {
@@ -55,7 +55,7 @@
 			e := play(c.steps)
 			g.Expect(e.status()).To(Equal(c.want))
 			if c.ended >= 0 {
-				g.Expect(e.ended.last()).To(Equal(c.ended))
+				g.Expect(e.result.last()).To(Equal(c.ended))
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(play(c.steps).due(time.Unix(1_000_000, 0).Add(c.now), day)).To(Equal(c.want))
+			g.Expect(play(c.steps).reappendKind(time.Unix(1_000_000, 0).Add(c.now), day)).To(Equal(c.want))
 		})
 	}
 }
@@ -90,11 +90,11 @@
 	const day = 24 * time.Hour
 	begin := time.Unix(1_000_000, 0)
 	ended := play([]step{{0, KindAccepted, original, 0}, {1, KindCompleted, original, time.Hour}})
-	g.Expect(ended.forgettable(begin.Add(2*time.Hour), time.Minute, day)).To(BeFalse(), "the request is still held")
-	g.Expect(ended.forgettable(begin.Add(25*time.Hour), time.Minute, day)).To(BeTrue())
-	g.Expect(ended.forgettable(begin.Add(25*time.Hour), 2*day, day)).To(BeFalse(), "the answer is still kept")
+	g.Expect(ended.evictable(begin.Add(2*time.Hour), time.Minute, day)).To(BeFalse(), "the request is still held")
+	g.Expect(ended.evictable(begin.Add(25*time.Hour), time.Minute, day)).To(BeTrue())
+	g.Expect(ended.evictable(begin.Add(25*time.Hour), 2*day, day)).To(BeFalse(), "the answer is still kept")
 	waiting := play([]step{{0, KindAccepted, original, 0}})
-	g.Expect(waiting.forgettable(begin.Add(100*day), time.Minute, day)).To(BeFalse())
+	g.Expect(waiting.evictable(begin.Add(100*day), time.Minute, day)).To(BeFalse())
 }
 
 func TestContentsTravelInParts(t *testing.T) {
@@ -102,34 +102,34 @@
 	content := make([]byte, 3*partBytes+5)
 	records := split(KindAccepted, Meta{ID: "r", Organisation: "one"}, original, content)
 	g.Expect(records).To(HaveLen(4))
-	f := newFold()
+	table := newReviewTable()
 	for i, record := range records {
 		data, err := record.encode()
 		g.Expect(err).NotTo(HaveOccurred())
-		e := f.apply(int64(10+2*i), time.Unix(0, 0), data)
+		e := table.apply(int64(10+2*i), time.Unix(0, 0), data)
 		g.Expect(e != nil).To(Equal(i == 3), "part %d", i)
 	}
-	g.Expect(f.reviews["r"].accepted.offsets).To(Equal([]int64{10, 12, 14, 16}))
+	g.Expect(table.reviews["r"].request.offsets).To(Equal([]int64{10, 12, 14, 16}))
 }
 
 func TestPartsOfASenderThatDiedAreDropped(t *testing.T) {
 	g := NewWithT(t)
-	f := newFold()
+	table := newReviewTable()
 	begin := time.Unix(0, 0)
 	content := make([]byte, partBytes+1)
 	first := split(KindAccepted, Meta{ID: "dead", Organisation: "one"}, original, content)[0]
 	data, err := first.encode()
 	g.Expect(err).NotTo(HaveOccurred())
-	f.apply(0, begin, data)
-	g.Expect(f.parts).To(HaveLen(1))
+	table.apply(0, begin, data)
+	g.Expect(table.partials).To(HaveLen(1))
 	for i, record := range split(KindAccepted, Meta{ID: "alive", Organisation: "one"}, original, content) {
 		data, err := record.encode()
 		g.Expect(err).NotTo(HaveOccurred())
-		f.apply(int64(i+1), begin.Add(maxPartAge+time.Second), data)
+		table.apply(int64(i+1), begin.Add(maxPartAge+time.Second), data)
 	}
-	g.Expect(f.parts).To(BeEmpty())
-	g.Expect(f.reviews).To(HaveKey("alive"))
-	g.Expect(f.reviews).NotTo(HaveKey("dead"))
+	g.Expect(table.partials).To(BeEmpty())
+	g.Expect(table.reviews).To(HaveKey("alive"))
+	g.Expect(table.reviews).NotTo(HaveKey("dead"))
 }
 
 func FuzzFold(f *testing.F) {
@@ -139,9 +139,9 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		folded := newFold()
-		if e := folded.apply(0, time.Unix(0, 0), data); e != nil {
-			e.due(time.Unix(1, 0), time.Hour)
+		table := newReviewTable()
+		if e := table.apply(0, time.Unix(0, 0), data); e != nil {
+			e.reappendKind(time.Unix(1, 0), time.Hour)
 			e.status()
 		}
 	})
--- a/internal/review/history_test.go
+++ b/internal/review/history_test.go
@@ -148,11 +148,11 @@
 	accepted []string
 	// refused holds the reviews of which the caller was told that they were
 	// not accepted.
-	refused []string
-	answers map[string]string
-	changed string
-	faults  int
-	serial  int
+	rejected      []string
+	results       map[string]string
+	resultChanged string
+	faults        int
+	serial        int
 }
 
 func (tr *trial) play(e event) {
@@ -172,7 +172,7 @@
 		case err == nil:
 			tr.accepted = append(tr.accepted, id)
 		case errors.Is(err, review.ErrNotAccepted):
-			tr.refused = append(tr.refused, id)
+			tr.rejected = append(tr.rejected, id)
 		}
 	case "kill":
 		tr.faults++
@@ -200,14 +200,14 @@
 		tr.outage = time.Now().Add(30 * time.Hour)
 		tr.mu.Unlock()
 	case "wait long":
-		tr.pass(5 * time.Hour)
+		tr.advance(5 * time.Hour)
 	}
-	tr.observe()
+	tr.collectResults()
 }
 
 // observe looks at all answers that any box has now, and notes one that differs
 // from what was seen before.
-func (tr *trial) observe() {
+func (tr *trial) collectResults() {
 	for _, name := range tr.live() {
 		tr.mu.Lock()
 		box := tr.boxes[name]
@@ -218,21 +218,21 @@
 				continue
 			}
 			if answer, err := box.Result(context.Background(), "one", id); err == nil {
-				tr.see(id, string(answer))
+				tr.noteResult(id, string(answer))
 			}
 		}
 	}
 }
 
-func (tr *trial) see(id, answer string) {
-	if known, ok := tr.answers[id]; ok && known != answer {
-		tr.changed = fmt.Sprintf("%s changed from %q to %q", id, known, answer)
+func (tr *trial) noteResult(id, answer string) {
+	if known, ok := tr.results[id]; ok && known != answer {
+		tr.resultChanged = fmt.Sprintf("%s changed from %q to %q", id, known, answer)
 	}
-	tr.answers[id] = answer
+	tr.results[id] = answer
 }
 
 // pass lets time go by, in which records expire as at the platform.
-func (tr *trial) pass(d time.Duration) {
+func (tr *trial) advance(d time.Duration) {
 	if len(tr.live()) == 0 {
 		// Records outlive the death of all boxes by the log's retention; some
 		// box must come back before that is over.
@@ -248,7 +248,7 @@
 // violation says what promise was broken, or nothing. It is called when all has
 // healed.
 func (tr *trial) violation() string {
-	tr.pass(31 * time.Hour) // the longest outage is over
+	tr.advance(31 * time.Hour) // the longest outage is over
 	for round := range 2 {
 		// Other boxes than those that ran the reviews answer for them.
 		for _, name := range tr.live() {
@@ -256,20 +256,20 @@
 		}
 		box := tr.start(fmt.Sprint("late-", round), nil)
 		time.Sleep(10 * time.Minute)
-		tr.observe()
+		tr.collectResults()
 		for _, id := range tr.accepted {
-			if _, seen := tr.answers[id]; !seen {
+			if _, seen := tr.results[id]; !seen {
 				return id + " is lost"
 			}
 		}
-		for _, id := range tr.refused {
+		for _, id := range tr.rejected {
 			if _, err := box.Get("one", id); !errors.Is(err, review.ErrNotFound) {
 				return id + " was refused and is there"
 			}
 		}
-		tr.pass(3 * time.Hour)
+		tr.advance(3 * time.Hour)
 	}
-	return tr.changed
+	return tr.resultChanged
 }
 
 func TestEveryAcceptedReviewArrivesExactlyOnce(t *testing.T) {
@@ -278,7 +278,7 @@
 		events := rapid.SliceOfN(rapid.Custom(drawEvent), 5, 25).Draw(rt, "events")
 		var violation string
 		synctest.Test(t, func(*testing.T) {
-			tr := &trial{fleet: newFleet(), answers: map[string]string{}}
+			tr := &trial{fleet: newFleet(), results: map[string]string{}}
 			tr.start("box-a", nil)
 			tr.start("box-b", []string{"box-b"}) // believes itself alone: runs all
 			time.Sleep(time.Minute)
--- a/internal/review/record.go
+++ b/internal/review/record.go
@@ -49,7 +49,7 @@
 )
 
 // ends reports whether a kind ends a review.
-func (k Kind) ends() bool {
+func (k Kind) isEnd() bool {
 	return k == KindCompleted || k == KindFailed || k == KindCancelled
 }
 
--- a/internal/review/runner.go
+++ b/internal/review/runner.go
@@ -14,19 +14,19 @@
 const (
 	// patience is how long a review without a deadline may wait: it counts as
 	// due then, so that later ones with near deadlines cannot starve it.
-	patience = time.Hour
+	maxWaitWithoutDeadline = time.Hour
 	// riskPart is the part of the time between acceptance and deadline that must
 	// be left; a review that still waits with less is at risk.
-	riskPart = 3
+	riskFactor = 3
 	// firstRunSeconds is the guess for a run's time before any was seen.
-	firstRunSeconds = 10.0
+	initialRunSeconds = 10.0
 	// learning is the weight of the newest run in the learnt time.
-	learning = 0.2
+	runTimeWeight = 0.2
 	// firstRetry and lastRetry bound the pause after a run that failed.
-	firstRetry = time.Second
-	lastRetry  = 30 * time.Second
+	minRetryDelay = time.Second
+	maxRetryDelay = 30 * time.Second
 	// endPause is the pause between tries to state an end while the log is down.
-	endPause = 500 * time.Millisecond
+	endRetryDelay = 500 * time.Millisecond
 )
 
 // run is a review that runs here.
@@ -37,12 +37,12 @@
 // retry says when a review that failed may run again.
 type retry struct {
 	at    time.Time
-	pause time.Duration
+	delay time.Duration
 }
 
 // dueTime is when a review should be done: its deadline, or its patience.
 func dueTime(e *entry) time.Time {
-	due := e.meta.AcceptedAt.Add(patience)
+	due := e.meta.AcceptedAt.Add(maxWaitWithoutDeadline)
 	if !e.meta.Deadline.IsZero() && e.meta.Deadline.Before(due) {
 		return e.meta.Deadline
 	}
@@ -54,26 +54,26 @@
 	ticker := time.NewTicker(s.cfg.Interval)
 	defer ticker.Stop()
 	for {
-		s.startDue(ctx)
-		s.warn()
-		s.repeatDue(ctx)
+		s.startRuns(ctx)
+		s.warnAtRisk()
+		s.reappendDue(ctx)
 		select {
 		case <-ticker.C:
-		case <-s.news():
+		case <-s.nextChange():
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *Service) news() <-chan struct{} {
+func (s *Service) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
 // startDue starts the most pressing reviews that fall to this box.
-func (s *Service) startDue(ctx context.Context) {
+func (s *Service) startRuns(ctx context.Context) {
 	live := s.cfg.LiveBoxes()
 	limit := s.cfg.MaxParallel()
 	now := time.Now()
@@ -82,7 +82,7 @@
 	if !s.ready {
 		return
 	}
-	for _, e := range s.pressing() {
+	for _, e := range s.byDueTime() {
 		if len(s.running) >= limit {
 			return
 		}
@@ -93,10 +93,10 @@
 		runCtx, cancel := context.WithCancel(ctx)
 		s.running[e.meta.ID] = &run{cancel: cancel}
 		task := Task{Meta: e.meta, Urgent: s.atRisk(e, now)}
-		lies := e.accepted
-		s.ended.Go(func() {
+		loc := e.request
+		s.workers.Go(func() {
 			defer cancel()
-			s.runOne(runCtx, task, lies)
+			s.runOne(runCtx, task, loc)
 		})
 	}
 }
@@ -116,17 +116,17 @@
 }
 
 // runOne runs a review and states its end.
-func (s *Service) runOne(ctx context.Context, task Task, lies place) {
+func (s *Service) runOne(ctx context.Context, task Task, loc location) {
 	began := time.Now()
-	answer, err := s.answer(ctx, task, lies)
+	answer, err := s.execute(ctx, task, loc)
 	permanent, failed := errors.AsType[*PermanentError](err)
 	switch {
 	case err == nil:
-		s.learn(time.Since(began))
-		s.stateEnd(ctx, KindCompleted, task.Meta, answer)
+		s.recordRunTime(time.Since(began))
+		s.appendEnd(ctx, KindCompleted, task.Meta, answer)
 	case failed:
 		task.Meta.Reason = permanent.Reason
-		s.stateEnd(ctx, KindFailed, task.Meta, nil)
+		s.appendEnd(ctx, KindFailed, task.Meta, nil)
 	default:
 		s.postpone(task.Meta.ID, err)
 	}
@@ -135,8 +135,8 @@
 	delete(s.running, task.Meta.ID)
 }
 
-func (s *Service) answer(ctx context.Context, task Task, lies place) ([]byte, error) {
-	request, err := s.content(ctx, lies)
+func (s *Service) execute(ctx context.Context, task Task, loc location) ([]byte, error) {
+	request, err := s.readContent(ctx, loc)
 	if err != nil {
 		return nil, err
 	}
@@ -146,46 +146,46 @@
 
 // stateEnd appends the end of a review until the log has one, be it this or
 // another box's.
-func (s *Service) stateEnd(ctx context.Context, kind Kind, meta Meta, answer []byte) {
+func (s *Service) appendEnd(ctx context.Context, kind Kind, meta Meta, answer []byte) {
 	packed, err := pack(answer)
 	if err != nil {
 		s.postpone(meta.ID, err)
 		return
 	}
 	for ctx.Err() == nil {
-		if err := s.append(ctx, split(kind, meta, original, packed)); err == nil && s.endSeen(ctx, meta) {
+		if err := s.append(ctx, split(kind, meta, original, packed)); err == nil && s.confirmEnd(ctx, meta) {
 			s.cfg.Logger.Info().Str("review", meta.ID).Str("organisation", meta.Organisation).Int("bytes", len(answer)).Msg("review_ended")
 			return
 		}
-		waiting.For(ctx, endPause)
+		waiting.For(ctx, endRetryDelay)
 	}
 }
 
 // endWait is how long to wait for an appended end to come back from the log
 // before it is appended again. A second one does no harm.
-const endWait = 5 * time.Second
+const endReadTimeout = 5 * time.Second
 
-func (s *Service) endSeen(ctx context.Context, meta Meta) bool {
-	ctx, cancel := context.WithTimeout(ctx, endWait)
+func (s *Service) confirmEnd(ctx context.Context, meta Meta) bool {
+	ctx, cancel := context.WithTimeout(ctx, endReadTimeout)
 	defer cancel()
 	// The end that comes also ends this run's context, so what AwaitEnd saw last
 	// may be older than it.
 	_, _ = s.AwaitEnd(ctx, meta.Organisation, meta.ID)
-	known, err := s.Get(meta.Organisation, meta.ID)
-	return errors.Is(err, ErrNotFound) || known.Status.IsFinal()
+	found, err := s.Get(meta.Organisation, meta.ID)
+	return errors.Is(err, ErrNotFound) || found.Status.IsFinal()
 }
 
-func (s *Service) learn(took time.Duration) {
+func (s *Service) recordRunTime(took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seconds += learning * (took.Seconds() - s.seconds)
+	s.runSeconds += runTimeWeight * (took.Seconds() - s.runSeconds)
 }
 
 func (s *Service) postpone(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := min(max(2*s.retries[id].pause, firstRetry), lastRetry)
-	s.retries[id] = retry{at: time.Now().Add(pause), pause: pause}
+	pause := min(max(2*s.retries[id].delay, minRetryDelay), maxRetryDelay)
+	s.retries[id] = retry{at: time.Now().Add(pause), delay: pause}
 	s.cfg.Logger.Warn().Str("review", id).Str("error", err.Error()).Dur("pause_ms", pause).Msg("review_postponed")
 }
 
@@ -207,15 +207,15 @@
 	}
 	left := e.meta.Deadline.Sub(now)
 	whole := e.meta.Deadline.Sub(e.meta.AcceptedAt)
-	return left < whole/riskPart || left.Seconds() < riskPart*s.seconds
+	return left < whole/riskFactor || left.Seconds() < riskFactor*s.runSeconds
 }
 
 // warn logs each review at risk once.
-func (s *Service) warn() {
+func (s *Service) warnAtRisk() {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range s.fold.reviews {
+	for _, e := range s.table.reviews {
 		if !e.waiting() || s.warned[e.meta.ID] || !s.atRisk(e, now) {
 			continue
 		}
@@ -226,33 +226,33 @@
 }
 
 // repetition is a content that must be appended again.
-type repetition struct {
-	kind  Kind
-	meta  Meta
-	lies  place
-	first int64
+type reappend struct {
+	kind   Kind
+	meta   Meta
+	source location
+	copyOf int64
 }
 
 // maxRepetitions bounds the contents that are appended again in one look.
-const maxRepetitions = 16
+const maxReappends = 16
 
 // repeatDue appends again what would expire, as far as it falls to this box, and
 // forgets what is no longer needed.
-func (s *Service) repeatDue(ctx context.Context) {
-	for _, r := range s.dueRepetitions() {
-		content, err := s.packedContent(ctx, r)
+func (s *Service) reappendDue(ctx context.Context) {
+	for _, r := range s.selectReappends() {
+		content, err := s.readPacked(ctx, r)
 		if err != nil {
 			continue // tried again at the next look
 		}
-		if err := s.append(ctx, split(r.kind, r.meta, r.first, content)); err == nil {
+		if err := s.append(ctx, split(r.kind, r.meta, r.copyOf, content)); err == nil {
 			s.mu.Lock()
-			s.repeats++
+			s.reappends++
 			s.mu.Unlock()
 		}
 	}
 }
 
-func (s *Service) dueRepetitions() []repetition {
+func (s *Service) selectReappends() []reappend {
 	live := s.cfg.LiveBoxes()
 	now := time.Now()
 	s.mu.Lock()
@@ -260,38 +260,38 @@
 	if !s.ready {
 		return nil
 	}
-	var due []repetition
-	for id, e := range s.fold.reviews {
-		if e.forgettable(now, s.cfg.ResultRetention(), s.cfg.Retention) {
-			delete(s.fold.reviews, id)
+	var due []reappend
+	for id, e := range s.table.reviews {
+		if e.evictable(now, s.cfg.ResultRetention(), s.cfg.Retention) {
+			delete(s.table.reviews, id)
 			continue
 		}
-		kind := e.due(now, s.cfg.Retention)
-		if kind == 0 || len(due) >= maxRepetitions || ownerOf(id, live) != s.cfg.BoxName {
+		kind := e.reappendKind(now, s.cfg.Retention)
+		if kind == 0 || len(due) >= maxReappends || ownerOf(id, live) != s.cfg.BoxName {
 			continue
 		}
-		due = append(due, e.repetition(kind))
+		due = append(due, e.newReappend(kind))
 	}
 	return due
 }
 
-func (e *entry) repetition(kind Kind) repetition {
+func (e *entry) newReappend(kind Kind) reappend {
 	switch kind {
 	case KindAccepted:
-		return repetition{kind: kind, meta: e.meta, lies: e.accepted, first: e.firstAccepted}
+		return reappend{kind: kind, meta: e.meta, source: e.request, copyOf: e.acceptedOffset}
 	case KindDeleted:
-		return repetition{kind: kind, meta: e.meta, first: original}
+		return reappend{kind: kind, meta: e.meta, copyOf: original}
 	default:
-		return repetition{kind: kind, meta: e.meta, lies: e.ended, first: e.endedFirst}
+		return reappend{kind: kind, meta: e.meta, source: e.result, copyOf: e.endOffset}
 	}
 }
 
 // packedContent reads a content that is to be appended again.
-func (s *Service) packedContent(ctx context.Context, r repetition) ([]byte, error) {
-	if !r.lies.known() {
+func (s *Service) readPacked(ctx context.Context, r reappend) ([]byte, error) {
+	if !r.source.isSet() {
 		return nil, nil
 	}
-	content, err := s.content(ctx, r.lies)
+	content, err := s.readContent(ctx, r.source)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -81,19 +81,19 @@
 type Service struct {
 	cfg  Config
 	tail *tail.Tail
-	life context.Context
+	ctx  context.Context
 	stop context.CancelFunc
 
-	mu      sync.Mutex
-	fold    *fold
-	ready   bool
-	changed chan struct{} // closed and replaced whenever the log brings news
-	running map[string]*run
-	retries map[string]retry
-	warned  map[string]bool
-	seconds float64 // learnt time of a run
-	ended   sync.WaitGroup
-	repeats int64
+	mu         sync.Mutex
+	table      *reviewTable
+	ready      bool
+	changed    chan struct{} // closed and replaced whenever the log brings news
+	running    map[string]*run
+	retries    map[string]retry
+	warned     map[string]bool
+	runSeconds float64 // learnt time of a run
+	workers    sync.WaitGroup
+	reappends  int64
 }
 
 // New makes a service; it does nothing before Start.
@@ -101,10 +101,10 @@
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
 	}
-	life, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	s := &Service{
-		cfg: cfg, life: life, stop: stop, fold: newFold(), changed: make(chan struct{}),
-		running: map[string]*run{}, retries: map[string]retry{}, warned: map[string]bool{}, seconds: firstRunSeconds,
+		cfg: cfg, ctx: ctx, stop: stop, table: newReviewTable(), changed: make(chan struct{}),
+		running: map[string]*run{}, retries: map[string]retry{}, warned: map[string]bool{}, runSeconds: initialRunSeconds,
 	}
 	s.tail = tail.New(tail.Config{Log: cfg.Log, Stream: Stream, Sink: s, PollWait: cfg.PollWait})
 	return s
@@ -112,24 +112,24 @@
 
 // Start follows the log and runs reviews until Close.
 func (s *Service) Start() {
-	s.ended.Go(func() { s.tail.Loop(s.life) })
-	s.ended.Go(func() { s.loop(s.life) })
+	s.workers.Go(func() { s.tail.Loop(s.ctx) })
+	s.workers.Go(func() { s.loop(s.ctx) })
 }
 
 // Close ends the service. Reviews that run here are run anew elsewhere.
 func (s *Service) Close() {
 	s.stop()
-	s.ended.Wait()
+	s.workers.Wait()
 }
 
 // drainTick is how often Drain looks whether all runs have ended.
-const drainTick = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 // Drain waits until the reviews that run here have ended, or ctx ends. No new
 // one begins meanwhile if MaxParallel gives 0.
 func (s *Service) Drain(ctx context.Context) {
 	for s.State().Running > 0 && ctx.Err() == nil {
-		waiting.For(ctx, drainTick)
+		waiting.For(ctx, drainPollInterval)
 	}
 }
 
@@ -137,7 +137,7 @@
 func (s *Service) Take(record logservice.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.fold.apply(record.Offset, record.Time, record.Data)
+	e := s.table.apply(record.Offset, record.Time, record.Data)
 	if e != nil && !e.waiting() {
 		s.cancelRun(e.meta.ID)
 	}
@@ -152,7 +152,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = false
-	s.fold.parts = newFold().parts
+	s.table.partials = newReviewTable().partials
 }
 
 // AtEnd implements tail.Sink.
@@ -172,13 +172,13 @@
 	if !s.isReady() {
 		return Review{}, ErrNotReady
 	}
-	if known, err := s.sameAs(meta); err == nil || errors.Is(err, ErrIDReused) {
-		return known, err
+	if found, err := s.findSame(meta); err == nil || errors.Is(err, ErrIDReused) {
+		return found, err
 	}
 	if err := s.append(ctx, split(KindAccepted, meta, original, packed)); err != nil {
 		return Review{}, err
 	}
-	return s.await(ctx, meta)
+	return s.awaitAccepted(ctx, meta)
 }
 
 func (s *Service) isReady() bool {
@@ -188,11 +188,11 @@
 }
 
 // sameAs gives the review that already has a name.
-func (s *Service) sameAs(meta Meta) (Review, error) {
+func (s *Service) findSame(meta Meta) (Review, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.fold.reviews[meta.ID]
-	if !ok || !e.accepted.known() {
+	e, ok := s.table.reviews[meta.ID]
+	if !ok || !e.request.isSet() {
 		return Review{}, ErrNotFound
 	}
 	if e.meta.Organisation != meta.Organisation || e.meta.Digest != meta.Digest {
@@ -224,14 +224,14 @@
 }
 
 // await waits until the log brings the review of a name.
-func (s *Service) await(ctx context.Context, meta Meta) (Review, error) {
+func (s *Service) awaitAccepted(ctx context.Context, meta Meta) (Review, error) {
 	for {
 		s.mu.Lock()
 		changed := s.changed
 		s.mu.Unlock()
-		known, err := s.sameAs(meta)
+		found, err := s.findSame(meta)
 		if err == nil || errors.Is(err, ErrIDReused) {
-			return known, err
+			return found, err
 		}
 		select {
 		case <-changed:
@@ -242,9 +242,9 @@
 }
 
 // content reads the parts of a content out of the log.
-func (s *Service) content(ctx context.Context, lies place) ([]byte, error) {
+func (s *Service) readContent(ctx context.Context, loc location) ([]byte, error) {
 	var packed bytes.Buffer
-	for _, offset := range lies.offsets {
+	for _, offset := range loc.offsets {
 		page, err := backoff.Retry(ctx, func() (logservice.Page, error) {
 			return s.cfg.Log.Read(ctx, Stream, logservice.ReadOptions{From: offset, Limit: 1})
 		}, backoff.WithMaxTries(readTries))
--- a/internal/review/state.go
+++ b/internal/review/state.go
@@ -32,7 +32,7 @@
 func (s *Service) State() State {
 	waiting := s.Waiting()
 	s.mu.Lock()
-	state := State{Ready: s.ready, Known: len(s.fold.reviews), Running: len(s.running), Repeats: s.repeats, Waiting: []WaitingState{}}
+	state := State{Ready: s.ready, Known: len(s.table.reviews), Running: len(s.running), Repeats: s.reappends, Waiting: []WaitingState{}}
 	s.mu.Unlock()
 	for _, review := range waiting {
 		state.add(review)
