--- a/internal/review/decide.go
+++ b/internal/review/decide.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Reading a review and deciding on it: what its organisation asks for.
+// Requests of an organisation about one review: read, wait, cancel and delete.
 
-// Get gives an organisation's review.
+// Get returns an organisation's review.
 func (s *Service) Get(organisation, id string) (Review, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -15,7 +15,7 @@
 	return s.describe(e), nil
 }
 
-// find gives an organisation's review. The caller holds mu.
+// find returns an organisation's review. The caller holds mu.
 func (s *Service) find(organisation, id string) (*entry, error) {
 	e, ok := s.table.reviews[id]
 	if ok && e.meta.Organisation == organisation && !e.deleted && (e.request.isSet() || e.endKind != 0) {
@@ -27,7 +27,7 @@
 	return nil, ErrNotFound
 }
 
-// Result gives the answer of a completed review, out of the log.
+// Result reads the response of a completed review from the log.
 func (s *Service) Result(ctx context.Context, organisation, id string) ([]byte, error) {
 	s.mu.Lock()
 	e, err := s.find(organisation, id)
@@ -58,18 +58,18 @@
 	}
 }
 
-// Cancel ends a review that waits or runs; Delete has it forgotten.
+// Cancel ends a review that is waiting or running. Unlike Delete, it keeps the review readable.
 func (s *Service) Cancel(ctx context.Context, organisation, id string) (Review, error) {
 	return s.appendDecision(ctx, organisation, id, KindCancelled, func(e *entry) bool { return e.endKind != 0 })
 }
 
-// Delete has a review forgotten, whatever its status.
+// Delete removes a review, whatever its status.
 func (s *Service) Delete(ctx context.Context, organisation, id string) (Review, error) {
 	return s.appendDecision(ctx, organisation, id, KindDeleted, func(e *entry) bool { return e.deleted })
 }
 
-// decide appends a statement of the review's organisation and waits until it, or
-// an earlier one, is in force.
+// appendDecision appends a decision of the review's organisation and waits until it, or an
+// earlier one with the same effect, has been read back from the log.
 func (s *Service) appendDecision(ctx context.Context, organisation, id string, kind Kind, decided func(*entry) bool) (Review, error) {
 	s.mu.Lock()
 	e, err := s.find(organisation, id)
--- a/internal/review/describe.go
+++ b/internal/review/describe.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Describing reviews: as their organisation sees them, in order of urgency.
+// Descriptions of reviews for their organisation, and the order in which reviews run.
 
-// Review is a review as its organisation sees it.
+// Review describes a review to its organisation.
 type Review struct {
 	Meta   Meta
 	Status Status
-	// AtRisk says that the deadline will probably be missed, Missed that it was.
+	// AtRisk means that the deadline will probably be missed, Missed that it was.
 	AtRisk  bool
 	Missed  bool
 	EndedAt time.Time
 }
 
-// IsFinal reports whether a status is final.
+// IsFinal reports whether a review with this status has ended.
 func (s Status) IsFinal() bool {
 	return s == StatusCompleted || s == StatusFailed || s == StatusCancelled
 }
 
-// describe gives a review as its organisation sees it. The caller holds mu.
+// describe returns the description of a review. The caller holds mu.
 func (s *Service) describe(e *entry) Review {
 	described := Review{Meta: e.meta, Status: e.status(), EndedAt: e.endedAt}
 	if _, here := s.running[e.meta.ID]; here && e.waiting() {
@@ -40,7 +40,7 @@
 	return described
 }
 
-// Waiting lists the reviews without an end, the most pressing first.
+// Waiting lists the reviews that have not ended, the earliest due first.
 func (s *Service) Waiting() []Review {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,8 +51,7 @@
 	return reviews
 }
 
-// pressing lists the waiting reviews, the most pressing first. The caller
-// holds mu.
+// byDueTime lists the waiting reviews, the earliest due first. The caller holds mu.
 func (s *Service) byDueTime() []*entry {
 	var waiting []*entry
 	for _, e := range s.table.reviews {
--- a/internal/review/fold.go
+++ b/internal/review/fold.go
@@ -6,10 +6,10 @@
 	"github.com/google/uuid"
 )
 
-// Status is where a review stands, in the words of the OpenAI protocol.
+// Status is the status of a review, with the values of the OpenAI protocol.
 type Status string
 
-// The statuses of a review.
+// Values of Status.
 const (
 	StatusQueued    Status = "queued"
 	StatusRunning   Status = "in_progress"
@@ -18,10 +18,10 @@
 	StatusCancelled Status = "cancelled"
 )
 
-// place is where a whole content lies in the log.
+// location lists the records of the log that contain a whole content.
 type location struct {
 	offsets []int64
-	// at is the log's time of the last part.
+	// appendedAt is the log's timestamp of the last part.
 	appendedAt time.Time
 }
 
@@ -29,16 +29,18 @@
 
 func (p location) isSet() bool { return len(p.offsets) > 0 }
 
-// entry is what the log says of one review.
+// entry is the state of one review according to the log.
 type entry struct {
 	meta    Meta
 	request location
-	// firstAccepted is the offset of the original accepted record.
+	// acceptedOffset is the offset of the original accepted record, request the location of its
+	// content or of the newest copy.
 	acceptedOffset int64
-	// end is how the review ended; zero while it has not.
+	// endKind is the kind of the record that ended the review; zero until then.
 	endKind Kind
-	// endedFirst is the offset of the original record of the end, endedAt its
-	// time, and ended where its content lies.
+	// endOffset is the offset of the original record that ended the review, endedAt the log's
+	// timestamp of the one that was read, and result the location of its content or of the
+	// newest copy.
 	endOffset int64
 	endedAt   time.Time
 	result    location
@@ -59,33 +61,35 @@
 	}
 }
 
-// waiting reports whether the review still has to be run.
+// waiting reports whether the review still has to run.
 func (e *entry) waiting() bool { return e.endKind == 0 && !e.deleted && e.request.isSet() }
 
-// fold is the state of the stream. It depends on nothing but the log.
+// reviewTable is the state of the stream: the result of applying its records in order. It
+// depends only on the log.
 type reviewTable struct {
 	reviews map[string]*entry
-	// parts collects contents of which not all parts have come.
+	// partials holds the contents of which only some parts have been read.
 	partials map[uuid.UUID]partial
 }
 
-// partial is a content of which not all parts have come.
+// partial is a content of which only some parts have been read.
 type partial struct {
 	offsets    []int64
 	appendedAt time.Time
 }
 
-// maxPartAge is the time, by the log, after which the rest of a content is no
-// longer expected: its sender has died. Should it come all the same, the content
-// is not whole, as if its beginning had expired, and nobody was told otherwise.
+// maxPartAge is the time between parts, by the log's timestamps, after which the rest of a
+// content is no longer expected because its sender has crashed. If the rest is appended later
+// all the same, the content is incomplete, as if its first parts had expired; its sender has
+// not confirmed it to any caller.
 const maxPartAge = 10 * time.Minute
 
 func newReviewTable() *reviewTable {
 	return &reviewTable{reviews: map[string]*entry{}, partials: map[uuid.UUID]partial{}}
 }
 
-// apply takes over one record that the log took at an offset and time. It gives
-// the review that the record completed a statement about, or nil.
+// apply applies the record that the log stored at an offset and time. It returns the review
+// that the record completed a change of, or nil.
 func (t *reviewTable) apply(offset int64, at time.Time, data []byte) *entry {
 	record, err := decode(data)
 	if err != nil {
@@ -101,17 +105,17 @@
 		t.reviews[record.Meta.ID] = e
 	}
 	if e.meta.Organisation != record.Meta.Organisation {
-		return nil // another organisation has no say in a review
+		return nil // a review can be changed only by its own organisation
 	}
-	first := loc.offsets[0]
+	originalOffset := loc.offsets[0]
 	if record.CopyOf != original {
-		first = record.CopyOf
+		originalOffset = record.CopyOf
 	}
-	t.applyStatement(e, record, loc, first)
+	t.applyStatement(e, record, loc, originalOffset)
 	return e
 }
 
-// collect gives where a content lies once all its parts have come in order.
+// collectParts returns the location of a content once all its parts have been read in order.
 func (t *reviewTable) collectParts(record Record, offset int64, at time.Time) (location, bool) {
 	if record.PartCount == 1 {
 		return location{offsets: []int64{offset}, appendedAt: at}, true
@@ -119,7 +123,7 @@
 	t.dropStaleParts(at)
 	offsets := t.partials[record.ContentID].offsets
 	if len(offsets) != record.PartIndex {
-		return location{}, false // a part is missing: it has expired
+		return location{}, false // an earlier part has expired
 	}
 	offsets = append(offsets, offset)
 	if len(offsets) < record.PartCount {
@@ -131,57 +135,57 @@
 }
 
 func (t *reviewTable) dropStaleParts(now time.Time) {
-	for set, incomplete := range t.partials {
+	for contentID, incomplete := range t.partials {
 		if now.Sub(incomplete.appendedAt) > maxPartAge {
-			delete(t.partials, set)
+			delete(t.partials, contentID)
 		}
 	}
 }
 
-func (t *reviewTable) applyStatement(e *entry, record Record, loc location, first int64) {
+func (t *reviewTable) applyStatement(e *entry, record Record, loc location, originalOffset int64) {
 	switch {
 	case record.Kind == KindAccepted:
-		t.applyAccepted(e, record, loc, first)
+		t.applyAccepted(e, record, loc, originalOffset)
 	case record.Kind == KindDeleted:
 		e.deleted, e.deletion = true, loc
-	case e.endKind == 0 || first < e.endOffset:
-		// The first end counts. It may be read after a later one when only its
-		// repetition is still held.
-		e.endKind, e.endOffset, e.result, e.endedAt = record.Kind, first, loc, loc.appendedAt
+	case e.endKind == 0 || originalOffset < e.endOffset:
+		// The first end in log order is in force. It may be read after a later one if only its
+		// copy is still stored.
+		e.endKind, e.endOffset, e.result, e.endedAt = record.Kind, originalOffset, loc, loc.appendedAt
 		e.meta.Reason = record.Meta.Reason
-	case first == e.endOffset:
+	case originalOffset == e.endOffset:
 		e.result = loc
 	}
 }
 
-// accept takes over an accepted record. Of two different requests under the
-// same name the first counts.
-func (t *reviewTable) applyAccepted(e *entry, record Record, loc location, first int64) {
-	if !e.request.isSet() || first < e.acceptedOffset {
-		e.meta, e.acceptedOffset, e.request = record.Meta, first, loc
+// applyAccepted applies an accepted record. Of two different requests with the same ID, the
+// first is in force.
+func (t *reviewTable) applyAccepted(e *entry, record Record, loc location, originalOffset int64) {
+	if !e.request.isSet() || originalOffset < e.acceptedOffset {
+		e.meta, e.acceptedOffset, e.request = record.Meta, originalOffset, loc
 		return
 	}
-	if first == e.acceptedOffset || record.Meta.Digest == e.meta.Digest {
+	if originalOffset == e.acceptedOffset || record.Meta.Digest == e.meta.Digest {
 		e.request = loc
 	}
 }
 
-// forgettable reports whether nothing of a review is needed any more at a time:
-// it ended longer ago than answers are kept, and no record is held that would
-// make a new box take it for one that waits.
-func (e *entry) evictable(now time.Time, keepAnswers, retention time.Duration) bool {
+// evictable reports whether a review can be removed from memory: the retention of its result
+// has passed, and the log no longer stores an accepted record that would make a new box
+// consider it waiting.
+func (e *entry) evictable(now time.Time, resultRetention, retention time.Duration) bool {
 	if e.waiting() {
 		return false
 	}
 	if e.request.isSet() && now.Sub(e.request.appendedAt) < retention {
 		return false
 	}
-	return e.deleted || now.Sub(e.endedAt) > keepAnswers
+	return e.deleted || now.Sub(e.endedAt) > resultRetention
 }
 
-// due reports which content of a review must be appended again, so that it
-// outlives the log's retention. A statement that ends a review must also lie
-// behind every record that accepts it: a new box may find only the later one.
+// reappendKind returns the kind of the record that must be appended again before the log's
+// retention expires it, or zero. The record that ends a review must also come after every
+// record that accepts it, since a new box may find only the later one.
 func (e *entry) reappendKind(now time.Time, retention time.Duration) Kind {
 	old := func(p location) bool { return now.Sub(p.appendedAt) > retention/2 }
 	switch {
--- a/internal/review/fold_test.go
+++ b/internal/review/fold_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// step is one record in a table of the fold.
+// step is one record in a table of records to apply.
 type step struct {
 	offset  int64
 	kind    Kind
@@ -37,7 +37,7 @@
 		name  string
 		steps []step
 		want  Status
-		// ended is the offset where the end's content lies.
+		// ended is the offset of the record with the end's content.
 		ended int64
 	}{
 		{"waiting", []step{{0, KindAccepted, none, 0}}, StatusQueued, -1},
@@ -45,9 +45,9 @@
 		{"completed twice", []step{{0, KindAccepted, none, 0}, {1, KindCompleted, none, 0}, {2, KindCompleted, none, 0}}, StatusCompleted, 1},
 		{"completed and then cancelled", []step{{0, KindAccepted, none, 0}, {1, KindCompleted, none, 0}, {2, KindCancelled, none, 0}}, StatusCompleted, 1},
 		{"cancelled and then completed", []step{{0, KindAccepted, none, 0}, {1, KindCancelled, none, 0}, {2, KindCompleted, none, 0}}, StatusCancelled, 1},
-		{"the first is held only as a repetition that comes later", []step{{5, KindFailed, none, 0}, {7, KindCompleted, 1, 0}}, StatusCompleted, 7},
-		{"a repetition moves the content", []step{{1, KindCompleted, none, 0}, {7, KindCompleted, 1, 0}}, StatusCompleted, 7},
-		{"an end without the request", []step{{9, KindCompleted, 1, 0}}, StatusCompleted, 9},
+		{"the first end exists only as a later copy", []step{{5, KindFailed, none, 0}, {7, KindCompleted, 1, 0}}, StatusCompleted, 7},
+		{"a copy moves the content", []step{{1, KindCompleted, none, 0}, {7, KindCompleted, 1, 0}}, StatusCompleted, 7},
+		{"an end whose request has expired", []step{{9, KindCompleted, 1, 0}}, StatusCompleted, 9},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestWhatIsStillNeededIsAppendedAgainInTime(t *testing.T) {
+func TestNeededRecordsAreAppendedAgainBeforeTheyExpire(t *testing.T) {
 	const none, day = original, 24 * time.Hour
 	cases := []struct {
 		name  string
@@ -69,13 +69,13 @@
 		now   time.Duration
 		want  Kind
 	}{
-		{"a young one", []step{{0, KindAccepted, none, 0}}, day / 4, 0},
-		{"a waiting one at half of the retention", []step{{0, KindAccepted, none, 0}}, day/2 + time.Minute, KindAccepted},
-		{"one that was appended again", []step{{0, KindAccepted, none, 0}, {3, KindAccepted, 0, day / 2}}, day * 3 / 4, 0},
-		{"an ended one", []step{{0, KindAccepted, none, 0}, {1, KindCompleted, none, 0}}, day/2 + time.Minute, KindCompleted},
-		{"an end that lies before a repeated request", []step{{0, KindAccepted, none, 0}, {1, KindCompleted, none, 0}, {2, KindAccepted, 0, 0}}, 0, KindCompleted},
-		{"a deletion that lies before a repeated request", []step{{0, KindAccepted, none, 0}, {1, KindDeleted, none, 0}, {2, KindAccepted, 0, 0}}, 0, KindDeleted},
-		{"a deleted one", []step{{0, KindAccepted, none, 0}, {1, KindCompleted, none, 0}, {2, KindDeleted, none, 0}}, day / 4, 0},
+		{"a new review", []step{{0, KindAccepted, none, 0}}, day / 4, 0},
+		{"a waiting review after half of the retention", []step{{0, KindAccepted, none, 0}}, day/2 + time.Minute, KindAccepted},
+		{"a review that was appended again", []step{{0, KindAccepted, none, 0}, {3, KindAccepted, 0, day / 2}}, day * 3 / 4, 0},
+		{"an ended review", []step{{0, KindAccepted, none, 0}, {1, KindCompleted, none, 0}}, day/2 + time.Minute, KindCompleted},
+		{"an end before a copy of the request", []step{{0, KindAccepted, none, 0}, {1, KindCompleted, none, 0}, {2, KindAccepted, 0, 0}}, 0, KindCompleted},
+		{"a deletion before a copy of the request", []step{{0, KindAccepted, none, 0}, {1, KindDeleted, none, 0}, {2, KindAccepted, 0, 0}}, 0, KindDeleted},
+		{"a deleted review", []step{{0, KindAccepted, none, 0}, {1, KindCompleted, none, 0}, {2, KindDeleted, none, 0}}, day / 4, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -85,19 +85,19 @@
 	}
 }
 
-func TestNothingIsForgottenWhileARecordCouldBringItBack(t *testing.T) {
+func TestReviewsAreEvictedOnlyAfterTheirRequestExpired(t *testing.T) {
 	g := NewWithT(t)
 	const day = 24 * time.Hour
 	begin := time.Unix(1_000_000, 0)
 	ended := play([]step{{0, KindAccepted, original, 0}, {1, KindCompleted, original, time.Hour}})
-	g.Expect(ended.evictable(begin.Add(2*time.Hour), time.Minute, day)).To(BeFalse(), "the request is still held")
+	g.Expect(ended.evictable(begin.Add(2*time.Hour), time.Minute, day)).To(BeFalse(), "the request is still in the log")
 	g.Expect(ended.evictable(begin.Add(25*time.Hour), time.Minute, day)).To(BeTrue())
-	g.Expect(ended.evictable(begin.Add(25*time.Hour), 2*day, day)).To(BeFalse(), "the answer is still kept")
+	g.Expect(ended.evictable(begin.Add(25*time.Hour), 2*day, day)).To(BeFalse(), "the result can still be fetched")
 	waiting := play([]step{{0, KindAccepted, original, 0}})
 	g.Expect(waiting.evictable(begin.Add(100*day), time.Minute, day)).To(BeFalse())
 }
 
-func TestContentsTravelInParts(t *testing.T) {
+func TestContentsAreSplitIntoParts(t *testing.T) {
 	g := NewWithT(t)
 	content := make([]byte, 3*partBytes+5)
 	records := split(KindAccepted, Meta{ID: "r", Organisation: "one"}, original, content)
@@ -112,7 +112,7 @@
 	g.Expect(table.reviews["r"].request.offsets).To(Equal([]int64{10, 12, 14, 16}))
 }
 
-func TestPartsOfASenderThatDiedAreDropped(t *testing.T) {
+func TestPartsOfACrashedSenderAreDropped(t *testing.T) {
 	g := NewWithT(t)
 	table := newReviewTable()
 	begin := time.Unix(0, 0)
--- a/internal/review/history_test.go
+++ b/internal/review/history_test.go
@@ -21,18 +21,18 @@
 func TestMain(m *testing.M) { rapidtest.Main(m, rapidtest.Config{Checks: 60, Steps: 30}) }
 
 const (
-	retention   = 24 * time.Hour
-	keepAnswers = 36 * time.Hour
+	retention       = 24 * time.Hour
+	resultRetention = 36 * time.Hour
 )
 
-// fleet is a few boxes that keep reviews in one log, in virtual time.
+// fleet is a set of boxes that share one log, in virtual time.
 type fleet struct {
 	log   *fakelog.Log
 	mu    sync.Mutex
 	names []string
 	boxes map[string]*review.Service
 	runs  map[string]int
-	// fail says how many coming runs fail, and outage until when all do.
+	// fail is how many of the next runs fail; all runs fail until outage.
 	fail    int
 	outage  time.Time
 	runTime time.Duration
@@ -48,7 +48,7 @@
 	return append([]string(nil), f.names...)
 }
 
-// start starts a box; view is what it believes to be live, or nil for the truth.
+// start starts a box; view is the set of boxes it considers live, or nil for the actual one.
 func (f *fleet) start(name string, view []string) *review.Service {
 	live := f.live
 	if view != nil {
@@ -56,7 +56,7 @@
 	}
 	box := review.New(review.Config{
 		Log: f.log, Logger: zerolog.Nop(), BoxName: name, LiveBoxes: live, Retention: retention,
-		ResultRetention: func() time.Duration { return keepAnswers }, MaxParallel: func() int { return 4 },
+		ResultRetention: func() time.Duration { return resultRetention }, MaxParallel: func() int { return 4 },
 		Interval: 30 * time.Second, PollWait: 30 * time.Minute,
 		Run: func(ctx context.Context, task review.Task) ([]byte, error) { return f.run(ctx, name, task) },
 	})
@@ -86,7 +86,7 @@
 	return []byte(fmt.Sprintf("answer of %s to %s", box, task.Request)), nil
 }
 
-// kill ends a box without warning.
+// kill stops a box without draining it.
 func (f *fleet) kill(name string) {
 	f.mu.Lock()
 	box := f.boxes[name]
@@ -118,7 +118,7 @@
 	return err
 }
 
-// event is one thing that happens to the fleet.
+// event is one random operation on the fleet.
 type event struct {
 	kind  string
 	box   int
@@ -142,12 +142,11 @@
 	return e
 }
 
-// trial plays events and remembers what was accepted.
+// trial applies events and records which reviews were accepted.
 type trial struct {
 	*fleet
 	accepted []string
-	// refused holds the reviews of which the caller was told that they were
-	// not accepted.
+	// rejected holds the reviews whose caller received ErrNotAccepted.
 	rejected      []string
 	results       map[string]string
 	resultChanged string
@@ -205,8 +204,8 @@
 	tr.collectResults()
 }
 
-// observe looks at all answers that any box has now, and notes one that differs
-// from what was seen before.
+// collectResults reads the results of all boxes and records any that differs from an earlier
+// read.
 func (tr *trial) collectResults() {
 	for _, name := range tr.live() {
 		tr.mu.Lock()
@@ -231,11 +230,11 @@
 	tr.results[id] = answer
 }
 
-// pass lets time go by, in which records expire as at the platform.
+// advance advances the time while the log expires records as the platform does.
 func (tr *trial) advance(d time.Duration) {
 	if len(tr.live()) == 0 {
-		// Records outlive the death of all boxes by the log's retention; some
-		// box must come back before that is over.
+		// After the crash of all boxes, records remain only for the log's retention, so a box
+		// must start before that time is over.
 		tr.serial++
 		tr.start(fmt.Sprint("box-", tr.serial), nil)
 	}
@@ -245,12 +244,12 @@
 	}
 }
 
-// violation says what promise was broken, or nothing. It is called when all has
-// healed.
+// violation describes the invariant that was violated, or is empty. It is called after all
+// faults have been removed.
 func (tr *trial) violation() string {
-	tr.advance(31 * time.Hour) // the longest outage is over
+	tr.advance(31 * time.Hour) // longer than any outage
 	for round := range 2 {
-		// Other boxes than those that ran the reviews answer for them.
+		// New boxes, other than those that ran the reviews, must return the results.
 		for _, name := range tr.live() {
 			tr.kill(name)
 		}
@@ -259,12 +258,12 @@
 		tr.collectResults()
 		for _, id := range tr.accepted {
 			if _, seen := tr.results[id]; !seen {
-				return id + " is lost"
+				return id + " was lost"
 			}
 		}
 		for _, id := range tr.rejected {
 			if _, err := box.Get("one", id); !errors.Is(err, review.ErrNotFound) {
-				return id + " was refused and is there"
+				return id + " was rejected but exists"
 			}
 		}
 		tr.advance(3 * time.Hour)
@@ -280,7 +279,7 @@
 		synctest.Test(t, func(*testing.T) {
 			tr := &trial{fleet: newFleet(), results: map[string]string{}}
 			tr.start("box-a", nil)
-			tr.start("box-b", []string{"box-b"}) // believes itself alone: runs all
+			tr.start("box-b", []string{"box-b"}) // considers itself the only live box: runs all reviews
 			time.Sleep(time.Minute)
 			for _, e := range events {
 				tr.play(e)
--- a/internal/review/measure.go
+++ b/internal/review/measure.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// MemoryPerReview gives the memory, in bytes, that each of so many waiting
-// reviews takes. The bench prints it and docs/CAPACITY.md multiplies it.
+// MemoryPerReview returns the memory per waiting review, in bytes, in a table of that many
+// reviews. The benchmark prints it and docs/CAPACITY.md multiplies it.
 func MemoryPerReview(reviews int) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/review/record.go
+++ b/internal/review/record.go
@@ -1,21 +1,20 @@
-// Package review holds requests that can wait, such as long reviews, each of
-// which must arrive exactly once.
-//
-// A review is accepted only once it is in the platform's log. From then on every
-// entry box knows of it, because every box follows the log, and the death of all
-// boxes loses nothing. Boxes share the reviews out by hashing over the boxes they
-// believe to be live; when beliefs differ two boxes run the same review, which
-// does no harm: the first end in log order is the review's end, for everyone.
+// Package review runs requests that can wait, such as long reviews, and delivers exactly one
+// result for each of them.
+// A review is accepted only once it is in the platform's log. From then on every entry box
+// reads it from the log, so that it survives the crash of all boxes. Boxes distribute the
+// reviews by rendezvous hashing over the boxes that they consider live. When these sets differ,
+// two boxes may run the same review, which is harmless: the first end in log order is the
+// review's end for all boxes.
 //
 //	offset  record                     review R
 //	10      accepted, part 1 of 2
 //	11      accepted, part 2 of 2      queued
-//	12      completed by box a         completed with a's answer
-//	13      completed by box b         void
+//	12      completed by box a         completed with a's response
+//	13      completed by box b         ignored
 //
-// Records expire, so what is still needed is appended again in time. Such a
-// record names the offset of the one it repeats: "first" always means first
-// among the original ones.
+// Records expire, so a record that is still needed is appended again before that. The copy
+// contains the offset of the original: "first in log order" always compares the offsets of
+// originals.
 package review
 
 import (
@@ -32,47 +31,49 @@
 // Stream is the name of the reviews' stream in the log.
 const Stream = "reviews"
 
-// Kind tells the kinds of records apart.
+// Kind is the kind of a record.
 type Kind uint8
 
 const (
-	// KindAccepted is a review with its request.
+	// KindAccepted adds a review with its request.
 	KindAccepted Kind = 1
-	// KindCompleted is the answer.
+	// KindCompleted ends a review with its response.
 	KindCompleted Kind = 2
-	// KindFailed says that the review cannot be answered.
+	// KindFailed ends a review that cannot be answered.
 	KindFailed Kind = 3
-	// KindCancelled says that its organisation no longer wants the answer.
+	// KindCancelled ends a review whose response the organisation no longer wants.
 	KindCancelled Kind = 4
-	// KindDeleted says that its organisation wants it forgotten.
+	// KindDeleted removes a review at the organisation's request.
 	KindDeleted Kind = 5
 )
 
-// ends reports whether a kind ends a review.
+// isEnd reports whether records of this kind end a review.
 func (k Kind) isEnd() bool {
 	return k == KindCompleted || k == KindFailed || k == KindCancelled
 }
 
-// original is the value of Record.CopyOf in a record that repeats none.
+// original is the value of Record.CopyOf in a record that is not a copy.
 const original int64 = -1
 
-// Record is one record of the stream. Contents that do not fit one record are
-// spread over several with the same ContentID.
+// Record is one record of the stream. A content that does not fit into one record is split into
+// several with the same ContentID.
 type Record struct {
 	Kind Kind `msgpack:"k"`
-	// ContentID names the append that the record is a part of.
+	// ContentID identifies the content that the record is a part of; every append has a new
+	// one.
 	ContentID uuid.UUID `msgpack:"s"`
 	PartIndex int       `msgpack:"p"`
 	PartCount int       `msgpack:"n"`
-	// CopyOf is the offset of the first part of the records that these repeat.
+	// CopyOf is the offset of the first part of the original content, if this is a copy.
 	CopyOf int64 `msgpack:"r"`
-	// Meta describes the review in every record, so that each stands alone.
+	// Meta describes the review. Every record includes it, so that each can be read without the
+	// others.
 	Meta Meta `msgpack:"m"`
-	// Content is a part of the packed request or answer.
+	// Content is a part of the compressed request or response.
 	Content []byte `msgpack:"c,omitempty"`
 }
 
-// Meta is what is known of a review without its request.
+// Meta describes a review without its request.
 type Meta struct {
 	ID           string    `msgpack:"i"`
 	Organisation string    `msgpack:"o"`
@@ -80,11 +81,11 @@
 	AcceptedAt   time.Time `msgpack:"a"`
 	// Deadline is zero for a review without one.
 	Deadline time.Time `msgpack:"d"`
-	// Digest identifies the request, for callers that send it again.
+	// Digest is the hash of the request. It recognises callers that send it again.
 	Digest [32]byte `msgpack:"h"`
-	// Metadata is the caller's own, as JSON.
+	// Metadata is caller-defined JSON.
 	Metadata []byte `msgpack:"x,omitempty"`
-	// Reason says why a review failed.
+	// Reason is why the review failed.
 	Reason string `msgpack:"f,omitempty"`
 }
 
@@ -102,26 +103,26 @@
 		return Record{}, merry.Prepend(err, "decode review")
 	}
 	if record.Kind < KindAccepted || record.Kind > KindDeleted || record.PartCount < 1 || record.PartIndex < 0 || record.PartIndex >= record.PartCount || record.Meta.ID == "" {
-		return Record{}, merry.New("the record is not one of a review")
+		return Record{}, merry.New("invalid review record")
 	}
 	return record, nil
 }
 
-// partBytes is the size of the parts that contents are cut into.
+// partBytes is the size of the parts that contents are split into.
 const partBytes = 512 << 10
 
-// maxContentBytes bounds what a packed content may unpack to.
+// maxContentBytes bounds the size of a content after decompression.
 const maxContentBytes = 64 << 20
 
-// split cuts a content into the records that carry it.
+// split splits a content into records.
 func split(kind Kind, meta Meta, repeats int64, packed []byte) []Record {
 	parts := max(1, (len(packed)+partBytes-1)/partBytes)
-	set := uuid.New()
+	contentID := uuid.New()
 	records := make([]Record, parts)
 	for i := range records {
 		begin := min(i*partBytes, len(packed))
 		end := min(begin+partBytes, len(packed))
-		records[i] = Record{Kind: kind, ContentID: set, PartIndex: i, PartCount: parts, CopyOf: repeats, Meta: meta, Content: packed[begin:end]}
+		records[i] = Record{Kind: kind, ContentID: contentID, PartIndex: i, PartCount: parts, CopyOf: repeats, Meta: meta, Content: packed[begin:end]}
 	}
 	return records
 }
@@ -148,7 +149,7 @@
 	defer decoder.Close()
 	content, err := decoder.DecodeAll(packed, nil)
 	if err != nil {
-		return nil, merry.Prepend(err, "unpack review")
+		return nil, merry.Prepend(err, "decompress review")
 	}
 	return content, nil
 }
--- a/internal/review/runner.go
+++ b/internal/review/runner.go
@@ -10,37 +10,39 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Timing of running reviews.
+// Settings for scheduling and retrying runs.
 const (
-	// patience is how long a review without a deadline may wait: it counts as
-	// due then, so that later ones with near deadlines cannot starve it.
+	// maxWaitWithoutDeadline bounds the wait of a review without a deadline, or with a later
+	// one: it is due after this time, so that newer reviews with near deadlines cannot starve
+	// it.
 	maxWaitWithoutDeadline = time.Hour
-	// riskPart is the part of the time between acceptance and deadline that must
-	// be left; a review that still waits with less is at risk.
+	// riskFactor decides when a waiting review is at risk: when less than 1/riskFactor of the
+	// time between acceptance and deadline is left, or less than riskFactor average runs.
 	riskFactor = 3
-	// firstRunSeconds is the guess for a run's time before any was seen.
+	// initialRunSeconds is the estimated time of a run before the first one has finished.
 	initialRunSeconds = 10.0
-	// learning is the weight of the newest run in the learnt time.
+	// runTimeWeight is the weight of the newest run in the moving average of run times.
 	runTimeWeight = 0.2
-	// firstRetry and lastRetry bound the pause after a run that failed.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed run.
 	minRetryDelay = time.Second
 	maxRetryDelay = 30 * time.Second
-	// endPause is the pause between tries to state an end while the log is down.
+	// endRetryDelay is the delay between attempts to append an end while the log is down.
 	endRetryDelay = 500 * time.Millisecond
 )
 
-// run is a review that runs here.
+// run is a review that is running on this box.
 type run struct {
 	cancel context.CancelFunc
 }
 
-// retry says when a review that failed may run again.
+// retry is the time at which a review that failed may run again.
 type retry struct {
 	at    time.Time
 	delay time.Duration
 }
 
-// dueTime is when a review should be done: its deadline, or its patience.
+// dueTime returns when a review should be done: at its deadline, or maxWaitWithoutDeadline
+// after it was accepted if that is earlier.
 func dueTime(e *entry) time.Time {
 	due := e.meta.AcceptedAt.Add(maxWaitWithoutDeadline)
 	if !e.meta.Deadline.IsZero() && e.meta.Deadline.Before(due) {
@@ -49,7 +51,7 @@
 	return due
 }
 
-// loop looks at what is to be done until ctx ends.
+// loop starts runs, logs reviews at risk and appends copies until ctx ends.
 func (s *Service) loop(ctx context.Context) {
 	ticker := time.NewTicker(s.cfg.Interval)
 	defer ticker.Stop()
@@ -72,7 +74,7 @@
 	return s.changed
 }
 
-// startDue starts the most pressing reviews that fall to this box.
+// startRuns starts the reviews that this box owns, the earliest due first.
 func (s *Service) startRuns(ctx context.Context) {
 	live := s.cfg.LiveBoxes()
 	limit := s.cfg.MaxParallel()
@@ -101,9 +103,8 @@
 	}
 }
 
-// ownerOf gives the box that a review falls to, by rendezvous hashing over the
-// boxes believed to be live. Where beliefs differ, two boxes run it, or for a
-// moment none.
+// ownerOf returns the box that runs a review, by rendezvous hashing over the boxes considered
+// live. While boxes disagree on that set, two of them may run the review, or for a moment none.
 func ownerOf(id string, live []string) string {
 	var owner string
 	var highest uint64
@@ -115,7 +116,7 @@
 	return owner
 }
 
-// runOne runs a review and states its end.
+// runOne runs a review and appends its end.
 func (s *Service) runOne(ctx context.Context, task Task, loc location) {
 	began := time.Now()
 	answer, err := s.execute(ctx, task, loc)
@@ -144,8 +145,8 @@
 	return s.cfg.Run(ctx, task)
 }
 
-// stateEnd appends the end of a review until the log has one, be it this or
-// another box's.
+// appendEnd appends the end of a review, and repeats that until an end from this or another box
+// has been read back from the log.
 func (s *Service) appendEnd(ctx context.Context, kind Kind, meta Meta, answer []byte) {
 	packed, err := pack(answer)
 	if err != nil {
@@ -161,15 +162,15 @@
 	}
 }
 
-// endWait is how long to wait for an appended end to come back from the log
-// before it is appended again. A second one does no harm.
+// endReadTimeout is how long to wait until an appended end is read back from the log before it
+// is appended again. A duplicate is harmless.
 const endReadTimeout = 5 * time.Second
 
 func (s *Service) confirmEnd(ctx context.Context, meta Meta) bool {
 	ctx, cancel := context.WithTimeout(ctx, endReadTimeout)
 	defer cancel()
-	// The end that comes also ends this run's context, so what AwaitEnd saw last
-	// may be older than it.
+	// Reading the end also cancels this run's context, so AwaitEnd may have returned an earlier
+	// state.
 	_, _ = s.AwaitEnd(ctx, meta.Organisation, meta.ID)
 	found, err := s.Get(meta.Organisation, meta.ID)
 	return errors.Is(err, ErrNotFound) || found.Status.IsFinal()
@@ -189,7 +190,7 @@
 	s.cfg.Logger.Warn().Str("review", id).Str("error", err.Error()).Dur("pause_ms", pause).Msg("review_postponed")
 }
 
-// cancelRun stops the run of a review that has ended. The caller holds mu.
+// cancelRun cancels the run of a review that has ended. The caller holds mu.
 func (s *Service) cancelRun(id string) {
 	delete(s.retries, id)
 	delete(s.warned, id)
@@ -198,9 +199,8 @@
 	}
 }
 
-// atRisk reports whether a waiting review will probably miss its deadline: less
-// than a third of its time is left, or less than what the reviews before it
-// take. The caller holds mu.
+// atRisk reports whether a waiting review will probably miss its deadline: less than a third of
+// its time is left, or less than the time of three average runs. The caller holds mu.
 func (s *Service) atRisk(e *entry, now time.Time) bool {
 	if e.meta.Deadline.IsZero() {
 		return false
@@ -210,7 +210,7 @@
 	return left < whole/riskFactor || left.Seconds() < riskFactor*s.runSeconds
 }
 
-// warn logs each review at risk once.
+// warnAtRisk logs each review at risk once.
 func (s *Service) warnAtRisk() {
 	now := time.Now()
 	s.mu.Lock()
@@ -225,7 +225,7 @@
 	}
 }
 
-// repetition is a content that must be appended again.
+// reappend is a content that must be appended again.
 type reappend struct {
 	kind   Kind
 	meta   Meta
@@ -233,16 +233,16 @@
 	copyOf int64
 }
 
-// maxRepetitions bounds the contents that are appended again in one look.
+// maxReappends bounds the contents that are appended again in one pass of the loop.
 const maxReappends = 16
 
-// repeatDue appends again what would expire, as far as it falls to this box, and
-// forgets what is no longer needed.
+// reappendDue appends copies of the contents that would expire, if this box owns the review,
+// and removes reviews that are no longer needed.
 func (s *Service) reappendDue(ctx context.Context) {
 	for _, r := range s.selectReappends() {
 		content, err := s.readPacked(ctx, r)
 		if err != nil {
-			continue // tried again at the next look
+			continue // retried in the next pass of the loop
 		}
 		if err := s.append(ctx, split(r.kind, r.meta, r.copyOf, content)); err == nil {
 			s.mu.Lock()
@@ -286,7 +286,7 @@
 	}
 }
 
-// packedContent reads a content that is to be appended again.
+// readPacked reads a content that must be appended again, and compresses it.
 func (s *Service) readPacked(ctx context.Context, r reappend) ([]byte, error) {
 	if !r.source.isSet() {
 		return nil, nil
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -18,51 +18,52 @@
 
 // Errors of the service.
 var (
-	// ErrNotAccepted says that the review is certainly not in the log.
-	ErrNotAccepted = merry.Sentinel("the log service does not take reviews now")
-	// ErrOutcomeUnknown says that the review may have been accepted.
-	ErrOutcomeUnknown = merry.Sentinel("whether the review was accepted is not known")
-	// ErrNotReady says that the log has not been read to its end yet.
-	ErrNotReady = merry.Sentinel("the reviews are not read back yet")
-	// ErrNotFound says that the organisation has no such review.
-	ErrNotFound = merry.Sentinel("there is no such review")
-	// ErrIDReused says that the name belongs to another request.
-	ErrIDReused = merry.Sentinel("another review has this name")
-	// ErrTooLarge says that the request does not fit the log.
+	// ErrNotAccepted means that the review is certainly not in the log.
+	ErrNotAccepted = merry.Sentinel("the log service did not accept the review")
+	// ErrOutcomeUnknown means that the review, or a decision on it, may have reached the log.
+	ErrOutcomeUnknown = merry.Sentinel("it is unknown whether the log accepted the record")
+	// ErrNotReady means that the log has not been read to its end yet.
+	ErrNotReady = merry.Sentinel("the reviews have not been read from the log yet")
+	// ErrNotFound means that the organisation has no such review.
+	ErrNotFound = merry.Sentinel("review not found")
+	// ErrIDReused means that a different request has the same ID.
+	ErrIDReused = merry.Sentinel("a different request has the same review ID")
+	// ErrTooLarge means that the request does not fit into the log.
 	ErrTooLarge = merry.Sentinel("the review is too large")
 )
 
-// Config sets up a Service.
+// Config configures a Service.
 type Config struct {
 	Log    logservice.Log
 	Logger zerolog.Logger
-	// BoxName names this entry box; LiveBoxes lists the boxes believed to be live.
+	// BoxName is the name of this entry box; LiveBoxes returns the boxes considered live.
 	BoxName   string
 	LiveBoxes func() []string
-	// Retention is for how long the log keeps records at least.
+	// Retention is the minimum time for which the log keeps records.
 	Retention time.Duration
-	// ResultRetention gives for how long an ended review can be fetched.
+	// ResultRetention returns how long an ended review can be fetched.
 	ResultRetention func() time.Duration
-	// Run answers a review. It is called on a goroutine of its own.
+	// Run runs a review. It is called in a new goroutine.
 	Run Runner
-	// MaxParallel gives how many reviews this box runs at once.
+	// MaxParallel returns how many reviews this box may run at once.
 	MaxParallel func() int
-	// Interval is the time between two looks at what is to be done.
+	// Interval bounds the time between two passes of the loop that starts runs and appends
+	// copies; a new record in the log also starts a pass.
 	Interval time.Duration
-	// PollWait is how long a read may wait at the log.
+	// PollWait is how long the log may hold a read open while it waits for a new record.
 	PollWait time.Duration
 }
 
-// Runner answers one review. An error that is Permanent ends the review as
-// failed; any other has it tried again later.
+// Runner runs one review. A PermanentError ends the review as failed; after any other error it
+// is retried later.
 type Runner func(ctx context.Context, task Task) (answer []byte, err error)
 
-// Task is a review to be answered.
+// Task is a review to run.
 type Task struct {
 	Meta Meta
-	// Request is the body as the caller's protocol has it.
+	// Request is the request body in the caller's protocol.
 	Request []byte
-	// Urgent says that the review should no longer give way to others.
+	// Urgent means that the review should no longer yield to other requests.
 	Urgent bool
 }
 
@@ -74,10 +75,10 @@
 // Error implements the error interface.
 func (e *PermanentError) Error() string { return e.Reason }
 
-// DefaultInterval is the Interval where none is given.
+// DefaultInterval is the default of Config.Interval.
 const DefaultInterval = 250 * time.Millisecond
 
-// Service keeps the reviews of a deployment.
+// Service stores and runs the reviews of a deployment.
 type Service struct {
 	cfg  Config
 	tail *tail.Tail
@@ -87,16 +88,16 @@
 	mu         sync.Mutex
 	table      *reviewTable
 	ready      bool
-	changed    chan struct{} // closed and replaced whenever the log brings news
+	changed    chan struct{} // closed and replaced after each record of the log
 	running    map[string]*run
 	retries    map[string]retry
 	warned     map[string]bool
-	runSeconds float64 // learnt time of a run
+	runSeconds float64 // moving average of the time of a run
 	workers    sync.WaitGroup
 	reappends  int64
 }
 
-// New makes a service; it does nothing before Start.
+// New creates a service; it is inactive until Start.
 func New(cfg Config) *Service {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
@@ -110,23 +111,23 @@
 	return s
 }
 
-// Start follows the log and runs reviews until Close.
+// Start reads the log and runs reviews until Close.
 func (s *Service) Start() {
 	s.workers.Go(func() { s.tail.Loop(s.ctx) })
 	s.workers.Go(func() { s.loop(s.ctx) })
 }
 
-// Close ends the service. Reviews that run here are run anew elsewhere.
+// Close stops the service. Reviews that were running here start again on other boxes.
 func (s *Service) Close() {
 	s.stop()
 	s.workers.Wait()
 }
 
-// drainTick is how often Drain looks whether all runs have ended.
+// drainPollInterval is how often Drain checks whether all runs have ended.
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain waits until the reviews that run here have ended, or ctx ends. No new
-// one begins meanwhile if MaxParallel gives 0.
+// Drain waits until the reviews that run on this box have ended, or until ctx ends. No new run
+// starts meanwhile if MaxParallel returns 0.
 func (s *Service) Drain(ctx context.Context) {
 	for s.State().Running > 0 && ctx.Err() == nil {
 		waiting.For(ctx, drainPollInterval)
@@ -145,9 +146,9 @@
 	s.changed = make(chan struct{})
 }
 
-// Restart implements tail.Sink. All that is still needed was appended again in
-// time, so reading on from the earliest held record finds it; what was known
-// stays known.
+// Restart implements tail.Sink. Everything that is still needed was appended again before it
+// expired, so reading from the earliest stored record finds it, and the reviews in memory stay
+// valid.
 func (s *Service) Restart(int64, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,8 +163,8 @@
 	s.ready = true
 }
 
-// Accept makes a review durable. It returns once the log has it, in order; the
-// review may by then have been accepted before under the same name.
+// Accept writes a review to the log and returns after it was read back in log order. If the
+// same review was accepted before under the same ID, it returns that one.
 func (s *Service) Accept(ctx context.Context, meta Meta, request []byte) (Review, error) {
 	packed, err := pack(request)
 	if err != nil {
@@ -187,7 +188,7 @@
 	return s.ready
 }
 
-// sameAs gives the review that already has a name.
+// findSame returns the accepted review with the same ID, organisation and request.
 func (s *Service) findSame(meta Meta) (Review, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,9 +202,9 @@
 	return s.describe(e), nil
 }
 
-// append adds records one after the other. Only a first one that was not taken
-// proves that nothing is there; the fold wants all parts, so the rest of a
-// content that cannot be finished is never acted upon.
+// append appends records one after the other. Only a rejected first record proves that nothing
+// is in the log. A content takes effect only when all its parts are in the log, so the parts of
+// one that cannot be finished are ignored.
 func (s *Service) append(ctx context.Context, records []Record) error {
 	for _, record := range records {
 		data, err := record.encode()
@@ -215,15 +216,15 @@
 		case errors.Is(err, logservice.ErrNotTaken):
 			return ErrNotAccepted
 		case err != nil && record.PartIndex < record.PartCount-1:
-			return ErrNotAccepted // the parts after this one were never sent
+			return ErrNotAccepted // the parts after this one are not sent
 		case err != nil:
-			return nil // await sees whether it got there
+			return nil // the caller waits to read the record back
 		}
 	}
 	return nil
 }
 
-// await waits until the log brings the review of a name.
+// awaitAccepted waits until the review with this ID has been read from the log.
 func (s *Service) awaitAccepted(ctx context.Context, meta Meta) (Review, error) {
 	for {
 		s.mu.Lock()
@@ -241,7 +242,7 @@
 	}
 }
 
-// content reads the parts of a content out of the log.
+// readContent reads the parts of a content from the log and decompresses it.
 func (s *Service) readContent(ctx context.Context, loc location) ([]byte, error) {
 	var packed bytes.Buffer
 	for _, offset := range loc.offsets {
@@ -252,7 +253,7 @@
 			return nil, err
 		}
 		if len(page.Records) == 0 {
-			return nil, merry.Errorf("the log no longer has record %d", offset)
+			return nil, merry.Errorf("record %d has expired from the log", offset)
 		}
 		record, err := decode(page.Records[0].Data)
 		if err != nil {
@@ -263,5 +264,5 @@
 	return unpack(packed.Bytes())
 }
 
-// readTries bounds the tries to read one record.
+// readTries bounds the attempts to read one record.
 const readTries = 3
--- a/internal/review/state.go
+++ b/internal/review/state.go
@@ -17,7 +17,7 @@
 // State is the part of a state dump that describes the reviews.
 type State struct {
 	Ready bool `json:"ready"`
-	// Known counts all reviews that are remembered, Running those of this box.
+	// Known counts all reviews in memory, Running those that run on this box.
 	Known   int   `json:"known"`
 	Running int   `json:"running"`
 	AtRisk  int   `json:"at_risk"`
@@ -28,7 +28,7 @@
 	Waiting       []WaitingState `json:"waiting"`
 }
 
-// State describes the reviews as they are now.
+// State describes the current reviews.
 func (s *Service) State() State {
 	waiting := s.Waiting()
 	s.mu.Lock()
