--- a/internal/configlog/apply.go
+++ b/internal/configlog/apply.go
@@ -13,11 +13,11 @@
 	"github.com/cometlock/cometlock/internal/logservice"
 )
 
-// ConflictError says that another change came first.
+// ConflictError means that another change came first.
 type ConflictError struct {
-	// Version is the version that beat this one.
+	// Version is the version in force.
 	Version int64
-	// ApplyID is the apply that made it, as far as it is known.
+	// ApplyID identifies the apply operation that created Version; empty if unknown.
 	ApplyID string
 }
 
@@ -29,27 +29,27 @@
 	return fmt.Sprintf("another change came first: version %d by apply %s is in force", e.Version, e.ApplyID)
 }
 
-// ErrOutcomeUnknown says that the log gave no answer and that the change was not
-// found in it yet: it may still appear.
+// ErrOutcomeUnknown means that the change was not read back from the log in time: it may still
+// appear.
 var ErrOutcomeUnknown = merry.Sentinel("the log service gave no answer; whether the change will take effect is unknown")
 
-// ErrNoChange says that the file says what is already in force.
-var ErrNoChange = merry.Sentinel("the file says what is in force already")
+// ErrNoChange means that the file equals the configuration in force.
+var ErrNoChange = merry.Sentinel("the file equals the configuration in force")
 
-// ApplyConfig sets up one Apply.
+// ApplyConfig configures one Apply.
 type ApplyConfig struct {
 	Log logservice.Log
-	// ApplyID names this apply; it must be new.
+	// ApplyID identifies this apply operation; it must be unique.
 	ApplyID string
-	// BaseVersion, when set, is the version that the operator planned against; any
-	// other version in force is refused.
+	// BaseVersion, if set, is the version that the operator's plan is based on; if another
+	// version is in force, Apply fails.
 	BaseVersion *int64
-	// ReadBackTimeout is how long to look for a change whose append got no answer.
+	// ReadBackTimeout bounds the time to read the change back from the log after its append.
 	ReadBackTimeout time.Duration
 }
 
-// Apply puts a whole file into force and gives its version. "Accepted" is said
-// only after the record was read back from the log, in order.
+// Apply makes a whole file the configuration in force and returns its version. It reports
+// success only after the record was read back from the log, in order.
 func Apply(ctx context.Context, cfg ApplyConfig, file *config.File) (int64, error) {
 	reader := NewReader(cfg.Log)
 	if err := reader.CatchUp(ctx); err != nil {
@@ -85,9 +85,9 @@
 	return Record{Kind: KindChange, ApplyID: applyID, BaseVersion: state.Version, Change: change, Digest: target.Digest()}, nil
 }
 
-// readBack reads on from the state the change was made against until the fold
-// meets it, or a change that beats it. An append without an answer is looked for
-// but never sent again: it may be in the log already, or still on its way.
+// readBack reads the log from the state that the change was based on until the change or one
+// that conflicts with it was applied. An append without a response is never retried: its record
+// may already be in the log, or may still arrive.
 func readBack(ctx context.Context, cfg ApplyConfig, reader *Reader) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, cfg.ReadBackTimeout)
 	defer cancel()
@@ -107,18 +107,18 @@
 	return search.result()
 }
 
-// Pace of looking for a change in the log.
+// Wait of each read, and delay between two reads, while a change is read back.
 const (
 	pollWait  = 100 * time.Millisecond
 	pollDelay = 50 * time.Millisecond
 )
 
-// search looks for one apply among the records of the stream.
+// applySearch searches the records of the stream for one apply operation.
 type applySearch struct {
 	applyID string
 	verdict Verdict
 	offset  int64
-	// winner is the first other change accepted before the verdict.
+	// winner is the first other change that was accepted before the verdict.
 	winner ConflictError
 }
 
@@ -139,19 +139,19 @@
 	case Conflict:
 		return 0, &s.winner
 	default:
-		return 0, merry.Errorf("the log holds the change in a damaged form, at offset %d", s.offset)
+		return 0, merry.Errorf("the record of the change at offset %d of the log is corrupt", s.offset)
 	}
 }
 
-// AppendCheckpoint writes a checkpoint of a state. Two processes may write the
-// same one: a reader takes either.
+// AppendCheckpoint appends a checkpoint of a state. If two processes append the same one,
+// readers can use either.
 func AppendCheckpoint(ctx context.Context, log logservice.Log, state State) error {
 	data, err := state.Checkpoint().Encode()
 	if err != nil {
 		return err
 	}
 	if len(data) > logservice.MaxRecordBytes {
-		return merry.Errorf("a checkpoint of %d bytes does not fit a record", len(data))
+		return merry.Errorf("a checkpoint of %d bytes does not fit into a record", len(data))
 	}
 	_, err = log.Append(ctx, Stream, data)
 	return err
--- a/internal/configlog/configlog_test.go
+++ b/internal/configlog/configlog_test.go
@@ -38,13 +38,13 @@
 		name    string
 		faults  fakelog.Faults
 		wantErr error
-		// wantAfter is what is in force once all has settled.
+		// wantAfter is the configuration in force after the last delayed append.
 		wantAfter string
 	}{
 		{name: "no fault", wantAfter: "new"},
-		{name: "the answer is lost after the write", faults: fakelog.Faults{LoseAnswers: 1}, wantAfter: "new"},
+		{name: "the response is lost after the write", faults: fakelog.Faults{LoseAnswers: 1}, wantAfter: "new"},
 		{name: "the write takes effect late", faults: fakelog.Faults{LateAppends: 1, Delay: 2 * time.Second}, wantAfter: "new"},
-		{name: "the write takes effect after we stopped looking", faults: fakelog.Faults{LateAppends: 1, Delay: 20 * time.Second}, wantErr: configlog.ErrOutcomeUnknown, wantAfter: "new"},
+		{name: "the write takes effect after the read-back timeout", faults: fakelog.Faults{LateAppends: 1, Delay: 20 * time.Second}, wantErr: configlog.ErrOutcomeUnknown, wantAfter: "new"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 				}
 				time.Sleep(time.Minute)
 				g.Expect(deploymentOf(g, log)).To(Equal(c.wantAfter))
-				g.Expect(log.Appends()).To(Equal(int64(2)), "an append without an answer is never sent again")
+				g.Expect(log.Appends()).To(Equal(int64(2)), "an append without a response is never retried")
 			})
 		})
 	}
@@ -79,7 +79,7 @@
 	g.Expect(log.Appends()).To(BeZero())
 }
 
-// racing delays every append until all racers have read the version in force.
+// racing delays every append until all operators have read the version in force.
 type racing struct {
 	logservice.Log
 	ready *sync.WaitGroup
@@ -116,16 +116,16 @@
 			if err == nil {
 				continue
 			}
-			beaten, ok := errors.AsType[*configlog.ConflictError](err)
+			conflict, ok := errors.AsType[*configlog.ConflictError](err)
 			g.Expect(ok).To(BeTrue(), "got %v", err)
-			g.Expect(beaten.ApplyID).To(Equal("apply-" + winner))
+			g.Expect(conflict.ApplyID).To(Equal("apply-" + winner))
 		}
 		g.Expect(deploymentOf(g, log)).To(Equal("file-" + winner))
 	})
 }
 
-// A reader that starts at a checkpoint must still fold what came between the
-// offset the checkpoint speaks of and the checkpoint itself.
+// A reader that starts from a checkpoint must still apply the records between the checkpoint's
+// "as of" offset and the checkpoint itself.
 func TestCheckpointDoesNotRevertWhatCameBeforeIt(t *testing.T) {
 	g := NewWithT(t)
 	log := fakelog.New()
@@ -143,10 +143,10 @@
 
 	log.Expire(configlog.Stream, 2)
 	fresh := configlog.NewReader(log)
-	g.Expect(fresh.CatchUp(ctx)).To(MatchError(configlog.ErrNoCheckpoint), "the change after the checkpoint's offset is gone")
+	g.Expect(fresh.CatchUp(ctx)).To(MatchError(configlog.ErrNoCheckpoint), "the change after the checkpoint's \"as of\" offset has expired")
 }
 
-func TestAdoptNeverGoesBack(t *testing.T) {
+func TestSnapshotsNeverDecreaseTheVersion(t *testing.T) {
 	g := NewWithT(t)
 	log := fakelog.New()
 	ctx := context.Background()
@@ -166,12 +166,12 @@
 	forged := state
 	forged.Version, forged.ReadTo = 99, 99
 	forged.Entries = old.Entries
-	g.Expect(behind.ApplySnapshot(forged)).To(BeFalse(), "a state that does not match its digest is refused")
+	g.Expect(behind.ApplySnapshot(forged)).To(BeFalse(), "a state that does not match its digest is rejected")
 }
 
-// A box that has lost the thread of the log keeps its version in force, also when
-// a peer that is further behind offers its own.
-func TestAdoptNeverGoesBackAfterTheThreadOfTheLogIsLost(t *testing.T) {
+// A box that has missed expired records keeps its version in force, even when a peer with an
+// older version sends its state.
+func TestSnapshotsNeverDecreaseTheVersionAfterALogGap(t *testing.T) {
 	g := NewWithT(t)
 	log := fakelog.New()
 	ctx := context.Background()
@@ -195,7 +195,7 @@
 	g.Expect(state.Version).To(Equal(int64(1)))
 }
 
-func TestLargeRecordsArePacked(t *testing.T) {
+func TestLargeRecordsAreCompressed(t *testing.T) {
 	g := NewWithT(t)
 	entries := config.Entries{}
 	for i := range 10_000 {
@@ -207,9 +207,9 @@
 	g.Expect(len(data)).To(BeNumerically("<", logservice.MaxRecordBytes))
 	record, err := configlog.Decode(data)
 	g.Expect(err).NotTo(HaveOccurred())
-	adopted, whole := record.CheckpointState()
-	g.Expect(whole).To(BeTrue())
-	g.Expect(adopted).To(Equal(state))
+	decoded, valid := record.CheckpointState()
+	g.Expect(valid).To(BeTrue())
+	g.Expect(decoded).To(Equal(state))
 }
 
 func FuzzDecode(f *testing.F) {
@@ -220,8 +220,8 @@
 	f.Add(data)
 	f.Add([]byte{1, 0, 0})
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		// Whatever the bytes are, folding them neither fails nor accepts a
-		// change whose digest does not match.
+		// For arbitrary bytes, Fold must not panic or accept a change whose digest does not
+		// match.
 		state, verdict := configlog.Fold(configlog.EmptyState(), 0, data)
 		if verdict == configlog.Accepted && !state.Valid() {
 			panic("accepted a change that does not match its digest")
--- a/internal/configlog/fold.go
+++ b/internal/configlog/fold.go
@@ -6,12 +6,12 @@
 	"github.com/cometlock/cometlock/internal/config"
 )
 
-// State is the result of folding the stream up to an offset. It is a value:
-// folding gives a new one.
+// State is the result of applying the stream's records up to an offset. It is a value: Fold
+// returns a new one.
 type State struct {
-	// Version is the offset of the change in force; config.NoVersion at first.
+	// Version is the offset of the change in force; config.NoVersion before the first change.
 	Version int64 `msgpack:"v"`
-	// ReadTo is the offset of the last folded record; -1 at first.
+	// ReadTo is the offset of the last applied record; -1 before the first one.
 	ReadTo int64 `msgpack:"r"`
 	// Digest is the digest of Entries.
 	Digest config.Digest `msgpack:"d"`
@@ -19,27 +19,27 @@
 	Entries config.Entries `msgpack:"e"`
 }
 
-// EmptyState is the state before the first record of the stream.
+// EmptyState returns the state before the first record of the stream.
 func EmptyState() State {
 	return State{Version: config.NoVersion, ReadTo: -1, Digest: config.Entries{}.Digest()}
 }
 
-// Verdict says what the fold made of a record.
+// Verdict is the result of applying a record.
 type Verdict uint8
 
 const (
 	// Accepted means that the change is now in force.
 	Accepted Verdict = iota + 1
-	// Conflict means that another change came first; the record is void.
+	// Conflict means that another change came first; the record has no effect.
 	Conflict
-	// Corrupt means that the record does not give the digest it names, or is
-	// no record at all; it is void.
+	// Corrupt means that the record cannot be decoded, or that its change does not result in
+	// its digest; it has no effect.
 	Corrupt
-	// Skipped means that the record was folded before, or changes nothing.
+	// Skipped means that the record was already applied or is a checkpoint.
 	Skipped
 )
 
-// String names the verdict for logs.
+// String returns the verdict's name for logs.
 func (v Verdict) String() string {
 	switch v {
 	case Accepted:
@@ -55,9 +55,8 @@
 	}
 }
 
-// Fold gives the state after the record at an offset. It is a pure function;
-// every process must come to the same result, so nothing but its arguments may
-// have a say.
+// Fold returns the state after the record at an offset. It is a pure function: every process
+// must reach the same result, so the result depends only on the arguments.
 func Fold(state State, offset int64, data []byte) (State, Verdict) {
 	if offset <= state.ReadTo {
 		return state, Skipped
@@ -81,7 +80,8 @@
 	return State{Version: offset, ReadTo: offset, Digest: digest, Entries: entries}, Accepted
 }
 
-// CheckpointState gives the state that a checkpoint states, if its content is whole.
+// CheckpointState returns the state in a checkpoint, and false if its content does not match
+// its digest.
 func (r Record) CheckpointState() (State, bool) {
 	if r.Kind != KindCheckpoint || r.Entries.Digest() != r.Digest {
 		return State{}, false
@@ -89,11 +89,11 @@
 	return State{Version: r.Version, ReadTo: r.AsOf, Digest: r.Digest, Entries: r.Entries}, true
 }
 
-// Checkpoint gives the record that states this state.
+// Checkpoint returns a checkpoint of the state.
 func (s State) Checkpoint() Record {
 	return Record{Kind: KindCheckpoint, Version: s.Version, AsOf: s.ReadTo, Digest: s.Digest, Entries: s.Entries}
 }
 
-// Valid reports whether the content matches its digest, which is checked of
-// every state that another process sends.
+// Valid reports whether the content matches its digest. It is checked for every state that
+// another process sends.
 func (s State) Valid() bool { return s.Entries.Digest() == s.Digest }
--- a/internal/configlog/history_test.go
+++ b/internal/configlog/history_test.go
@@ -17,8 +17,8 @@
 	"github.com/cometlock/cometlock/internal/rapidtest"
 )
 
-// naive is a single copy of the configuration that never forgets a record: the
-// version in force after each offset, computed the long way round with maps.
+// referenceModel is a naive single copy of the configuration that keeps every record: it holds
+// the version in force and the content after each offset, computed with maps.
 type referenceModel struct {
 	versions []int64
 	contents []map[string]string
@@ -51,15 +51,15 @@
 	return content
 }
 
-// history drives operators, boxes and the log through one random history.
+// history runs operators, boxes and the log through one random history.
 type history struct {
 	log   *fakelog.Log
 	model referenceModel
 	boxes []*configlog.Reader
-	// highest is the highest version each box, or its replacement, had in force
-	// since it was last without any state.
+	// highest is the highest version that each box has had in force since it was last started
+	// without a state.
 	highest []int64
-	// drafts are changes that operators prepared and have not appended yet.
+	// drafts are changes that operators have prepared but not appended.
 	drafts []configlog.Record
 	faults int
 }
@@ -81,7 +81,7 @@
 	h.model.apply(offset, record)
 }
 
-// prepare has an operator read the log through a box and draft a change.
+// draftChange reads the log through a box and drafts a change based on its state.
 func (h *history) draftChange(t *rapid.T) {
 	box := h.box(t)
 	if _, err := box.Poll(context.Background(), 0, nil); err != nil {
@@ -118,8 +118,8 @@
 	}
 }
 
-// expire drops records, as far as the boxes' checkpoints allow it and now and
-// then further: then nothing but peers helps a box that is new.
+// expire removes records, sometimes more than the checkpoints replace; then a new box can only
+// get the state from a peer.
 func (h *history) expire(t *rapid.T) {
 	h.faults++
 	h.log.Expire(configlog.Stream, int64(rapid.IntRange(0, len(h.model.versions)).Draw(t, "before")))
@@ -135,7 +135,7 @@
 	}
 }
 
-// replace has a box start again with nothing, as diskless boxes do.
+// replace restarts a box without any state, as diskless boxes do.
 func (h *history) replace(t *rapid.T) {
 	h.faults++
 	at := rapid.IntRange(0, len(h.boxes)-1).Draw(t, "box")
@@ -143,14 +143,14 @@
 	h.highest[at] = config.NoVersion
 }
 
-// tell has one box take over the state of another.
+// shareState sends the state of one box to another.
 func (h *history) shareState(t *rapid.T) {
 	if state, known := h.box(t).State(); known {
 		h.box(t).ApplySnapshot(state)
 	}
 }
 
-// check holds each box against the naive copy.
+// check compares each box with the reference model.
 func (h *history) check(t *rapid.T) {
 	for i, box := range h.boxes {
 		state, known := box.State()
@@ -162,10 +162,10 @@
 		}
 		h.highest[i] = state.Version
 		if want := h.model.versions[state.ReadTo]; state.Version != want {
-			t.Fatalf("box %d has version %d as of %d, the naive copy has %d", i, state.Version, state.ReadTo, want)
+			t.Fatalf("box %d has version %d as of %d, the reference model has %d", i, state.Version, state.ReadTo, want)
 		}
 		if want := h.model.contents[state.ReadTo]; !maps.Equal(contentOf(state), want) {
-			t.Fatalf("box %d has another content as of %d", i, state.ReadTo)
+			t.Fatalf("box %d has different content as of %d", i, state.ReadTo)
 		}
 	}
 }
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -10,32 +10,34 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrNoCheckpoint says that records before the earliest held one are missing
-// and that no checkpoint in the log makes up for them.
-var ErrNoCheckpoint = merry.Sentinel("the log holds neither the whole stream nor a usable checkpoint")
+// ErrNoCheckpoint means that records before the earliest one stored have expired and that no
+// checkpoint in the log replaces them.
+var ErrNoCheckpoint = merry.Sentinel("the log contains neither the whole stream nor a usable checkpoint")
 
-// Reader follows the configuration stream. It is not safe for concurrent use.
+// Reader reads the configuration stream and applies its records. It is not safe for concurrent
+// use.
 type Reader struct {
 	log   logservice.Log
 	state State
-	// known is false until the state is the fold of the stream from its
-	// beginning, of a checkpoint, or of what a peer sent.
+	// hasState is false until the state was derived from the beginning of the stream, from a
+	// checkpoint, or from a snapshot of a peer.
 	hasState bool
-	// next is the offset to read next.
-	next int64
-	// pending holds the records that wait for a checkpoint to build on.
+	next     int64
+	// pending holds the records read before a usable checkpoint.
 	pending []logservice.Record
 }
 
-// NewReader makes a reader that knows nothing yet.
+// NewReader creates a reader without a state.
 func NewReader(log logservice.Log) *Reader { return &Reader{log: log, state: EmptyState()} }
 
-// State gives the folded state and whether it is known yet.
+// State returns the state, and whether further records can be applied to it: not before the
+// first read, and not after records expired unread until a checkpoint or snapshot replaces the
+// state.
 func (r *Reader) State() (State, bool) { return r.state, r.hasState }
 
-// ApplySnapshot takes over the state of a peer if it is whole and newer, and reports
-// whether it did. A version never goes back, also while this reader has lost
-// the thread of the log and is waiting for a checkpoint.
+// ApplySnapshot replaces the state with that of a peer if the peer's is valid and newer, and
+// reports whether it did. The version never decreases, not even while this reader has missed
+// expired records and waits for a checkpoint.
 func (r *Reader) ApplySnapshot(state State) bool {
 	if !state.Valid() || state.Version < r.state.Version {
 		return false
@@ -49,15 +51,15 @@
 	return true
 }
 
-// Event is what the fold made of one record; checkpoints are skipped ones.
+// Event is the result of applying one record. Checkpoints are skipped.
 type Event struct {
 	Offset  int64
 	Verdict Verdict
 	Record  Record
 }
 
-// Poll reads what is new, waiting up to wait for a first record, and folds it.
-// It reports whether it has reached the end of the stream.
+// Poll reads new records, waits up to wait for the first one, and applies them. It reports
+// whether it has reached the end of the stream.
 func (r *Reader) Poll(ctx context.Context, wait time.Duration, each func(Event)) (atEnd bool, err error) {
 	page, err := r.log.Read(ctx, Stream, logservice.ReadOptions{From: r.next, Wait: wait})
 	if expired, ok := errors.AsType[*logservice.ExpiredError](err); ok {
@@ -68,8 +70,8 @@
 		return false, err
 	}
 	if page.Next < r.next {
-		// The log is shorter than what was read of it: this is not the log
-		// that the state came from, and nothing in it can be trusted.
+		// The log is shorter than the part already read. It is not the log that the state was
+		// derived from, so none of its records can be used.
 		return false, ErrNoCheckpoint
 	}
 	if !r.hasState && r.next == 0 {
@@ -86,9 +88,9 @@
 	return atEnd, nil
 }
 
-// restart begins again at the earliest held record. What was known stays in
-// force until a checkpoint gives something newer, but it can no longer be built
-// upon: changes between it and the earliest held record are lost to this reader.
+// restartAt continues at the earliest stored record. The state stays in force until a
+// checkpoint provides a newer one, but no record can be applied to it, since this reader has
+// missed the changes between it and the earliest stored record.
 func (r *Reader) restartAt(earliest int64) {
 	r.next = earliest
 	r.pending = nil
@@ -105,20 +107,20 @@
 	if err != nil || checkpoint.Kind != KindCheckpoint {
 		return
 	}
-	// The checkpoint serves only if every record after its "as of" is here:
-	// as of 7 needs record 8 to be the first of the pending ones, or later.
+	// The checkpoint is usable only if every record after its "as of" offset is pending: one as
+	// of 7 needs the first pending record to be record 8 or an earlier one.
 	if checkpoint.AsOf+1 < r.pending[0].Offset {
 		return
 	}
-	state, whole := checkpoint.CheckpointState()
-	if !whole || state.Version < r.state.Version {
+	state, valid := checkpoint.CheckpointState()
+	if !valid || state.Version < r.state.Version {
 		return
 	}
 	r.state, r.hasState = state, true
 	pending := r.pending
 	r.pending = nil
-	for _, held := range pending {
-		r.fold(held, each)
+	for _, waiting := range pending {
+		r.fold(waiting, each)
 	}
 }
 
@@ -138,7 +140,7 @@
 	each(Event{Offset: record.Offset, Verdict: verdict, Record: decoded})
 }
 
-// CatchUp polls to the end of the stream.
+// CatchUp polls until the end of the stream.
 func (r *Reader) CatchUp(ctx context.Context) error {
 	for {
 		atEnd, err := r.Poll(ctx, 0, nil)
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -1,22 +1,19 @@
-// Package configlog turns the records of the platform's log into the version
-// of the configuration that is in force.
-//
-// The order of records in the log decides everything. Each change names the
-// version it was made against; the fold drops a change whose base is not the
-// version in force, so of two operators who race, exactly one wins, and every
-// process that reads the log comes to the same result without talking to any
-// other.
+// Package configlog derives the configuration in force from the records of the platform's log.
+// Changes use optimistic concurrency control, and the order of records in the log is the only
+// arbiter. Each change contains the version that it was based on; a change whose base is not
+// the version in force is rejected. Of two operators who race, exactly one succeeds, and every
+// process that reads the log reaches the same result without communicating with the others.
 //
 //	offset  record                 version in force after it
 //	0       change, base -1        0
 //	1       change, base 0 (Ann)   1
-//	2       change, base 0 (Ben)   1   void: Ann's change came first
-//	3       checkpoint as of 2     1   says what the fold of 0..2 gave
+//	2       change, base 0 (Ben)   1   rejected: Ann's change came first
+//	3       checkpoint as of 2     1   contains the state after records 0..2
 //
-// Records expire. A checkpoint lets a reader start without the records before
-// it, but only while the log still holds the record after the checkpoint's
-// "as of" offset, and the reader then folds everything from there: what came
-// between "as of" and the checkpoint's own offset counts like any other record.
+// Records expire. A reader can start from a checkpoint without the records before it, but only
+// while the log still stores the record after the checkpoint's "as of" offset. The reader then
+// applies all records from there: those between "as of" and the checkpoint's own offset count
+// like any others.
 package configlog
 
 import (
@@ -31,49 +28,51 @@
 // Stream is the name of the configuration stream in the log.
 const Stream = "config"
 
-// Kind tells the kinds of records apart.
+// Kind is the kind of a record.
 type Kind uint8
 
 const (
-	// KindChange is an operator's change against a base version.
+	// KindChange is an operator's change based on a version.
 	KindChange Kind = 1
-	// KindCheckpoint states the whole configuration as of an offset.
+	// KindCheckpoint contains the whole configuration as of an offset.
 	KindCheckpoint Kind = 2
 )
 
 // Record is one entry of the configuration stream.
 type Record struct {
 	Kind Kind `msgpack:"k"`
-	// ApplyID names the operator's apply, so that a lost answer can be looked up.
+	// ApplyID identifies the apply operation, so that its change can be found in the log if the
+	// append returned no response.
 	ApplyID string `msgpack:"a,omitempty"`
-	// BaseVersion is the version that a change was made against.
+	// BaseVersion is the version that a change was based on.
 	BaseVersion int64 `msgpack:"b"`
-	// Change is what a change alters.
+	// Change holds the entries that a change sets and removes.
 	Change config.Change `msgpack:"c"`
-	// Digest is the digest of the whole result.
+	// Digest is the digest of the whole configuration after the change.
 	Digest config.Digest `msgpack:"d"`
-	// Version, AsOf and Entries belong to a checkpoint: the version in force
-	// after folding the record at AsOf, and its content.
+	// Version, AsOf and Entries are set in checkpoints: the version in force after the record
+	// at AsOf, and its content.
 	Version int64          `msgpack:"v,omitempty"`
 	AsOf    int64          `msgpack:"o,omitempty"`
 	Entries config.Entries `msgpack:"e,omitempty"`
 }
 
-// The first byte of an encoded record says how the rest is packed. Checkpoints
-// of 10,000 organisations would not fit a log record unpacked.
+// The first byte of an encoded record identifies its compression. Without compression,
+// checkpoints of 10,000 organisations would not fit into a log record.
 const (
 	encodingPlain byte = 0
 	encodingZstd  byte = 1
 )
 
-// packAbove is the size in bytes from which packing is worth its time.
+// compressAbove is the size, in bytes, from which records are compressed; for smaller ones
+// compression is not worth its time.
 const compressAbove = 16 << 10
 
-// maxUnpackedBytes bounds what a record may unpack to, so that a damaged record
-// cannot fill the memory.
+// maxDecompressedBytes bounds the size of a record after decompression, so that a corrupt
+// record cannot exhaust the memory.
 const maxDecompressedBytes = 64 << 20
 
-// Encode gives the bytes for the log.
+// Encode encodes the record for the log.
 func (r Record) Encode() ([]byte, error) {
 	data, err := msgpack.Marshal(&r)
 	if err != nil {
@@ -89,11 +88,11 @@
 	return encoder.EncodeAll(data, []byte{encodingZstd}), nil
 }
 
-// Decode reads the bytes of a log record.
+// Decode decodes a record of the log.
 func Decode(data []byte) (Record, error) {
 	data, err := decompress(data)
 	if err != nil {
-		return Record{}, merry.Prepend(err, "unpack configuration record")
+		return Record{}, merry.Prepend(err, "decompress configuration record")
 	}
 	var record Record
 	if err := safepack.Unmarshal(data, &record); err != nil {
