--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Defaults of the settings that a file may leave out.
+// Defaults of optional settings.
 const (
 	DefaultBodyBytes              = 8 << 20
 	DefaultQueueLength            = 4096
@@ -21,7 +21,7 @@
 	DefaultMaxPromptTokens        = 128 << 10
 	DefaultParallelLoads          = 2
 	DefaultKVBytesPerToken        = 64 << 10
-	// MaxKeyWindowSeconds is for how long claims are remembered at the most.
+	// MaxKeyWindowSeconds is the longest time for which claims of idempotency keys are stored.
 	MaxKeyWindowSeconds = 2 * 3600
 )
 
@@ -64,8 +64,7 @@
 	}
 }
 
-// sort puts every list in the order of its names, so that files that say the
-// same have the same digest.
+// sortLists sorts every list by name, so that files with the same content have the same digest.
 func (f *File) sortLists() {
 	slices.SortFunc(f.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.Organisations, func(a, b Organisation) int { return cmp.Compare(a.Name, b.Name) })
@@ -86,11 +85,11 @@
 type checker struct {
 	file   *File
 	faults []Fault
-	// names maps the names of each list to where they were first defined.
+	// These maps hold the index of each name in its list.
 	zones, models, servers, services map[string]int
 }
 
-// check finds every fault that the YAML decoder cannot see.
+// check finds the faults that the YAML decoder does not detect.
 func check(file *File) []Fault {
 	c := &checker{file: file}
 	c.checkGlobal()
@@ -298,7 +297,7 @@
 	}
 }
 
-// checkNotRepeatable checks the calls of a plain service that must run at most once.
+// checkNotRepeatable checks the patterns of a plain service's calls that must run at most once.
 func (c *checker) checkNotRepeatable(field string, service PlainService) {
 	for k, call := range service.NotRepeatable {
 		callField := fmt.Sprintf("%s.not_repeatable[%d]", field, k)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
   - {name: r1, zone: a, role: runner, address: '127.0.0.1:9000', models: [m]}
 `
 
-func TestExamplesAreValidAndAtTheSizesOfToday(t *testing.T) {
+func TestExamplesAreValidAndHaveTheExpectedSizes(t *testing.T) {
 	cases := []struct {
 		file                                             string
 		zones, organisations, runners, services, storage int
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestDemoKeysFindTheirOrganisations(t *testing.T) {
+func TestDemoKeysResolveToTheirOrganisations(t *testing.T) {
 	g := NewWithT(t)
 	source, err := os.ReadFile("../../examples/local.yaml")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -90,18 +90,18 @@
 		want   []string
 	}{
 		{"nothing", func(string) string { return "" }, []string{"line 1: the file is empty"}},
-		{"no YAML", func(string) string { return "a: [" }, []string{"line 1: did not find expected node content"}},
+		{"invalid YAML", func(string) string { return "a: [" }, []string{"line 1: did not find expected node content"}},
 		{"an unknown key", replace("region: r", "regon: r"), []string{`line 2: unknown key "regon" in zone`}},
 		{"a wrong type", replace("name: one", "name: one\n    share: many"), []string{"line 5: cannot unmarshal !!str `many` into int"}},
 		{"a model without runner", replace("models: [m]}", "models: [x]}"), []string{
 			`line 6: models[0]: no runner holds "m"`, `line 8: backend_servers[0].models[0]: there is no model "x"`,
 		}},
-		{"a dangling zone", replace("zone: a", "zone: b"), []string{`line 8: backend_servers[0].zone: there is no availability zone "b"`}},
-		{"a host name", replace("127.0.0.1:9000", "localhost:9000"), []string{`line 8: backend_servers[0].address: "localhost:9000" is not an IP address with a port`}},
+		{"an undefined zone", replace("zone: a", "zone: b"), []string{`line 8: backend_servers[0].zone: there is no availability zone "b"`}},
+		{"a host name as address", replace("127.0.0.1:9000", "localhost:9000"), []string{`line 8: backend_servers[0].address: "localhost:9000" is not an IP address with a port`}},
 		{"a negative limit", replace("deployment: test", "deployment: test\nlimits:\n  body_bytes: -1"), []string{"line 3: limits.body_bytes: must be above 0, is -1"}},
-		{"a key window that claims cannot hold", replace("deployment: test", "deployment: test\nlimits:\n  key_window_seconds: 9000"), []string{"line 3: limits.key_window_seconds: must be at most 7200, is 9000"}},
-		{"two names", replace("zones: [", "zones: [{name: a, region: q}, "), []string{`line 2: zones[1].name: "a" is already the name of zones[0]`}},
-		{"two faults far apart", func(s string) string {
+		{"a key window above the limit of claims", replace("deployment: test", "deployment: test\nlimits:\n  key_window_seconds: 9000"), []string{"line 3: limits.key_window_seconds: must be at most 7200, is 9000"}},
+		{"a duplicate name", replace("zones: [", "zones: [{name: a, region: q}, "), []string{`line 2: zones[1].name: "a" is already the name of zones[0]`}},
+		{"several faults", func(s string) string {
 			return replace("name: one", "name: one\n    share: -2")(replace("role: runner", "role: walker")(s))
 		}, []string{
 			"line 5: organisations[0].share: must be above 0, is -2", `line 7: models[0]: no runner holds "m"`, `line 9: backend_servers[0].role: "walker" is not a role`,
@@ -118,7 +118,7 @@
 	}
 }
 
-// routedServices is added to small for the cases of routes.
+// routedServices is appended to small in the cases about routes.
 const routedServices = `  - {name: p1, zone: a, role: plain-service, address: '127.0.0.1:9001'}
 plain_services:
   - {name: shop, servers: [p1]}
@@ -146,15 +146,15 @@
 		{"a host with a port", "name: pages, host: h.example", "name: pages, host: 'h.example:80'", `line 13: routes[0].host: "h.example:80" is not the name of a host without a port`},
 		{"no host", "name: pages, host: h.example", "name: pages", `line 13: routes[0].host: "" is not the name of a host without a port`},
 		{"a path without a slash", "path_prefix: /more/", "path_prefix: more", `line 14: routes[1].path_prefix: "more" does not begin with /`},
-		{"the same place", "host: h.example, path_prefix: /more/", "host: H.example, path_prefix: /", `line 14: routes[1].path_prefix: h.example/ is already the place of "pages"`},
+		{"the same host and prefix", "host: h.example, path_prefix: /more/", "host: H.example, path_prefix: /", `line 14: routes[1].path_prefix: h.example/ is already the place of "pages"`},
 		{"an unknown kind", "kind: repeatable", "kind: idle", `line 13: routes[0].kind: "idle" is not repeatable, once or stream`},
-		{"a page that resumes", "kind: stream", "kind: once", `line 14: routes[1].resumable: only a stream can be resumed`},
+		{"a resumable call that is not a stream", "kind: stream", "kind: once", `line 14: routes[1].resumable: only a stream can be resumed`},
 		{"an unknown priority", "kind: stream", "kind: stream, priority: soon", `line 14: routes[1].priority: "soon" is not a priority`},
 		{"a negative limit", "kind: stream", "kind: stream, time_limit_ms: -1", `line 14: routes[1].time_limit_ms: must be above 0, is -1`},
 		{"no service", "kind: repeatable, splits: [{service: shop}]", "kind: repeatable", `line 13: routes[0].splits: a route needs at least one plain service`},
 		{"an unknown service", "kind: repeatable, splits: [{service: shop}]", "kind: repeatable, splits: [{service: ship}]", `line 13: routes[0].splits[0].service: there is no plain service "ship"`},
 		{"a negative weight", "kind: repeatable, splits: [{service: shop}]", "kind: repeatable, splits: [{service: shop, weight: -1}]", `line 13: routes[0].splits[0].weight: must be above 0, is -1`},
-		{"prompts without a model", "servers: [p1]", "servers: [p1], context_tokens: 1000", `line 11: plain_services[0].servers[0]: "p1" answers prompts and needs at least one model`},
+		{"a service with prompts but no model", "servers: [p1]", "servers: [p1], context_tokens: 1000", `line 11: plain_services[0].servers[0]: "p1" answers prompts and needs at least one model`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -168,7 +168,7 @@
 	return func(s string) string { return strings.Replace(s, from, to, 1) }
 }
 
-func TestEntriesGiveTheFileBack(t *testing.T) {
+func TestFileRoundTripsThroughEntries(t *testing.T) {
 	g := NewWithT(t)
 	source, err := os.ReadFile("../../examples/fjordlinje.yaml")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -181,7 +181,7 @@
 	g.Expect(again).To(Equal(file))
 }
 
-// drawEntries makes entries with few names, so that two sets share many.
+// drawEntries draws entries with few distinct names, so that two sets have many in common.
 func drawEntries(t *rapid.T, label string) config.Entries {
 	values := rapid.MapOf(rapid.StringMatching(`[a-f]`), rapid.StringMatching(`[xyz]`)).Draw(t, label)
 	var entries config.Entries
@@ -193,7 +193,7 @@
 	return entries
 }
 
-func TestApplyingTheDifferenceGivesTheTarget(t *testing.T) {
+func TestApplyingADiffResultsInTheTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawEntries(t, "from"), drawEntries(t, "to")
 		before := from.Digest()
@@ -206,7 +206,7 @@
 	})
 }
 
-func TestRepeatableGoesByWhatAServerMayTakeForTheSamePath(t *testing.T) {
+func TestRepeatableTreatsEquivalentPathsAsEqual(t *testing.T) {
 	g := NewWithT(t)
 	service := config.PlainService{NotRepeatable: []config.Call{{Method: "POST", Path: "/charges"}}}
 	for _, c := range []struct {
--- a/internal/config/entries.go
+++ b/internal/config/entries.go
@@ -12,23 +12,24 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Entry is one independently changing part of a file: a name such as
-// "organisations/studio-nord" and the JSON of that part.
+// Entry is a part of a file that can change independently: a name such as
+// "organisations/studio-nord" and the part as JSON.
 type Entry struct {
 	Name  string `msgpack:"n"`
 	Value []byte `msgpack:"v"`
 }
 
-// Entries is a whole file taken apart, sorted by name without duplicates.
+// Entries is a whole file split into entries, sorted by name and without duplicates.
 type Entries []Entry
 
-// Digest identifies the content of a whole configuration.
+// Digest is the hash of a whole configuration.
 type Digest [sha256.Size]byte
 
-// String gives the first 12 hexadecimal digits, enough to compare by eye.
+// String returns the first 12 hexadecimal digits, enough for comparison by eye.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// The lists of a file, as they stand before the slash of an entry's name.
+// Prefixes of entry names, before the slash: the lists of a file, and listTop for the settings
+// outside them.
 const (
 	listTop           = "deployment"
 	listZones         = "zones"
@@ -40,8 +41,8 @@
 	listRoutes        = "routes"
 )
 
-// Digest hashes all names and values with their lengths, so that no two
-// different sets of entries can run together into the same bytes.
+// Digest hashes all names and values, each preceded by its length, so that different entries
+// cannot result in the same input of the hash.
 func (e Entries) Digest() Digest {
 	hash := sha256.New()
 	var length [8]byte
@@ -63,10 +64,10 @@
 	Remove []string `msgpack:"r"`
 }
 
-// Empty reports whether the change changes nothing.
+// Empty reports whether the change has no effect.
 func (c Change) Empty() bool { return len(c.Set) == 0 && len(c.Remove) == 0 }
 
-// Diff gives the change that turns e into target.
+// Diff returns the change from e to target.
 func (e Entries) Diff(target Entries) Change {
 	var change Change
 	i, j := 0, 0
@@ -89,7 +90,7 @@
 	return change
 }
 
-// Apply gives the entries after the change; e itself stays as it is.
+// Apply returns the entries after the change and does not modify e.
 func (e Entries) Apply(change Change) Entries {
 	result := slices.Clone(e)
 	for _, name := range change.Remove {
@@ -114,7 +115,7 @@
 	})
 }
 
-// top is the part of a file that is not in one of its lists.
+// globalSettings is the part of a file outside its lists.
 type globalSettings struct {
 	Deployment  string      `json:"deployment"`
 	Objectives  Objectives  `json:"objectives"`
@@ -122,7 +123,7 @@
 	WeightStore WeightStore `json:"weight_store"`
 }
 
-// Entries takes the file apart.
+// Entries splits the file into entries.
 func (f *File) Entries() (Entries, error) {
 	builder := entryBuilder{}
 	builder.add(listTop, globalSettings{Deployment: f.Deployment, Objectives: f.Objectives, Limits: f.Limits, WeightStore: f.WeightStore})
@@ -160,7 +161,7 @@
 	}
 }
 
-// File puts the entries together again.
+// File assembles a file from its entries.
 func (e Entries) File() (*File, error) {
 	file := &File{}
 	for _, entry := range e {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -12,17 +12,17 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one validation error in a file.
 type Fault struct {
-	// Line counts from 1; 0 means that the fault has no line of its own.
+	// Line counts from 1; 0 means that the fault has no line.
 	Line int `json:"line"`
 	// Field is the path of the field, such as "organisations[2].share".
 	Field string `json:"field"`
-	// Message says what is wrong.
+	// Message describes the fault.
 	Message string `json:"message"`
 }
 
-// String gives the fault in the form that editors can jump to.
+// String formats the fault so that editors can jump to its line.
 func (f Fault) String() string {
 	if f.Field == "" {
 		return fmt.Sprintf("line %d: %s", f.Line, f.Message)
@@ -35,7 +35,7 @@
 	faults []Fault
 }
 
-// Faults gives all faults.
+// Faults returns all faults.
 func (e *InvalidError) Faults() []Fault { return e.faults }
 
 // Error implements the error interface.
@@ -47,12 +47,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// decoderLine matches what the YAML library says of a fault, such as
-// "line 7: field shares not found in type config.Organisation".
+// decoderLine matches an error of the YAML library, such as "line 7: field shares not found in
+// type config.Organisation".
 var decoderLine = regexp.MustCompile(`^(?:yaml: )?line (\d+): (.*)$`)
 
-// Parse reads and checks a whole file. The error is an *InvalidError that
-// lists every fault found.
+// Parse parses and checks a whole file. The error is an *InvalidError that lists every fault.
 func Parse(source []byte) (*File, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(source, &root); err != nil {
@@ -111,9 +110,9 @@
 	return Fault{Line: line, Message: text}
 }
 
-// lineOf finds the line of a field path such as "organisations[2].share". When
-// the last parts are absent from the file it gives the line of the nearest
-// part that is there, since that is where they should be written.
+// lineOf returns the line of a field path such as "organisations[2].share". If the field is not
+// in the file, it returns the line of the nearest enclosing field, which is where the missing
+// one belongs.
 func lineOf(root *yaml.Node, path string) int {
 	node := root
 	if node.Kind == yaml.DocumentNode && len(node.Content) > 0 {
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -1,5 +1,5 @@
-// Routes: which calls go to which services by host and path prefix, and how each is
-// treated. They stand beside the paths that every deployment has.
+// Routes assign calls to plain services by host and path prefix, and set how the calls are
+// handled. They are additional to the paths that every deployment serves.
 
 package config
 
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// RouteKind says what may be done with a call when its outcome is in doubt.
+// RouteKind is how a call may be retried when its outcome is unknown.
 type RouteKind string
 
 const (
@@ -16,52 +16,53 @@
 	RouteRepeatable RouteKind = "repeatable"
 	// RouteOnce is for calls that run at most once.
 	RouteOnce RouteKind = "once"
-	// RouteStream is for calls whose answers are series of events.
+	// RouteStream is for calls whose responses are event streams.
 	RouteStream RouteKind = "stream"
 )
 
-// Route says how calls of a host and path prefix are treated.
+// Route configures the calls to a host and path prefix.
 type Route struct {
 	Name string `yaml:"name" json:"name"`
-	// Host is compared without case and port; PathPrefix begins with a slash. Of
-	// several routes the one with the longest prefix takes a call.
+	// Host is compared without case and port; PathPrefix begins with a slash. If several routes
+	// match a call, the one with the longest prefix is used.
 	Host       string    `yaml:"host" json:"host"`
 	PathPrefix string    `yaml:"path_prefix" json:"path_prefix"`
 	Kind       RouteKind `yaml:"kind" json:"kind" jsonschema:"enum=repeatable,enum=once,enum=stream"`
-	// Splits name the plain services that calls go to, by weight.
+	// Splits distribute the calls over plain services by weight.
 	Splits []Split `yaml:"splits" json:"splits"`
-	// TimeLimitMillis is the longest time that a call is held.
+	// TimeLimitMillis bounds the time of a call, in milliseconds.
 	TimeLimitMillis int `yaml:"time_limit_ms,omitempty" json:"time_limit_ms,omitempty" jsonschema:"description=Longest time in milliseconds that a call is held."`
-	// ObjectiveMillis is the wanted time to the answer, or to the first event.
+	// ObjectiveMillis is the target for the time to the response, or to its first event, in
+	// milliseconds.
 	ObjectiveMillis int `yaml:"objective_ms,omitempty" json:"objective_ms,omitempty" jsonschema:"description=Wanted time in milliseconds to the answer or its first event."`
 	// MaxServers bounds the backend servers that one call may be sent to.
 	MaxServers int `yaml:"max_servers,omitempty" json:"max_servers,omitempty" jsonschema:"description=Backend servers that one call may be sent to."`
-	// Priority orders calls at servers that answer prompts. That of the organisation
-	// goes before it, unless that is normal.
+	// Priority is the priority of calls to servers that answer prompts. The organisation's
+	// priority overrides it, unless that is normal.
 	Priority Priority `yaml:"priority,omitempty" json:"priority,omitempty" jsonschema:"enum=instant,enum=normal,enum=review"`
-	// Public routes need no key.
+	// Public means that callers need no API key.
 	Public bool `yaml:"public,omitempty" json:"public,omitempty"`
-	// Resumable streams may go on at another server after the last event.
+	// Resumable means that a stream may continue at another server after its last event.
 	Resumable bool `yaml:"resumable,omitempty" json:"resumable,omitempty"`
 }
 
-// Split sends a share of a route's calls to a plain service.
+// Split assigns a share of a route's calls to a plain service.
 type Split struct {
 	Service string `yaml:"service" json:"service"`
 	Weight  int    `yaml:"weight" json:"weight"`
 }
 
-// Defaults of routes and of the plain services that they lead to.
+// Defaults of routes and of their plain services.
 const (
-	// DefaultTimeLimitMillis is what callers of web services commonly wait.
+	// DefaultTimeLimitMillis is a common timeout of web clients.
 	DefaultTimeLimitMillis = 30_000
-	// DefaultObjectiveMillis is a second, after which people notice that they wait.
+	// DefaultObjectiveMillis is one second, the delay after which people notice that they wait.
 	DefaultObjectiveMillis = 1000
-	// DefaultMaxServers lets a call go to one more server than the first.
+	// DefaultMaxServers allows one more server than the first.
 	DefaultMaxServers = 2
-	// DefaultSplitWeight makes splits without a weight alike.
+	// DefaultSplitWeight gives equal shares to splits without a weight.
 	DefaultSplitWeight = 1
-	// DefaultConnectionLimit is what common web servers take by default or more.
+	// DefaultConnectionLimit is at most what common web servers accept by default.
 	DefaultConnectionLimit = 256
 )
 
@@ -75,7 +76,8 @@
 	}
 }
 
-// checkRoutes checks which calls the routes take, and that no two take the same.
+// checkRoutes checks the hosts and prefixes of the routes, and that no two routes match the
+// same calls.
 func (c *checker) checkRoutes() {
 	matches := map[string]string{}
 	for i, route := range c.file.Routes {
@@ -96,7 +98,7 @@
 	}
 }
 
-// checkTreatment checks how a route treats its calls.
+// checkTreatment checks the settings for the calls of a route.
 func (c *checker) checkTreatment(field string, route Route) {
 	switch route.Kind {
 	case RouteRepeatable, RouteOnce, RouteStream:
@@ -114,7 +116,7 @@
 	c.checkPositive(field+".max_servers", float64(route.MaxServers))
 }
 
-// checkSplits checks where a route's calls go.
+// checkSplits checks the plain services of a route.
 func (c *checker) checkSplits(field string, route Route) {
 	if len(route.Splits) == 0 {
 		c.add(field+".splits", "a route needs at least one plain service")
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// NoVersion is the offset of the empty configuration that every log begins with.
+// NoVersion is the version of the empty configuration before the first record of the log.
 const NoVersion int64 = -1
 
-// Snapshot is one version of the configuration, indexed for requests. It never
-// changes; a request keeps the snapshot that it began with.
+// Snapshot is one version of the configuration, indexed for requests. It is immutable; a
+// request uses the snapshot that it started with.
 type Snapshot struct {
 	version  int64
 	digest   Digest
@@ -22,12 +22,12 @@
 	models   map[string]*Model
 	servers  map[string]*BackendServer
 	services map[string]*PlainService
-	// evacuated holds the names of evacuated zones.
+	// evacuated reports by zone name whether the zone is evacuated.
 	evacuated map[string]bool
 }
 
-// NewSnapshot indexes the entries of one version. The version is the offset of
-// the log record that made it.
+// NewSnapshot indexes the entries of one version, which is the offset of the log record that
+// created it.
 func NewSnapshot(version int64, entries Entries) (*Snapshot, error) {
 	file, err := entries.File()
 	if err != nil {
@@ -74,21 +74,21 @@
 	}
 }
 
-// Version is the offset of the log record that made this configuration.
+// Version returns the offset of the log record that created this configuration.
 func (s *Snapshot) Version() int64 { return s.version }
 
-// Evacuated reports whether the servers of a zone get no new requests.
+// Evacuated reports whether a zone is evacuated, so that its servers get no new requests.
 func (s *Snapshot) Evacuated(zone string) bool { return s.evacuated[zone] }
 
-// Digest identifies the content.
+// Digest returns the hash of the content.
 func (s *Snapshot) Digest() Digest { return s.digest }
 
-// File gives the whole configuration; it must not be changed.
+// File returns the whole configuration, which callers must not modify.
 func (s *Snapshot) File() *File { return s.file }
 
-// OrganisationByKey finds whose key this is. Only the hash of the key is looked
-// up, so that the time it takes says nothing about a stored key; the final
-// comparison is in constant time all the same.
+// OrganisationByKey finds the organisation that an API key belongs to. The lookup uses only the
+// key's hash, so that its time reveals nothing about a stored key; the final comparison is in
+// constant time as well.
 func (s *Snapshot) OrganisationByKey(key string) (*Organisation, bool) {
 	hash := Digest(sha256.Sum256([]byte(key)))
 	organisation, ok := s.byKey[hash]
@@ -127,7 +127,7 @@
 	return service, ok
 }
 
-// ServersOf lists the backend servers of a zone with a role, in name order.
+// ServersOf lists the backend servers of a zone with a role, ordered by name.
 func (s *Snapshot) ServersOf(zone string, role Role) []*BackendServer {
 	var found []*BackendServer
 	for i := range s.file.BackendServers {
@@ -139,17 +139,17 @@
 	return found
 }
 
-// Repeatable reports whether a call of the service may run more than once. The
-// path is compared in the form that the backend server will see.
+// Repeatable reports whether a call of the service may run more than once. The path is the one
+// that the backend server receives.
 func (p *PlainService) Repeatable(method, path string) bool {
 	return !slices.ContainsFunc(p.NotRepeatable, func(call Call) bool {
 		return call.Method == method && coversPath(call.Path, path)
 	})
 }
 
-// coversPath reports whether path is prefix itself or lies below it: "/charges"
-// covers "/charges", "/Charges", "/charges;v=1" and "/charges/7" but not
-// "/chargesheet". What a server might take for the same path counts as the same.
+// coversPath reports whether path is prefix itself or below it: "/charges" covers "/charges",
+// "/Charges", "/charges;v=1" and "/charges/7" but not "/chargesheet". Paths that a server might
+// treat as equivalent count as equal.
 func coversPath(prefix, path string) bool {
 	prefix, path = strings.ToLower(strings.TrimSuffix(prefix, "/")), strings.ToLower(path)
 	rest, ok := strings.CutPrefix(path, prefix)
