--- a/internal/bench/claims.go
+++ b/internal/bench/claims.go
@@ -59,7 +59,7 @@
 	log := &pacedLog{Log: fakelog.New()}
 	service := claim.New(claim.Config{Log: log, Incarnation: "bench", BatchDelay: delay, Window: func() time.Duration { return time.Hour }})
 	defer service.Close()
-	service.Warm()
+	service.Preload()
 	time.Sleep(100 * time.Millisecond)
 	histogram := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -49,7 +49,7 @@
 	workers sync.WaitGroup
 }
 
-// New creates a service. A stream is read from the log when its first key is claimed; Warm
+// New creates a service. A stream is read from the log when its first key is claimed; Preload
 // starts reading all of them.
 func New(cfg Config) *Service {
 	setDefault(&cfg.BatchDelay, DefaultBatchDelay)
@@ -71,8 +71,8 @@
 	s.workers.Wait()
 }
 
-// Warm starts reading all streams from the log.
-func (s *Service) Warm() {
+// Preload starts reading all streams from the log.
+func (s *Service) Preload() {
 	for number := range StreamCount {
 		s.stream(number)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return Decision{}, err
 	}
-	entry := Entry{Kind: KindClaim, Key: key, Digest: digest, ClaimID: claimID, Claimer: s.cfg.Incarnation}
+	entry := Entry{Kind: KindClaim, Key: key, Digest: digest, ClaimID: claimID, Incarnation: s.cfg.Incarnation}
 	return s.stream(streamOf(key)).claim(ctx, entry)
 }
 
--- a/internal/claim/fold.go
+++ b/internal/claim/fold.go
@@ -8,9 +8,9 @@
 
 // keyState is the state of one key according to the log.
 type keyState struct {
-	digest  Digest
-	claimID uuid.UUID
-	claimer string
+	digest      Digest
+	claimID     uuid.UUID
+	incarnation string
 	// claimedAt is the log's timestamp of the claim.
 	claimedAt time.Time
 	completed bool
@@ -91,7 +91,7 @@
 	state := t.keys[entry.Key]
 	switch {
 	case state == nil:
-		t.keys[entry.Key] = &keyState{digest: entry.Digest, claimID: entry.ClaimID, claimer: entry.Claimer, claimedAt: at}
+		t.keys[entry.Key] = &keyState{digest: entry.Digest, claimID: entry.ClaimID, incarnation: entry.Incarnation, claimedAt: at}
 		t.expiryQueue = append(t.expiryQueue, expiryEntry{key: entry.Key, claim: entry.ClaimID, claimedAt: at})
 		if !inWindow(entry.Key, at) {
 			return Decision{Verdict: OutsideWindow}
--- a/internal/claim/fold_test.go
+++ b/internal/claim/fold_test.go
@@ -70,7 +70,7 @@
 		log := fakelog.New()
 		newService := func() *Service {
 			s := New(Config{Log: log, Incarnation: "box", Window: func() time.Duration { return time.Hour }})
-			s.Warm()
+			s.Preload()
 			return s
 		}
 		service := newService()
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -218,7 +218,7 @@
 func (h *history) runPlan(p plan) {
 	for i := range 3 {
 		service := claim.New(claim.Config{Log: h.log, Incarnation: fmt.Sprint("box-", i), PollWait: 30 * time.Minute, Window: func() time.Duration { return time.Hour }})
-		service.Warm()
+		service.Preload()
 		h.boxes = append(h.boxes, service)
 	}
 	time.Sleep(time.Second)
--- a/internal/claim/measure.go
+++ b/internal/claim/measure.go
@@ -15,7 +15,7 @@
 	runtime.ReadMemStats(&before)
 	table := newKeyTable()
 	for range keys {
-		table.apply(Entry{Kind: KindClaim, Key: Key{Organisation: "an organisation", Text: uuid.NewString()}, ClaimID: uuid.New(), Claimer: "a box"}, at)
+		table.apply(Entry{Kind: KindClaim, Key: Key{Organisation: "an organisation", Text: uuid.NewString()}, ClaimID: uuid.New(), Incarnation: "a box"}, at)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -28,7 +28,7 @@
 func LogBytesPerClaim(batchSize int) float64 {
 	entries := make([]Entry, batchSize)
 	for i := range entries {
-		entries[i] = Entry{Kind: KindClaim, Key: Key{Organisation: "an organisation", Text: uuid.NewString()}, ClaimID: uuid.New(), Claimer: uuid.NewString()}
+		entries[i] = Entry{Kind: KindClaim, Key: Key{Organisation: "an organisation", Text: uuid.NewString()}, ClaimID: uuid.New(), Incarnation: uuid.NewString()}
 	}
 	data, err := encode(entries)
 	if err != nil {
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -68,9 +68,9 @@
 	// ClaimID identifies the claim. It is random, and no other process has it before the claim
 	// is in the log.
 	ClaimID uuid.UUID `msgpack:"i"`
-	// Claimer is the incarnation of the claiming process.
-	Claimer  string         `msgpack:"p,omitempty"`
-	Response StoredResponse `msgpack:"a,omitempty"`
+	// Incarnation is the incarnation of the claiming process.
+	Incarnation string         `msgpack:"p,omitempty"`
+	Response    StoredResponse `msgpack:"a,omitempty"`
 }
 
 // batch is one record of a claim stream.
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -34,7 +34,7 @@
 		d.loops.Go(func() { loop(d.background) })
 	}
 	d.loops.Go(func() { d.exchange.Serve(d.background, d.ports.peer) })
-	d.claims.Warm()
+	d.claims.Preload()
 	d.reviews.Start()
 	d.loops.Go(func() { d.loopGauges(d.background) })
 }
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -44,7 +44,7 @@
 	// ResultRetention returns how long an ended review can be fetched.
 	ResultRetention func() time.Duration
 	// Run runs a review. It is called in a new goroutine.
-	Run Runner
+	Run RunFunc
 	// MaxParallel returns how many reviews this box may run at once.
 	MaxParallel func() int
 	// Interval bounds the time between two passes of the loop that starts runs and appends
@@ -54,9 +54,9 @@
 	PollWait time.Duration
 }
 
-// Runner runs one review. A PermanentError ends the review as failed; after any other error it
+// RunFunc runs one review. A PermanentError ends the review as failed; after any other error it
 // is retried later.
-type Runner func(ctx context.Context, task Task) (answer []byte, err error)
+type RunFunc func(ctx context.Context, task Task) (answer []byte, err error)
 
 // Task is a review to run.
 type Task struct {
