--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -115,11 +115,11 @@
 const MaxResponseBytes = 16 << 10
 
 // Complete records the response of a request whose claim was granted.
-func (s *Service) Complete(key Key, claimID uuid.UUID, answer StoredResponse) {
-	if len(answer.Body) > MaxResponseBytes {
-		answer.Body, answer.BodyStored = nil, false
+func (s *Service) Complete(key Key, claimID uuid.UUID, response StoredResponse) {
+	if len(response.Body) > MaxResponseBytes {
+		response.Body, response.BodyStored = nil, false
 	}
-	s.enqueue(Entry{Kind: KindComplete, Key: key, ClaimID: claimID, Response: answer})
+	s.enqueue(Entry{Kind: KindComplete, Key: key, ClaimID: claimID, Response: response})
 }
 
 // Release records that a request whose claim was granted did not run and that this process will
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -38,9 +38,9 @@
 
 // claimOutput is the output of an attempt in the porcupine model.
 type claimOutput struct {
-	verdict claim.Verdict
-	answer  int
-	failed  bool
+	verdict  claim.Verdict
+	response int
+	failed   bool
 }
 
 type operation struct {
@@ -90,7 +90,7 @@
 		return []keyState{{held: true, holder: op.attempt}}
 	case out.verdict == claim.Held && state.held && !state.done:
 		return []keyState{state}
-	case out.verdict == claim.Completed && state.done && out.answer == state.holder:
+	case out.verdict == claim.Completed && state.done && out.response == state.holder:
 		return []keyState{state}
 	default:
 		return nil
@@ -135,7 +135,7 @@
 	case decision.Verdict == claim.OutsideWindow:
 		return
 	default:
-		op.Output = claimOutput{verdict: decision.Verdict, answer: decision.Response.Status}
+		op.Output = claimOutput{verdict: decision.Verdict, response: decision.Response.Status}
 	}
 	h.record(a.key, op)
 	if err == nil && decision.Verdict == claim.Granted {
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -1,5 +1,6 @@
 // Package claim enforces at-most-once execution of requests that must not be repeated, by
 // idempotency keys that all entry boxes claim in a shared log.
+//
 // A caller that got no response retries its request, and the balancer may send the retry to
 // another box, perhaps in another zone. Both requests have the same key. Before such a request
 // runs, its box appends a claim to the platform's log; the first claim of a key in log order is
@@ -8,10 +9,10 @@
 // unknown, because no other process can determine whether the request ran; if it was only
 // paused, it is still the only process that may run it when it resumes.
 //
-//	offset  record              state of key K
-//	4       claim K by box a    a may run the request
-//	5       claim K by box b    rejected: b responds "outcome unknown"
-//	6       complete K by a     b and all others respond with a's response
+//	offset  record                state of key K
+//	4       claim K by box a      a may run the request
+//	5       claim K by box b      rejected: b responds "outcome unknown"
+//	6       complete K by a, 200  b and all others respond with a's response
 //
 // A process whose request did not run, and never will, releases the claim; the next claim of
 // the key is then granted.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,4 +1,5 @@
 // Package config defines the declarative configuration file of a cometlock deployment.
+//
 // A file is parsed, checked and applied as a whole. Parsing lists every fault with its line, so
 // that operators can fix all of them at once, and a file with a fault has no effect. For the
 // log, the file is split into entries (one for each organisation, model, backend server, …),
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -1,4 +1,5 @@
 // Package configlog derives the configuration in force from the records of the platform's log.
+//
 // Changes use optimistic concurrency control, and the order of records in the log is the only
 // arbiter. Each change contains the version that it was based on; a change whose base is not
 // the version in force is rejected. Of two operators who race, exactly one succeeds, and every
--- a/internal/review/fold_test.go
+++ b/internal/review/fold_test.go
@@ -15,7 +15,7 @@
 	after   time.Duration
 }
 
-func play(steps []step) *entry {
+func applySteps(steps []step) *entry {
 	table := newReviewTable()
 	begin := time.Unix(1_000_000, 0)
 	for _, s := range steps {
@@ -52,7 +52,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			e := play(c.steps)
+			e := applySteps(c.steps)
 			g.Expect(e.status()).To(Equal(c.want))
 			if c.ended >= 0 {
 				g.Expect(e.result.last()).To(Equal(c.ended))
@@ -80,7 +80,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(play(c.steps).reappendKind(time.Unix(1_000_000, 0).Add(c.now), day)).To(Equal(c.want))
+			g.Expect(applySteps(c.steps).reappendKind(time.Unix(1_000_000, 0).Add(c.now), day)).To(Equal(c.want))
 		})
 	}
 }
@@ -89,11 +89,11 @@
 	g := NewWithT(t)
 	const day = 24 * time.Hour
 	begin := time.Unix(1_000_000, 0)
-	ended := play([]step{{0, KindAccepted, original, 0}, {1, KindCompleted, original, time.Hour}})
+	ended := applySteps([]step{{0, KindAccepted, original, 0}, {1, KindCompleted, original, time.Hour}})
 	g.Expect(ended.evictable(begin.Add(2*time.Hour), time.Minute, day)).To(BeFalse(), "the request is still in the log")
 	g.Expect(ended.evictable(begin.Add(25*time.Hour), time.Minute, day)).To(BeTrue())
 	g.Expect(ended.evictable(begin.Add(25*time.Hour), 2*day, day)).To(BeFalse(), "the result can still be fetched")
-	waiting := play([]step{{0, KindAccepted, original, 0}})
+	waiting := applySteps([]step{{0, KindAccepted, original, 0}})
 	g.Expect(waiting.evictable(begin.Add(100*day), time.Minute, day)).To(BeFalse())
 }
 
--- a/internal/review/record.go
+++ b/internal/review/record.go
@@ -1,5 +1,6 @@
 // Package review runs requests that can wait, such as long reviews, and delivers exactly one
 // result for each of them.
+//
 // A review is accepted only once it is in the platform's log. From then on every entry box
 // reads it from the log, so that it survives the crash of all boxes. Boxes distribute the
 // reviews by rendezvous hashing over the boxes that they consider live. When these sets differ,
--- a/internal/review/runner.go
+++ b/internal/review/runner.go
@@ -35,7 +35,7 @@
 	cancel context.CancelFunc
 }
 
-// retry is the time at which a review that failed may run again.
+// retry is the time at which a review that failed may run again, and the delay until then.
 type retry struct {
 	at    time.Time
 	delay time.Duration
@@ -119,12 +119,12 @@
 // runOne runs a review and appends its end.
 func (s *Service) runOne(ctx context.Context, task Task, loc location) {
 	began := time.Now()
-	answer, err := s.execute(ctx, task, loc)
+	response, err := s.execute(ctx, task, loc)
 	permanent, failed := errors.AsType[*PermanentError](err)
 	switch {
 	case err == nil:
 		s.recordRunTime(time.Since(began))
-		s.appendEnd(ctx, KindCompleted, task.Meta, answer)
+		s.appendEnd(ctx, KindCompleted, task.Meta, response)
 	case failed:
 		task.Meta.Reason = permanent.Reason
 		s.appendEnd(ctx, KindFailed, task.Meta, nil)
@@ -147,15 +147,15 @@
 
 // appendEnd appends the end of a review, and repeats that until an end from this or another box
 // has been read back from the log.
-func (s *Service) appendEnd(ctx context.Context, kind Kind, meta Meta, answer []byte) {
-	packed, err := pack(answer)
+func (s *Service) appendEnd(ctx context.Context, kind Kind, meta Meta, response []byte) {
+	packed, err := pack(response)
 	if err != nil {
 		s.postpone(meta.ID, err)
 		return
 	}
 	for ctx.Err() == nil {
 		if err := s.append(ctx, split(kind, meta, original, packed)); err == nil && s.confirmEnd(ctx, meta) {
-			s.cfg.Logger.Info().Str("review", meta.ID).Str("organisation", meta.Organisation).Int("bytes", len(answer)).Msg("review_ended")
+			s.cfg.Logger.Info().Str("review", meta.ID).Str("organisation", meta.Organisation).Int("bytes", len(response)).Msg("review_ended")
 			return
 		}
 		waiting.For(ctx, endRetryDelay)
@@ -185,9 +185,9 @@
 func (s *Service) postpone(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := min(max(2*s.retries[id].delay, minRetryDelay), maxRetryDelay)
-	s.retries[id] = retry{at: time.Now().Add(pause), delay: pause}
-	s.cfg.Logger.Warn().Str("review", id).Str("error", err.Error()).Dur("pause_ms", pause).Msg("review_postponed")
+	delay := min(max(2*s.retries[id].delay, minRetryDelay), maxRetryDelay)
+	s.retries[id] = retry{at: time.Now().Add(delay), delay: delay}
+	s.cfg.Logger.Warn().Str("review", id).Str("error", err.Error()).Dur("pause_ms", delay).Msg("review_postponed")
 }
 
 // cancelRun cancels the run of a review that has ended. The caller holds mu.
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -56,7 +56,7 @@
 
 // RunFunc runs one review. A PermanentError ends the review as failed; after any other error it
 // is retried later.
-type RunFunc func(ctx context.Context, task Task) (answer []byte, err error)
+type RunFunc func(ctx context.Context, task Task) (response []byte, err error)
 
 // Task is a review to run.
 type Task struct {
