--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -12,7 +12,7 @@
 
 // ErrNoCheckpoint means that records before the earliest one stored have expired and that no
 // checkpoint in the log replaces them.
-var ErrNoCheckpoint = merry.Sentinel("the log contains neither the whole stream nor a usable checkpoint")
+var ErrNoCheckpoint = merry.Sentinel("the log holds neither the whole stream nor a usable checkpoint")
 
 // Reader reads the configuration stream and applies its records. It is not safe for concurrent
 // use.
