--- a/internal/review/fold.go
+++ b/internal/review/fold.go
@@ -6,10 +6,10 @@
 	"github.com/google/uuid"
 )
 
-// Status is where a review stands, in the words of the OpenAI protocol.
+// Status is the status of a review, with the values of the OpenAI protocol.
 type Status string
 
-// The statuses of a review.
+// Values of Status.
 const (
 	StatusQueued    Status = "queued"
 	StatusRunning   Status = "in_progress"
@@ -18,36 +18,38 @@
 	StatusCancelled Status = "cancelled"
 )
 
-// place is where a whole content lies in the log.
-type place struct {
+// location lists the records of the log that contain a whole content.
+type location struct {
 	offsets []int64
-	// at is the log's time of the last part.
-	at time.Time
+	// appendedAt is the log's timestamp of the last part.
+	appendedAt time.Time
 }
 
-func (p place) last() int64 { return p.offsets[len(p.offsets)-1] }
+func (p location) last() int64 { return p.offsets[len(p.offsets)-1] }
 
-func (p place) known() bool { return len(p.offsets) > 0 }
+func (p location) isSet() bool { return len(p.offsets) > 0 }
 
-// entry is what the log says of one review.
+// entry is the state of one review according to the log.
 type entry struct {
-	meta     Meta
-	accepted place
-	// firstAccepted is the offset of the original accepted record.
-	firstAccepted int64
-	// end is how the review ended; zero while it has not.
-	end Kind
-	// endedFirst is the offset of the original record of the end, endedAt its
-	// time, and ended where its content lies.
-	endedFirst int64
-	endedAt    time.Time
-	ended      place
-	deleted    bool
-	deletedAt  place
+	meta    Meta
+	request location
+	// acceptedOffset is the offset of the original accepted record, request the location of its
+	// content or of the newest copy.
+	acceptedOffset int64
+	// endKind is the kind of the record that ended the review; zero until then.
+	endKind Kind
+	// endOffset is the offset of the original record that ended the review, endedAt the log's
+	// timestamp of the one that was read, and result the location of its content or of the
+	// newest copy.
+	endOffset int64
+	endedAt   time.Time
+	result    location
+	deleted   bool
+	deletion  location
 }
 
 func (e *entry) status() Status {
-	switch e.end {
+	switch e.endKind {
 	case KindCompleted:
 		return StatusCompleted
 	case KindFailed:
@@ -59,143 +61,145 @@
 	}
 }
 
-// waiting reports whether the review still has to be run.
-func (e *entry) waiting() bool { return e.end == 0 && !e.deleted && e.accepted.known() }
+// waiting reports whether the review still has to run.
+func (e *entry) waiting() bool { return e.endKind == 0 && !e.deleted && e.request.isSet() }
 
-// fold is the state of the stream. It depends on nothing but the log.
-type fold struct {
+// reviewTable is the state of the stream: the result of applying its records in order. It
+// depends only on the log.
+type reviewTable struct {
 	reviews map[string]*entry
-	// parts collects contents of which not all parts have come.
-	parts map[uuid.UUID]partial
+	// partials holds the contents of which only some parts have been read.
+	partials map[uuid.UUID]partial
 }
 
-// partial is a content of which not all parts have come.
+// partial is a content of which only some parts have been read.
 type partial struct {
-	offsets []int64
-	at      time.Time
+	offsets    []int64
+	appendedAt time.Time
 }
 
-// maxPartAge is the time, by the log, after which the rest of a content is no
-// longer expected: its sender has died. Should it come all the same, the content
-// is not whole, as if its beginning had expired, and nobody was told otherwise.
+// maxPartAge is the time between parts, by the log's timestamps, after which the rest of a
+// content is no longer expected because its sender has crashed. If the rest is appended later
+// all the same, the content is incomplete, as if its first parts had expired; its sender has
+// not confirmed it to any caller.
 const maxPartAge = 10 * time.Minute
 
-func newFold() *fold {
-	return &fold{reviews: map[string]*entry{}, parts: map[uuid.UUID]partial{}}
+func newReviewTable() *reviewTable {
+	return &reviewTable{reviews: map[string]*entry{}, partials: map[uuid.UUID]partial{}}
 }
 
-// apply takes over one record that the log took at an offset and time. It gives
-// the review that the record completed a statement about, or nil.
-func (f *fold) apply(offset int64, at time.Time, data []byte) *entry {
+// apply applies the record that the log stored at an offset and time. It returns the review
+// that the record completed a change of, or nil.
+func (t *reviewTable) apply(offset int64, at time.Time, data []byte) *entry {
 	record, err := decode(data)
 	if err != nil {
 		return nil
 	}
-	lies, whole := f.collect(record, offset, at)
+	loc, whole := t.collectParts(record, offset, at)
 	if !whole {
 		return nil
 	}
-	e := f.reviews[record.Meta.ID]
+	e := t.reviews[record.Meta.ID]
 	if e == nil {
 		e = &entry{meta: record.Meta}
-		f.reviews[record.Meta.ID] = e
+		t.reviews[record.Meta.ID] = e
 	}
 	if e.meta.Organisation != record.Meta.Organisation {
-		return nil // another organisation has no say in a review
+		return nil // a review can be changed only by its own organisation
 	}
-	first := lies.offsets[0]
+	originalOffset := loc.offsets[0]
 	if record.CopyOf != original {
-		first = record.CopyOf
+		originalOffset = record.CopyOf
 	}
-	f.state(e, record, lies, first)
+	t.applyStatement(e, record, loc, originalOffset)
 	return e
 }
 
-// collect gives where a content lies once all its parts have come in order.
-func (f *fold) collect(record Record, offset int64, at time.Time) (place, bool) {
+// collectParts returns the location of a content once all its parts have been read in order.
+func (t *reviewTable) collectParts(record Record, offset int64, at time.Time) (location, bool) {
 	if record.PartCount == 1 {
-		return place{offsets: []int64{offset}, at: at}, true
+		return location{offsets: []int64{offset}, appendedAt: at}, true
 	}
-	f.dropOldParts(at)
-	offsets := f.parts[record.ContentID].offsets
+	t.dropStaleParts(at)
+	offsets := t.partials[record.ContentID].offsets
 	if len(offsets) != record.PartIndex {
-		return place{}, false // a part is missing: it has expired
+		return location{}, false // an earlier part has expired
 	}
 	offsets = append(offsets, offset)
 	if len(offsets) < record.PartCount {
-		f.parts[record.ContentID] = partial{offsets: offsets, at: at}
-		return place{}, false
+		t.partials[record.ContentID] = partial{offsets: offsets, appendedAt: at}
+		return location{}, false
 	}
-	delete(f.parts, record.ContentID)
-	return place{offsets: offsets, at: at}, true
+	delete(t.partials, record.ContentID)
+	return location{offsets: offsets, appendedAt: at}, true
 }
 
-func (f *fold) dropOldParts(now time.Time) {
-	for set, begun := range f.parts {
-		if now.Sub(begun.at) > maxPartAge {
-			delete(f.parts, set)
+func (t *reviewTable) dropStaleParts(now time.Time) {
+	for contentID, incomplete := range t.partials {
+		if now.Sub(incomplete.appendedAt) > maxPartAge {
+			delete(t.partials, contentID)
 		}
 	}
 }
 
-func (f *fold) state(e *entry, record Record, lies place, first int64) {
+func (t *reviewTable) applyStatement(e *entry, record Record, loc location, originalOffset int64) {
 	switch {
 	case record.Kind == KindAccepted:
-		f.accept(e, record, lies, first)
+		t.applyAccepted(e, record, loc, originalOffset)
 	case record.Kind == KindDeleted:
-		e.deleted, e.deletedAt = true, lies
-	case e.end == 0 || first < e.endedFirst:
-		// The first end counts. It may be read after a later one when only its
-		// repetition is still held.
-		e.end, e.endedFirst, e.ended, e.endedAt = record.Kind, first, lies, lies.at
+		e.deleted, e.deletion = true, loc
+	case e.endKind == 0 || originalOffset < e.endOffset:
+		// The first end in log order is in force. It may be read after a later one if only its
+		// copy is still stored.
+		e.endKind, e.endOffset, e.result, e.endedAt = record.Kind, originalOffset, loc, loc.appendedAt
 		e.meta.Reason = record.Meta.Reason
-	case first == e.endedFirst:
-		e.ended = lies
+	case originalOffset == e.endOffset:
+		e.result = loc
 	}
 }
 
-// accept takes over an accepted record. Of two different requests under the
-// same name the first counts.
-func (f *fold) accept(e *entry, record Record, lies place, first int64) {
-	if !e.accepted.known() || first < e.firstAccepted {
-		e.meta, e.firstAccepted, e.accepted = record.Meta, first, lies
+// applyAccepted applies an accepted record. Of two different requests with the same ID, the
+// first is in force.
+func (t *reviewTable) applyAccepted(e *entry, record Record, loc location, originalOffset int64) {
+	if !e.request.isSet() || originalOffset < e.acceptedOffset {
+		e.meta, e.acceptedOffset, e.request = record.Meta, originalOffset, loc
 		return
 	}
-	if first == e.firstAccepted || record.Meta.Digest == e.meta.Digest {
-		e.accepted = lies
+	if originalOffset == e.acceptedOffset || record.Meta.Digest == e.meta.Digest {
+		e.request = loc
 	}
 }
 
-// forgettable reports whether nothing of a review is needed any more at a time:
-// it ended longer ago than answers are kept, and no record is held that would
-// make a new box take it for one that waits.
-func (e *entry) forgettable(now time.Time, keepAnswers, retention time.Duration) bool {
+// evictable reports whether a review can be removed from memory: the retention of its result
+// has passed, and the log no longer stores an accepted record that would make a new box
+// consider it waiting.
+func (e *entry) evictable(now time.Time, resultRetention, retention time.Duration) bool {
 	if e.waiting() {
 		return false
 	}
-	if e.accepted.known() && now.Sub(e.accepted.at) < retention {
+	if e.request.isSet() && now.Sub(e.request.appendedAt) < retention {
 		return false
 	}
-	return e.deleted || now.Sub(e.endedAt) > keepAnswers
+	return e.deleted || now.Sub(e.endedAt) > resultRetention
 }
 
-// due reports which content of a review must be appended again, so that it
-// outlives the log's retention. A statement that ends a review must also lie
-// behind every record that accepts it: a new box may find only the later one.
-func (e *entry) due(now time.Time, retention time.Duration) Kind {
-	old := func(p place) bool { return now.Sub(p.at) > retention/2 }
+// reappendKind returns the kind of the record that must be appended again before the log's
+// retention expires it, or zero. The record that ends a review must also come after every
+// record that accepts it, since a new box may find only the later one.
+func (e *entry) reappendKind(now time.Time, retention time.Duration) Kind {
+	old := func(p location) bool { return now.Sub(p.appendedAt) > retention/2 }
 	switch {
 	case e.waiting():
-		if old(e.accepted) {
+		if old(e.request) {
 			return KindAccepted
 		}
 	case e.deleted:
-		if old(e.deletedAt) || (e.accepted.known() && e.accepted.last() > e.deletedAt.last()) {
+		if old(e.deletion) || (e.request.isSet() && e.request.last() > e.deletion.last()) {
 			return KindDeleted
 		}
-	case e.end.ends():
-		if old(e.ended) || (e.accepted.known() && e.accepted.last() > e.ended.last()) {
-			return e.end
+	case e.endKind.isEnd():
+		if old(e.result) || (e.request.isSet() && e.request.last() > e.result.last()) {
+			return e.endKind
 		}
 	}
 	return 0
--- a/internal/review/state.go
+++ b/internal/review/state.go
@@ -17,7 +17,7 @@
 // State is the part of a state dump that describes the reviews.
 type State struct {
 	Ready bool `json:"ready"`
-	// Known counts all reviews that are remembered, Running those of this box.
+	// Known counts all reviews in memory, Running those that run on this box.
 	Known   int   `json:"known"`
 	Running int   `json:"running"`
 	AtRisk  int   `json:"at_risk"`
@@ -28,11 +28,11 @@
 	Waiting       []WaitingState `json:"waiting"`
 }
 
-// State describes the reviews as they are now.
+// State describes the current reviews.
 func (s *Service) State() State {
 	waiting := s.Waiting()
 	s.mu.Lock()
-	state := State{Ready: s.ready, Known: len(s.fold.reviews), Running: len(s.running), Repeats: s.repeats, Waiting: []WaitingState{}}
+	state := State{Ready: s.ready, Known: len(s.table.reviews), Running: len(s.running), Repeats: s.reappends, Waiting: []WaitingState{}}
 	s.mu.Unlock()
 	for _, review := range waiting {
 		state.add(review)
