--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -24,18 +24,18 @@
 
 // Config sets up a Stage.
 type Config struct {
-	// Room gives how many model requests this box may have at the engines.
-	Room func() int
-	// ReviewPart is the part of the room that reviews may take.
-	ReviewPart float64
-	// AgeStep is how long a request waits before it becomes more urgent.
-	AgeStep time.Duration
+	// InFlightLimit gives how many model requests this box may have at the engines.
+	InFlightLimit func() int
+	// ReviewFraction is the part of the room that reviews may take.
+	ReviewFraction float64
+	// AgingInterval is how long a request waits before it becomes more urgent.
+	AgingInterval time.Duration
 }
 
 // Defaults of Config.
 const (
-	DefaultReviewPart = 0.8
-	DefaultAgeStep    = 30 * time.Second
+	DefaultReviewFraction = 0.8
+	DefaultAgingInterval  = 30 * time.Second
 )
 
 // tick is how often the stage looks at what waits without being woken up.
@@ -75,14 +75,14 @@
 
 // New makes the stage.
 func New(cfg Config) *Stage {
-	if cfg.ReviewPart == 0 {
-		cfg.ReviewPart = DefaultReviewPart
+	if cfg.ReviewFraction == 0 {
+		cfg.ReviewFraction = DefaultReviewFraction
 	}
-	if cfg.AgeStep == 0 {
-		cfg.AgeStep = DefaultAgeStep
+	if cfg.AgingInterval == 0 {
+		cfg.AgingInterval = DefaultAgingInterval
 	}
 	s := &Stage{
-		room: cfg.Room, reviewPart: cfg.ReviewPart, ageStep: cfg.AgeStep,
+		room: cfg.InFlightLimit, reviewPart: cfg.ReviewFraction, ageStep: cfg.AgingInterval,
 		released: ring.New[*ticket](ring.Config{Name: "released", Capacity: releasedCapacity}),
 		queue:    newQueue(), byName: map[string]int{},
 	}
@@ -109,12 +109,12 @@
 			return
 		}
 		s.passOn(next)
-		s.state.Store(&State{Waiting: s.queue.len(), InFlight: s.inFlight, Reviews: s.reviews, Room: s.room()})
+		s.state.Store(&State{Waiting: s.queue.len(), InFlight: s.inFlight, Reviews: s.reviews, InFlightLimit: s.room()})
 	}
 }
 
 func (s *Stage) take(ctx context.Context, request *flow.Request, next func(*flow.Request)) {
-	if request.Gone() {
+	if request.Canceled() {
 		request.Refuse(flow.CallerGone())
 		return
 	}
@@ -160,7 +160,7 @@
 	reviewRoom := max(1, int(s.reviewPart*float64(room)))
 	for s.queue.len() > 0 && s.inFlight < room {
 		first := s.queue.peek()
-		if first.request.Gone() {
+		if first.request.Canceled() {
 			s.queue.pop()
 			first.request.Refuse(flow.CallerGone())
 			continue
@@ -197,10 +197,10 @@
 
 // State is the part of a state dump that describes the stage.
 type State struct {
-	Waiting  int `json:"waiting"`
-	InFlight int `json:"in_flight"`
-	Reviews  int `json:"reviews"`
-	Room     int `json:"room"`
+	Waiting       int `json:"waiting"`
+	InFlight      int `json:"in_flight"`
+	Reviews       int `json:"reviews"`
+	InFlightLimit int `json:"room"`
 }
 
 // State describes the stage as it was after its last step.
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -27,7 +27,7 @@
 
 func newGate(room int) *gate {
 	g := &gate{in: ring.New[*flow.Request](ring.Config{Capacity: 1000}), room: room}
-	g.stage = admit.New(admit.Config{Room: func() int { return g.room }})
+	g.stage = admit.New(admit.Config{InFlightLimit: func() int { return g.room }})
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
 	go g.stage.Loop(ctx, g.in, func(request *flow.Request) { g.passed = append(g.passed, request) })
@@ -190,7 +190,7 @@
 			requests = append(requests, g.send(t.Context(), small, config.PriorityNormal))
 		}
 		synctest.Wait()
-		refusal := <-requests[2].Decided()
+		refusal := <-requests[2].Decision()
 		w.Expect(refusal.Code).To(Equal("organisation_limit"))
 		w.Expect(refusal.Outcome).To(Equal(apierror.NotRun))
 		w.Expect(refusal.RetryAfterSeconds()).To(BeNumerically(">=", 1))
@@ -198,7 +198,7 @@
 			requests = append(requests, g.send(t.Context(), organisation("l", 1), config.PriorityNormal))
 		}
 		synctest.Wait()
-		last := <-requests[len(requests)-1].Decided()
+		last := <-requests[len(requests)-1].Decision()
 		w.Expect(last.Code).To(Equal("queue_full"))
 	})
 }
@@ -217,7 +217,7 @@
 		g.passed[0].Release()
 		synctest.Wait()
 		w.Expect(g.order()).To(Equal("ac"))
-		w.Expect((<-gone.Decided()).Code).To(Equal("caller_gone"))
+		w.Expect((<-gone.Decision()).Code).To(Equal("caller_gone"))
 		w.Expect(g.stage.State().InFlight).To(Equal(1))
 	})
 }
--- a/internal/answerid/answerid.go
+++ b/internal/answerid/answerid.go
@@ -61,8 +61,8 @@
 	return Keys{keys: keys}, nil
 }
 
-// Name gives the name of an organisation's run.
-func (k Keys) Name(organisation string, reference Reference) (string, error) {
+// Encode gives the name of an organisation's run.
+func (k Keys) Encode(organisation string, reference Reference) (string, error) {
 	payload, err := msgpack.Marshal(&reference)
 	if err != nil {
 		return "", merry.Wrap(err)
@@ -71,8 +71,8 @@
 	return Prefix + base64.RawURLEncoding.EncodeToString(sealed), nil
 }
 
-// Open reads a name on behalf of an organisation.
-func (k Keys) Open(organisation, name string) (Reference, error) {
+// Decode reads a name on behalf of an organisation.
+func (k Keys) Decode(organisation, name string) (Reference, error) {
 	text, ok := strings.CutPrefix(name, Prefix)
 	if !ok || len(name) > maxNameBytes {
 		return Reference{}, ErrInvalid
--- a/internal/answerid/answerid_test.go
+++ b/internal/answerid/answerid_test.go
@@ -22,28 +22,28 @@
 func TestANameOpensForItsOrganisationAlone(t *testing.T) {
 	g := NewWithT(t)
 	reference := answerid.Reference{Server: "runner-1", RunID: "run", Weights: "v1", Stream: true}
-	name, err := keys(t, newKey).Name("one", reference)
+	name, err := keys(t, newKey).Encode("one", reference)
 	g.Expect(err).NotTo(HaveOccurred())
-	got, err := keys(t, newKey).Open("one", name)
+	got, err := keys(t, newKey).Decode("one", name)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(reference))
 	for i := range len(name) {
 		flipped := []byte(name)
 		flipped[i] ^= 2
-		_, err := keys(t, newKey).Open("one", string(flipped))
+		_, err := keys(t, newKey).Decode("one", string(flipped))
 		g.Expect(err).To(MatchError(answerid.ErrInvalid), "byte %d", i)
 	}
-	_, err = keys(t, newKey).Open("two", name)
+	_, err = keys(t, newKey).Decode("two", name)
 	g.Expect(err).To(MatchError(answerid.ErrInvalid))
 }
 
 func TestKeysRotate(t *testing.T) {
 	g := NewWithT(t)
-	name, err := keys(t, oldKey).Name("one", answerid.Reference{Server: "r"})
+	name, err := keys(t, oldKey).Encode("one", answerid.Reference{Server: "r"})
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = keys(t, newKey, oldKey).Open("one", name)
+	_, err = keys(t, newKey, oldKey).Decode("one", name)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = keys(t, newKey).Open("one", name)
+	_, err = keys(t, newKey).Decode("one", name)
 	g.Expect(err).To(MatchError(answerid.ErrInvalid))
 	_, err = answerid.NewKeys([][]byte{[]byte("short")})
 	g.Expect(err).To(HaveOccurred())
@@ -56,7 +56,7 @@
 	}
 	f.Add("ans_AAAAAAAAAAAAAAAAAAAAAAAAAAAA")
 	f.Fuzz(func(t *testing.T, name string) {
-		if _, err := made.Open("one", name); err == nil {
+		if _, err := made.Decode("one", name); err == nil {
 			t.Fatalf("%q opened", name)
 		}
 	})
--- a/internal/api/accept.go
+++ b/internal/api/accept.go
@@ -46,9 +46,9 @@
 		return request, apierror.NotReady("no_configuration", time.Second, "this entry box has no configuration yet")
 	}
 	request.Snapshot = snapshot
-	request.Key = BearerKey(r.Header)
+	request.APIKey = BearerKey(r.Header)
 	request.Method = r.Method
-	request.Idempotency = r.Header.Get(HeaderIdempotency)
+	request.IdempotencyKey = r.Header.Get(HeaderIdempotency)
 	if err := readRepeatable(r.Header, request); err != nil {
 		return request, err
 	}
--- a/internal/api/accept_test.go
+++ b/internal/api/accept_test.go
@@ -19,7 +19,7 @@
 	parsed, refusal := parseModelRequest([]byte(body), fieldMessages, request)
 	g.Expect(refusal).To(BeNil())
 	request.Salt = prefix.NewSalt("o", "m", "v")
-	request.OnEncode(func() []byte { return engineBody(parsed, request) })
+	request.SetEncoder(func() []byte { return engineBody(parsed, request) })
 	sent := request.EngineBody()
 	var got map[string]json.RawMessage
 	g.Expect(json.Unmarshal(sent, &got)).To(Succeed())
--- a/internal/api/models.go
+++ b/internal/api/models.go
@@ -59,14 +59,14 @@
 	}
 	request.Kind = flow.KindModel
 	request.Path = r.URL.Path
-	if _, refusal := authenticate.Organisation(request.Snapshot, request.Key); refusal != nil {
+	if _, refusal := authenticate.Organisation(request.Snapshot, request.APIKey); refusal != nil {
 		return request, nil, refusal // before any room is made for a body
 	}
 	body, refusal := s.readBody(w, r, request.Snapshot.File().Limits.BodyBytes)
 	if refusal != nil {
 		return request, nil, refusal
 	}
-	if request.Idempotency != "" {
+	if request.IdempotencyKey != "" {
 		request.Digest = digestOf(request.Method, request.Path, body)
 	}
 	parsed, refusal := parseModelRequest(body, promptField, request)
@@ -75,7 +75,7 @@
 
 // prepare takes a request through the computing stages.
 func (s *Server) prepare(request *flow.Request, parsed fields) *apierror.Error {
-	request.OnEncode(func() []byte { return engineBody(parsed, request) })
+	request.SetEncoder(func() []byte { return engineBody(parsed, request) })
 	return s.pipeline.Run(request)
 }
 
@@ -162,7 +162,7 @@
 	if refusal != nil {
 		return request, refusal
 	}
-	organisation, refusal := authenticate.Organisation(request.Snapshot, request.Key)
+	organisation, refusal := authenticate.Organisation(request.Snapshot, request.APIKey)
 	request.Organisation = organisation
 	return request, refusal
 }
@@ -220,7 +220,7 @@
 // findAnswer opens an answer's name. Another organisation's is as unknown as
 // one that never was.
 func (s *Server) findAnswer(request *flow.Request, name string) (server *serverEntry, run engine.Run, refusal *apierror.Error) {
-	reference, err := s.keys.Open(request.Organisation.Name, name)
+	reference, err := s.keys.Decode(request.Organisation.Name, name)
 	if err != nil {
 		return nil, run, apierror.Missing("answer_not_found", "there is no such answer")
 	}
--- a/internal/api/once.go
+++ b/internal/api/once.go
@@ -33,13 +33,13 @@
 // A request without a key needs no claim: this process hands it over once, and
 // nobody else knows of it.
 func (s *Server) claimOnce(request *flow.Request) (*onceRun, *claim.Answer, *apierror.Error) {
-	if request.Repeatable || request.Idempotency == "" {
+	if request.Repeatable || request.IdempotencyKey == "" {
 		return nil, nil, nil
 	}
-	if _, err := claim.KeyTime(request.Idempotency); err != nil {
+	if _, err := claim.KeyTime(request.IdempotencyKey); err != nil {
 		return nil, nil, apierror.BadRequest("invalid_idempotency_key", "%s is a UUID of version 7", HeaderIdempotency)
 	}
-	key := claim.Key{Organisation: request.Organisation.Name, Text: request.Idempotency}
+	key := claim.Key{Organisation: request.Organisation.Name, Text: request.IdempotencyKey}
 	ctx, cancel := context.WithTimeout(request.Context(), claimTimeout)
 	defer cancel()
 	decision, err := s.claims.Claim(ctx, key, request.Digest)
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -112,11 +112,11 @@
 // that a caller who got no answer and sends the review again, to whatever box,
 // names the same one.
 func reviewID(request *flow.Request) string {
-	if request.Idempotency == "" {
+	if request.IdempotencyKey == "" {
 		return "resp_" + strings.ReplaceAll(uuid.NewString(), "-", "")
 	}
 	hash := sha256.New()
-	for _, part := range []string{request.Organisation.Name, request.Idempotency} {
+	for _, part := range []string{request.Organisation.Name, request.IdempotencyKey} {
 		sum := sha256.Sum256([]byte(part))
 		hash.Write(sum[:])
 	}
--- a/internal/api/services.go
+++ b/internal/api/services.go
@@ -93,11 +93,11 @@
 	call := &serviceCall{request: request, service: service, target: target, header: plainservice.ForwardHeader(r.Header), length: r.ContentLength}
 	call.header.Del("Authorization")
 	limit := request.Snapshot.File().Limits.BodyBytes
-	if request.Repeatable || request.Idempotency == "" {
+	if request.Repeatable || request.IdempotencyKey == "" {
 		call.body = http.MaxBytesReader(w, r.Body, limit)
 		return call, nil
 	}
-	if _, refusal := authenticate.Organisation(request.Snapshot, request.Key); refusal != nil {
+	if _, refusal := authenticate.Organisation(request.Snapshot, request.APIKey); refusal != nil {
 		return nil, refusal // before any room is made for a body
 	}
 	body, refusal := s.readBody(w, r, limit)
@@ -142,7 +142,7 @@
 	failure := apierror.NotReady("no_server", time.Second, "no server of the plain service can be reached")
 	for _, server := range s.serversOf(call) {
 		s.zone.NoteCall(server.Name)
-		response, err := s.services.Do(call.request.Context(), plainservice.Call{
+		response, err := s.services.Do(call.request.Context(), plainservice.Request{
 			Address: server.Address, Method: call.request.Method, Target: call.target, Header: s.serviceHeader(call),
 			Body: struct{ io.Reader }{call.body}, Length: call.length, Repeatable: call.request.Repeatable,
 		})
@@ -151,7 +151,7 @@
 			return response, nil
 		}
 		s.zone.Failed(server.Name)
-		if errors.Is(err, plainservice.ErrNotHanded) {
+		if errors.Is(err, plainservice.ErrNotSent) {
 			continue
 		}
 		failure = apierror.Failed("no_answer", apierror.Unknown, "the plain service took the call and gave no answer")
--- a/internal/api/sink.go
+++ b/internal/api/sink.go
@@ -34,7 +34,7 @@
 func (s *httpSink) Begin(server *config.BackendServer, run engine.Run) {
 	s.begun = true
 	header := s.w.Header()
-	name, err := s.keys.Name(s.organisation, answerid.Reference{Server: server.Name, RunID: run.ID, Weights: run.Weights, Stream: run.Stream})
+	name, err := s.keys.Encode(s.organisation, answerid.Reference{Server: server.Name, RunID: run.ID, Weights: run.Weights, Stream: run.Stream})
 	if err == nil {
 		header.Set(HeaderAnswerID, name)
 	}
--- a/internal/authenticate/authenticate.go
+++ b/internal/authenticate/authenticate.go
@@ -29,7 +29,7 @@
 // Check finds the organisation of a request and the thing it asks for.
 func Check(request *flow.Request) *apierror.Error {
 	if request.Organisation == nil { // reviews come with theirs, out of the log
-		organisation, err := Organisation(request.Snapshot, request.Key)
+		organisation, err := Organisation(request.Snapshot, request.APIKey)
 		if err != nil {
 			return err
 		}
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -31,12 +31,12 @@
 	Parts []Part
 }
 
-// Facts are what a caller's headers say.
-type Facts struct {
+// RequestInfo are what a caller's headers say.
+type RequestInfo struct {
 	// RequestID names this attempt of the caller.
 	RequestID string
-	// Patience is how long the caller will wait; zero when it does not say.
-	Patience time.Duration
+	// MaxWait is how long the caller will wait; zero when it does not say.
+	MaxWait time.Duration
 	// Key is the caller's secret; it is never logged or passed on.
 	Key string
 	// Prompt is nil for a call of a plain service.
@@ -47,8 +47,8 @@
 	Malformed string
 }
 
-// Handover is what a box tells a backend server with a call.
-type Handover struct {
+// ForwardInfo is what a box tells a backend server with a call.
+type ForwardInfo struct {
 	// Server names the server that the call is meant for; another one refuses it.
 	Server string
 	// Organisation owns the caller's key; empty on public routes.
@@ -58,13 +58,13 @@
 	// ResumeAfter asks a stream to begin after the event of this name.
 	ResumeAfter string
 	// Model is set for calls with a prompt, and with it all that follows.
-	Model *ModelHandover
+	Model *ModelForwardInfo
 }
 
-// ModelHandover is what a runner is told besides.
-type ModelHandover struct {
-	// Weights is the version that must answer; another one refuses.
-	Weights int
+// ModelForwardInfo is what a runner is told besides.
+type ModelForwardInfo struct {
+	// WeightVersion is the version that must answer; another one refuses.
+	WeightVersion int
 	// Namespace keeps kept context apart: a runner finds only what was made
 	// under the same one.
 	Namespace string
@@ -74,13 +74,13 @@
 	// from and to keep it in; an empty string means none.
 	Fetch []string
 	Save  []string
-	// FetchUntil is when a fetch that has not ended is thrown away, on the
+	// FetchDeadline is when a fetch that has not ended is thrown away, on the
 	// servers' clock in milliseconds.
-	FetchUntil int64
+	FetchDeadline int64
 }
 
-// Marks are what an answer says of itself.
-type Marks struct {
+// ResponseInfo are what an answer says of itself.
+type ResponseInfo struct {
 	// NotRun is the backend server's word that it did not run the call.
 	NotRun bool
 	// Genuine says that a backend server made the answer as it is, as far as the
@@ -94,25 +94,25 @@
 	Advisory advisory.Advisory
 }
 
-// Verdict is what an answer of the box's own says of the call, where no backend server
+// FailureInfo is what an answer of the box's own says of the call, where no backend server
 // answered.
-type Verdict struct {
+type FailureInfo struct {
 	// MayHaveRun is false only when the call has certainly not run and never will.
 	MayHaveRun bool
-	// ComeBackAfter is when another try makes sense; zero when nothing is known.
-	ComeBackAfter time.Duration
+	// RetryAfter is when another try makes sense; zero when nothing is known.
+	RetryAfter time.Duration
 }
 
 // Protocol reads and writes the facts of one interface: that of the product's own
 // configuration file (package routed) or, by the platform's adapter, that of the
 // platform. The stages import neither.
 type Protocol interface {
-	// ReadFacts decodes a caller's headers.
-	ReadFacts(header http.Header) Facts
-	// WriteHandover replaces in header whatever only a box may say.
-	WriteHandover(header http.Header, handover Handover)
-	// ReadMarks decodes the head of a backend server's answer.
-	ReadMarks(status int, header http.Header) Marks
-	// WriteVerdict adds a verdict to the head of the box's own answer.
-	WriteVerdict(header http.Header, verdict Verdict)
+	// ReadRequest decodes a caller's headers.
+	ReadRequest(header http.Header) RequestInfo
+	// WriteForwardInfo replaces in header whatever only a box may say.
+	WriteForwardInfo(header http.Header, handover ForwardInfo)
+	// ReadResponse decodes the head of a backend server's answer.
+	ReadResponse(status int, header http.Header) ResponseInfo
+	// WriteFailure adds a verdict to the head of the box's own answer.
+	WriteFailure(header http.Header, verdict FailureInfo)
 }
--- a/internal/call/text.go
+++ b/internal/call/text.go
@@ -43,8 +43,8 @@
 	return parts, true
 }
 
-// SetIf sets a header that has a value.
-func SetIf(header http.Header, name, value string) {
+// SetNonEmpty sets a header that has a value.
+func SetNonEmpty(header http.Header, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
--- a/internal/callerconn/callerconn.go
+++ b/internal/callerconn/callerconn.go
@@ -21,20 +21,20 @@
 	"time"
 )
 
-// Limits are times that callers may take; zero leaves that of the server in place.
-type Limits struct {
+// Timeouts are times that callers may take; zero leaves that of the server in place.
+type Timeouts struct {
 	// Header is the longest time from the first byte of a call to the end of its head.
 	Header time.Duration
 	// Idle is the longest rest of a connection between two calls.
 	Idle time.Duration
 }
 
-// Listener wraps connections so that Track can follow them.
+// Listener wraps connections so that TrackState can follow them.
 type Listener struct {
 	net.Listener
-	// Limits gives the limits in force. The server must have limits of its own, since
+	// Timeouts gives the limits in force. The server must have limits of its own, since
 	// only a deadline that it sets is replaced.
-	Limits func() Limits
+	Timeouts func() Timeouts
 }
 
 // Accept implements net.Listener.
@@ -43,11 +43,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: connection, limits: l.Limits}, nil
+	return &conn{Conn: connection, limits: l.Timeouts}, nil
 }
 
-// Track is the server's ConnState hook.
-func Track(connection net.Conn, state http.ConnState) {
+// TrackState is the server's ConnState hook.
+func TrackState(connection net.Conn, state http.ConnState) {
 	if c, ok := connection.(*conn); ok {
 		c.track(state)
 	}
@@ -56,7 +56,7 @@
 // conn is one connection of a caller.
 type conn struct {
 	net.Conn
-	limits func() Limits
+	limits func() Timeouts
 
 	mu sync.Mutex
 	// working says that the head of a call has been read, and its answer is not over.
--- a/internal/callerconn/callerconn_test.go
+++ b/internal/callerconn/callerconn_test.go
@@ -21,7 +21,7 @@
 	defer listener.Close()
 	client, err = net.Dial("tcp", listener.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
-	server, err = callerconn.Listener{Listener: listener, Limits: func() callerconn.Limits { return callerconn.Limits{} }}.Accept()
+	server, err = callerconn.Listener{Listener: listener, Timeouts: func() callerconn.Timeouts { return callerconn.Timeouts{} }}.Accept()
 	g.Expect(err).NotTo(HaveOccurred())
 	return server, client
 }
@@ -32,21 +32,21 @@
 		before func(server, client net.Conn)
 		closed bool
 	}{
-		{"at rest", func(server, _ net.Conn) { callerconn.Track(server, http.StateIdle) }, true},
+		{"at rest", func(server, _ net.Conn) { callerconn.TrackState(server, http.StateIdle) }, true},
 		{"at rest, and bytes came", func(server, client net.Conn) {
-			callerconn.Track(server, http.StateIdle)
+			callerconn.TrackState(server, http.StateIdle)
 			_, _ = client.Write([]byte("GET"))
 			_, _ = io.ReadFull(server, make([]byte, 3))
 		}, false},
 		{"at work", func(server, client net.Conn) {
-			callerconn.Track(server, http.StateActive)
+			callerconn.TrackState(server, http.StateActive)
 			_, _ = client.Write([]byte("GET"))
 			_, _ = io.ReadFull(server, make([]byte, 3))
 		}, true},
 		{"at rest again", func(server, client net.Conn) {
 			_, _ = client.Write([]byte("GET"))
 			_, _ = io.ReadFull(server, make([]byte, 3))
-			callerconn.Track(server, http.StateIdle)
+			callerconn.TrackState(server, http.StateIdle)
 		}, true},
 	}
 	for _, test := range tests {
@@ -63,7 +63,7 @@
 }
 
 // startServer serves calls at once, with limits of its own that no test waits for.
-func startServer(t *testing.T, limits callerconn.Limits) string {
+func startServer(t *testing.T, limits callerconn.Timeouts) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,10 +74,10 @@
 			_, _ = io.Copy(io.Discard, r.Body)
 			w.WriteHeader(http.StatusNoContent)
 		}),
-		ReadHeaderTimeout: time.Hour, IdleTimeout: time.Hour, ConnState: callerconn.Track,
+		ReadHeaderTimeout: time.Hour, IdleTimeout: time.Hour, ConnState: callerconn.TrackState,
 	}
 	go func() {
-		_ = server.Serve(callerconn.Listener{Listener: listener, Limits: func() callerconn.Limits { return limits }})
+		_ = server.Serve(callerconn.Listener{Listener: listener, Timeouts: func() callerconn.Timeouts { return limits }})
 	}()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
@@ -88,7 +88,7 @@
 	const head = "GET / HTTP/1.1\r\nHost: h\r\n"
 	tests := []struct {
 		name   string
-		limits callerconn.Limits
+		limits callerconn.Timeouts
 		// sent is what the caller sends, and later what it sends when it has the first
 		// answer, before it falls silent; answers is how many answers come before the
 		// connection is closed.
@@ -96,11 +96,11 @@
 		later   string
 		answers int
 	}{
-		{"no call", callerconn.Limits{Header: short, Idle: long}, "", "", 0},
-		{"a head that stops", callerconn.Limits{Header: short, Idle: long}, head, "", 0},
-		{"a rest", callerconn.Limits{Header: long, Idle: short}, head + "\r\n", "", 1},
-		{"the second head stops", callerconn.Limits{Header: short, Idle: long}, head + "\r\n" + head, "", 1},
-		{"the second head stops after two bytes", callerconn.Limits{Header: long, Idle: short}, head + "\r\n", "GE", 1},
+		{"no call", callerconn.Timeouts{Header: short, Idle: long}, "", "", 0},
+		{"a head that stops", callerconn.Timeouts{Header: short, Idle: long}, head, "", 0},
+		{"a rest", callerconn.Timeouts{Header: long, Idle: short}, head + "\r\n", "", 1},
+		{"the second head stops", callerconn.Timeouts{Header: short, Idle: long}, head + "\r\n" + head, "", 1},
+		{"the second head stops after two bytes", callerconn.Timeouts{Header: long, Idle: short}, head + "\r\n", "GE", 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/callerconn/stop_test.go
+++ b/internal/callerconn/stop_test.go
@@ -33,10 +33,10 @@
 				handled.Add(1)
 				w.WriteHeader(http.StatusNoContent)
 			}),
-			ReadHeaderTimeout: time.Minute, IdleTimeout: time.Minute, ConnState: callerconn.Track,
+			ReadHeaderTimeout: time.Minute, IdleTimeout: time.Minute, ConnState: callerconn.TrackState,
 		}
 		go func() {
-			_ = server.Serve(callerconn.Listener{Listener: listener, Limits: func() callerconn.Limits { return callerconn.Limits{} }})
+			_ = server.Serve(callerconn.Listener{Listener: listener, Timeouts: func() callerconn.Timeouts { return callerconn.Timeouts{} }})
 		}()
 		var ready, done sync.WaitGroup
 		begin := make(chan struct{})
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -21,8 +21,8 @@
 const (
 	// Repeatable calls may run more than once.
 	Repeatable Kind = iota + 1
-	// Once calls run at most once.
-	Once
+	// AtMostOnce calls run at most once.
+	AtMostOnce
 	// Stream answers come as a series of events.
 	Stream
 )
@@ -58,8 +58,8 @@
 	Regions []string
 }
 
-// MayRepeat reports whether a call may run a second time.
-func (r *Route) MayRepeat() bool {
+// IsRepeatable reports whether a call may run a second time.
+func (r *Route) IsRepeatable() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
@@ -91,8 +91,8 @@
 	Zone           string
 	CapacityTokens int
 	LinkMbps       float64
-	// FirstByte is the time that each move waits besides its transfer.
-	FirstByte time.Duration
+	// FirstByteLatency is the time that each move waits besides its transfer.
+	FirstByteLatency time.Duration
 }
 
 // KeyHash is the SHA-256 of a key.
@@ -116,10 +116,10 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTime is the longest time that the head of a call may take, IdleTime the
+	// HeaderTimeout is the longest time that the head of a call may take, IdleTimeout the
 	// longest rest of a connection; zero where the configuration names none.
-	HeaderTime time.Duration
-	IdleTime   time.Duration
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Config is the plain data of a Catalog.
@@ -218,8 +218,8 @@
 	return c.keys[sha256.Sum256([]byte(key))]
 }
 
-// ServiceFor gives the service for a call, spread by its number over the weights.
-func (r *Route) ServiceFor(number uint64) string {
+// PickService gives the service for a call, spread by its number over the weights.
+func (r *Route) PickService(number uint64) string {
 	total := 0
 	for _, split := range r.Splits {
 		total += max(split.Weight, 0)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 )
 
 func route(name, host, prefix string) catalog.Route {
-	return catalog.Route{Name: name, Host: host, PathPrefix: prefix, Kind: catalog.Once, Splits: []catalog.Split{{Service: "s", Weight: 1}}}
+	return catalog.Route{Name: name, Host: host, PathPrefix: prefix, Kind: catalog.AtMostOnce, Splits: []catalog.Split{{Service: "s", Weight: 1}}}
 }
 
 func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
@@ -58,7 +58,7 @@
 	r.Splits = []catalog.Split{{Service: "one", Weight: 90}, {Service: "none", Weight: 0}, {Service: "two", Weight: 10}}
 	counts := map[string]int{}
 	for number := range uint64(1000) {
-		counts[r.ServiceFor(number)]++
+		counts[r.PickService(number)]++
 	}
 	g.Expect(counts).To(Equal(map[string]int{"one": 900, "two": 100}))
 }
--- a/internal/claim/fold_test.go
+++ b/internal/claim/fold_test.go
@@ -89,7 +89,7 @@
 		waiting := make(chan result, 1)
 		s.pending[uuid.New()] = waiting
 		s.mu.Unlock()
-		s.Restart(1, time.Now())
+		s.Reset(1, time.Now())
 		g.Expect((<-waiting).err).To(MatchError(ErrUnknown))
 
 		// What the log promises to hold still counts: the key is younger than
--- a/internal/claim/stream.go
+++ b/internal/claim/stream.go
@@ -192,7 +192,7 @@
 	s.mu.Lock()
 	s.appends++
 	s.mu.Unlock()
-	if errors.Is(err, logservice.ErrNotTaken) {
+	if errors.Is(err, logservice.ErrNotAppended) {
 		s.failAll(entries, ErrNoLog)
 		s.keepFinal(ctx, entries)
 	}
@@ -230,7 +230,7 @@
 }
 
 // AtEnd implements tail.Sink.
-func (s *stream) AtEnd() {
+func (s *stream) CaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = true
@@ -238,7 +238,7 @@
 
 // Restart implements tail.Sink. Records that this process has not seen have
 // expired, so what was under way can no longer be decided.
-func (s *stream) Restart(_ int64, began time.Time) {
+func (s *stream) Reset(_ int64, began time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for claimID := range s.pending {
@@ -250,7 +250,7 @@
 }
 
 // Take implements tail.Sink.
-func (s *stream) Take(record logservice.Record) {
+func (s *stream) ApplyRecord(record logservice.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next = record.Offset + 1
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -186,7 +186,7 @@
 
 	// The way of a request.
 	d.budget = retrybudget.New(retrybudget.Config{})
-	d.admit = admit.New(admit.Config{Room: d.room})
+	d.admit = admit.New(admit.Config{InFlightLimit: d.room})
 	placing := place.New(place.Config[decide.TwoHomes]{
 		Knowledge: d.knowledge,
 		Keeper:    d.keeper,
@@ -212,7 +212,7 @@
 	})
 	server = api.New(api.Config{
 		Snapshot: d.follower.Snapshot, Keys: keys, Pipeline: d.pipeline, Dispatcher: d.dispatcher, Relay: relaying,
-		Settle: d.settle, Claims: d.claims, Reviews: d.reviews, Services: plainservice.NewClient(plainservice.ClientConfig{Advised: d.knowledge.Advise}),
+		Settle: d.settle, Claims: d.claims, Reviews: d.reviews, Services: plainservice.NewClient(plainservice.ClientConfig{OnAdvisory: d.knowledge.Advise}),
 		Zone: d.knowledge, Keeper: d.keeper, Budget: d.budget,
 	})
 	d.router = routed.New(routed.Config{
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -152,7 +152,7 @@
 // judge decides whether a request that failed on a server may go to another:
 // nil says that it may.
 func (d *Dispatcher) judge(request *flow.Request, server string, err error) *apierror.Error {
-	if request.Gone() {
+	if request.Canceled() {
 		return flow.CallerGone()
 	}
 	if refused, ok := errors.AsType[*engine.RefusedError](err); ok {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -67,7 +67,7 @@
 			g := NewWithT(t)
 			request := flow.NewRequest(t.Context())
 			request.Path, request.Repeatable = "/v1/completions", c.repeatable
-			request.OnEncode(func() []byte { return []byte("{}") })
+			request.SetEncoder(func() []byte { return []byte("{}") })
 			tried := 0
 			choose := func(request *flow.Request, _ []string) *apierror.Error {
 				if tried == len(c.ways) {
@@ -94,7 +94,7 @@
 	g := NewWithT(t)
 	request := flow.NewRequest(t.Context())
 	request.Path, request.Repeatable = "/v1/completions", true
-	request.OnEncode(func() []byte { return []byte("{}") })
+	request.SetEncoder(func() []byte { return []byte("{}") })
 	request.Placement.Server = serverThat(t, drops)
 	budget := retrybudget.New(retrybudget.Config{})
 	d := dispatch.New(dispatch.Config{
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -45,7 +45,7 @@
 	for range 6 {
 		request := flow.NewRequest(t.Context())
 		request.Path = "/v1/completions"
-		request.OnEncode(func() []byte { return []byte(`{"prompt":"the same"}`) })
+		request.SetEncoder(func() []byte { return []byte(`{"prompt":"the same"}`) })
 		request.Placement.Server = endsUnder(t, fmt.Sprint("placed-", ended))
 		_, last = d.Open(request)
 		g.Expect(last).NotTo(BeNil())
--- a/internal/entrybox/ports.go
+++ b/internal/entrybox/ports.go
@@ -89,7 +89,7 @@
 func (b *Box) assembleServers() {
 	b.callers = &http.Server{
 		Handler: http.HandlerFunc(b.serveCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: callerconn.Track,
+		ConnState: callerconn.TrackState,
 	}
 	b.ready = &http.Server{Handler: b.readyHandler(), ReadHeaderTimeout: headerTimeout}
 	if b.ports.metrics != nil {
@@ -103,7 +103,7 @@
 	if b.collect != nil {
 		b.serve(b.collect, b.ports.metrics)
 	}
-	b.serve(b.callers, callerconn.Listener{Listener: b.ports.callers, Limits: b.callerLimits})
+	b.serve(b.callers, callerconn.Listener{Listener: b.ports.callers, Timeouts: b.callerLimits})
 }
 
 func (b *Box) serve(server *http.Server, listener net.Listener) {
@@ -124,13 +124,13 @@
 }
 
 // callerLimits gives the limits of callers' connections by the configuration in force.
-func (b *Box) callerLimits() callerconn.Limits {
+func (b *Box) callerLimits() callerconn.Timeouts {
 	configuration := b.registry.Catalog()
 	if configuration == nil {
-		return callerconn.Limits{}
+		return callerconn.Timeouts{}
 	}
 	limits := configuration.Limits()
-	return callerconn.Limits{Header: limits.HeaderTime, Idle: limits.IdleTime}
+	return callerconn.Timeouts{Header: limits.HeaderTimeout, Idle: limits.IdleTimeout}
 }
 
 // readyHandler answers the balancer, and collectors of metrics.
--- a/internal/fakelog/fakelog.go
+++ b/internal/fakelog/fakelog.go
@@ -112,7 +112,7 @@
 func (l *Log) AppendAt(ctx context.Context, name string, end int64, data []byte) (int64, error) {
 	faults := l.takeFaults()
 	if faults.Down {
-		return 0, logservice.ErrNotTaken
+		return 0, logservice.ErrNotAppended
 	}
 	if faults.LateAppends > 0 {
 		copied := append([]byte(nil), data...)
--- a/internal/fakelog/handler.go
+++ b/internal/fakelog/handler.go
@@ -34,13 +34,13 @@
 	// A record that was read whole is taken even when the sender goes away.
 	offset, err := l.Append(context.WithoutCancel(r.Context()), r.PathValue("stream"), data)
 	switch {
-	case errors.Is(err, logservice.ErrNotTaken):
+	case errors.Is(err, logservice.ErrNotAppended):
 		http.Error(w, "the log is down", http.StatusServiceUnavailable)
 	case err != nil:
 		// Ending the connection without an answer is what a lost answer is.
 		panic(http.ErrAbortHandler)
 	default:
-		writeJSON(w, http.StatusOK, logservice.AppendAnswer{Offset: offset})
+		writeJSON(w, http.StatusOK, logservice.AppendResponse{Offset: offset})
 	}
 }
 
--- a/internal/fakesharedlog/fakesharedlog.go
+++ b/internal/fakesharedlog/fakesharedlog.go
@@ -54,7 +54,7 @@
 		return offset, nil
 	case errors.Is(err, fakelog.ErrEndMoved):
 		return 0, sharedlog.ErrConflict
-	case errors.Is(err, logservice.ErrNotTaken):
+	case errors.Is(err, logservice.ErrNotAppended):
 		return 0, sharedlog.ErrRefused
 	default:
 		return 0, sharedlog.ErrUnknown
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -33,22 +33,22 @@
 // by the one stage named with it and only read afterwards.
 type Request struct {
 	// Written by accept.
-	ID          string
-	Kind        Kind
-	Arrived     time.Time
-	Key         string // the caller's bearer key; never logged
-	Path        string // path at the backend server
-	Model       string
-	Service     string
-	Method      string
-	Prompt      []byte // the part of the body that the engine prefills
-	Stream      bool
-	Priority    config.Priority
-	Deadline    time.Time // zero: none
-	Repeatable  bool
-	Idempotency string
-	Digest      [32]byte // of the request as the caller sent it; only with a key
-	Snapshot    *config.Snapshot
+	ID             string
+	Kind           Kind
+	Arrived        time.Time
+	APIKey         string // the caller's bearer key; never logged
+	Path           string // path at the backend server
+	Model          string
+	Service        string
+	Method         string
+	Prompt         []byte // the part of the body that the engine prefills
+	Stream         bool
+	Priority       config.Priority
+	Deadline       time.Time // zero: none
+	Repeatable     bool
+	IdempotencyKey string
+	Digest         [32]byte // of the request as the caller sent it; only with a key
+	Snapshot       *config.Snapshot
 
 	// Written by authenticate.
 	Organisation *config.Organisation
@@ -113,11 +113,11 @@
 // Context ends when the caller goes away.
 func (r *Request) Context() context.Context { return r.ctx }
 
-// Gone reports whether the caller has gone away.
-func (r *Request) Gone() bool { return r.ctx.Err() != nil }
+// Canceled reports whether the caller has gone away.
+func (r *Request) Canceled() bool { return r.ctx.Err() != nil }
 
-// OnEncode sets how the engine's body is written, from what the stages found.
-func (r *Request) OnEncode(encode func() []byte) { r.encode = encode }
+// SetEncoder sets how the engine's body is written, from what the stages found.
+func (r *Request) SetEncoder(encode func() []byte) { r.encode = encode }
 
 // EngineBody gives the body for the engine that the request is placed on. The
 // body names the salt of the kept context that the engine may use, so it is
@@ -129,10 +129,10 @@
 	return r.body
 }
 
-// Forget drops what is needed only to hand the request over. Once part of an
+// DropBody drops what is needed only to hand the request over. Once part of an
 // answer has been passed on, the request is never handed over again, and an
 // answer may take minutes: a prompt of 64 KiB must not stay for all of them.
-func (r *Request) Forget() { r.Prompt, r.body, r.encode = nil, nil, nil }
+func (r *Request) DropBody() { r.Prompt, r.body, r.encode = nil, nil, nil }
 
 // Pass ends the way through the computing stages: the request may run.
 func (r *Request) Pass() { r.done <- nil }
@@ -143,9 +143,9 @@
 	r.done <- err
 }
 
-// Decided brings the refusal of the computing stages, or nil when they passed
+// Decision brings the refusal of the computing stages, or nil when they passed
 // the request.
-func (r *Request) Decided() <-chan *apierror.Error { return r.done }
+func (r *Request) Decision() <-chan *apierror.Error { return r.done }
 
 // OnRelease sets how admit gets back the room the request takes.
 func (r *Request) OnRelease(release func()) { r.release = release }
@@ -176,7 +176,7 @@
 		if err != nil {
 			return
 		}
-		if request.Gone() {
+		if request.Canceled() {
 			request.Refuse(CallerGone())
 			continue
 		}
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -20,7 +20,7 @@
 
 // accept reads the headers of a call, finds its route and sets its deadline.
 func (g *Gateway) accept(x *exchange) bool {
-	x.facts = g.cfg.Protocol.ReadFacts(x.request.Header)
+	x.facts = g.cfg.Protocol.ReadRequest(x.request.Header)
 	x.resumeAfter = x.facts.ResumeAfter
 	x.catalog = g.cfg.Catalog()
 	if x.catalog == nil {
@@ -30,7 +30,7 @@
 	if x.route == nil {
 		return g.reject(x, http.StatusNotFound, "no_route")
 	}
-	x.service = x.catalog.Service(x.route.ServiceFor(x.number))
+	x.service = x.catalog.Service(x.route.PickService(x.number))
 	if limit := x.catalog.Limits().HeaderBytes; limit > 0 && headerBytes(x.request) > limit {
 		return g.reject(x, http.StatusRequestHeaderFieldsTooLarge, "header_too_large")
 	}
@@ -42,8 +42,8 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if x.facts.Patience > 0 {
-		timeout = min(timeout, x.facts.Patience)
+	if x.facts.MaxWait > 0 {
+		timeout = min(timeout, x.facts.MaxWait)
 	}
 	x.deadline = x.arrived.Add(timeout)
 	return true
--- a/internal/gateway/asyncsend.go
+++ b/internal/gateway/asyncsend.go
@@ -123,8 +123,8 @@
 	return !accepted
 }
 
-func (s *asyncSend) marks() call.Marks {
-	return s.hedge.gateway.cfg.Protocol.ReadMarks(s.response.Status, s.response.Header)
+func (s *asyncSend) marks() call.ResponseInfo {
+	return s.hedge.gateway.cfg.Protocol.ReadResponse(s.response.Status, s.response.Header)
 }
 
 // finishFailed releases the attempt of a failed send and records what the failure shows about the
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -77,7 +77,7 @@
 		return a.handleNoResponse(err)
 	}
 	defer response.Close()
-	marks := a.gateway.cfg.Protocol.ReadMarks(response.Status, response.Header)
+	marks := a.gateway.cfg.Protocol.ReadResponse(response.Status, response.Header)
 	if marks.NotRun {
 		return a.handleRefusal(response, marks)
 	}
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	marks := a.gateway.cfg.Protocol.ReadMarks(response.Status, response.Header)
+	marks := a.gateway.cfg.Protocol.ReadResponse(response.Status, response.Header)
 	a.gateway.cfg.Fleet.ApplyAdvisory(a.respondingServer(response.Status, marks), advisory.Answer{
 		Advisory: marks.Advisory, Sent: sent, Received: boottime.Now(), Genuine: marks.Genuine,
 	})
@@ -123,7 +123,7 @@
 
 // respondingServer returns the incarnation that responded: a new incarnation may be running at the
 // server's address.
-func (a *attempt) respondingServer(status int, marks call.Marks) string {
+func (a *attempt) respondingServer(status int, marks call.ResponseInfo) string {
 	server := a.chosen.hold.Server()
 	if status == http.StatusMisdirectedRequest && marks.Server != "" && marks.Server != server.TargetName() {
 		return marks.Server
@@ -138,9 +138,9 @@
 func (a *attempt) buildRequest() handover.Request {
 	x := a.x
 	header := endToEndHeaders(x.request.Header)
-	a.gateway.cfg.Protocol.WriteHandover(header, x.handoverData(a.chosen, a.gateway.serverTimeout(x, a.chosen)))
+	a.gateway.cfg.Protocol.WriteForwardInfo(header, x.handoverData(a.chosen, a.gateway.serverTimeout(x, a.chosen)))
 	maxIdle := maxIdleOnce
-	if x.route.MayRepeat() {
+	if x.route.IsRepeatable() {
 		maxIdle = maxIdleRepeatable
 	}
 	return handover.Request{
@@ -151,6 +151,6 @@
 
 // matches reports whether a response names this call, or names none.
 func (a *attempt) matches(response *http.Response) bool {
-	marks := a.gateway.cfg.Protocol.ReadMarks(response.StatusCode, response.Header)
+	marks := a.gateway.cfg.Protocol.ReadResponse(response.StatusCode, response.Header)
 	return marks.RequestID == "" || marks.RequestID == a.x.facts.RequestID
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -175,18 +175,18 @@
 }
 
 // handoverData returns the data that the chosen server gets with the call.
-func (x *exchange) handoverData(chosen placement, timeout time.Duration) call.Handover {
+func (x *exchange) handoverData(chosen placement, timeout time.Duration) call.ForwardInfo {
 	server := chosen.hold.Server()
-	data := call.Handover{Server: server.TargetName(), Remaining: timeout, ResumeAfter: x.resumeAfter}
+	data := call.ForwardInfo{Server: server.TargetName(), Remaining: timeout, ResumeAfter: x.resumeAfter}
 	if x.organisation != nil {
 		data.Organisation = x.organisation.Name
 	}
 	if chosen.namespace == "" {
 		return data
 	}
-	data.Model = &call.ModelHandover{
-		Weights: chosen.hold.Weights(), Namespace: chosen.namespace, Urgency: x.priority,
-		Fetch: chosen.plan.Fetch, Save: chosen.plan.Save, FetchUntil: chosen.plan.Until,
+	data.Model = &call.ModelForwardInfo{
+		WeightVersion: chosen.hold.Weights(), Namespace: chosen.namespace, Urgency: x.priority,
+		Fetch: chosen.plan.Fetch, Save: chosen.plan.Save, FetchDeadline: chosen.plan.Until,
 	}
 	return data
 }
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -25,31 +25,31 @@
 // planProtocol is a protocol that records which parts servers are asked to save and to fetch. A
 // response with status 503 means that the call did not run.
 type planProtocol struct {
-	facts call.Facts
+	facts call.RequestInfo
 
 	mu      sync.Mutex
 	saves   [][]string
 	fetches [][]string
 }
 
-func (p *planProtocol) ReadFacts(http.Header) call.Facts { return p.facts }
+func (p *planProtocol) ReadRequest(http.Header) call.RequestInfo { return p.facts }
 
-func (p *planProtocol) WriteHandover(_ http.Header, handover call.Handover) {
+func (p *planProtocol) WriteForwardInfo(_ http.Header, handover call.ForwardInfo) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.saves = append(p.saves, slices.Clone(handover.Model.Save))
 	p.fetches = append(p.fetches, slices.Clone(handover.Model.Fetch))
 }
 
-func (p *planProtocol) ReadMarks(status int, _ http.Header) call.Marks {
-	return call.Marks{NotRun: status == http.StatusServiceUnavailable, Genuine: true}
+func (p *planProtocol) ReadResponse(status int, _ http.Header) call.ResponseInfo {
+	return call.ResponseInfo{NotRun: status == http.StatusServiceUnavailable, Genuine: true}
 }
 
-func (p *planProtocol) WriteVerdict(http.Header, call.Verdict) {}
+func (p *planProtocol) WriteFailure(http.Header, call.FailureInfo) {}
 
 // newPlanProtocol makes a protocol whose calls all have a prompt with one shared part.
 func newPlanProtocol() *planProtocol {
-	return &planProtocol{facts: call.Facts{
+	return &planProtocol{facts: call.RequestInfo{
 		RequestID: "q", Prompt: &call.Prompt{Model: "m", Tokens: 5100, Parts: []call.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 100}}},
 	}}
 }
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -38,14 +38,14 @@
 // turn.
 func (g *Gateway) refuse(x *exchange, reason string, retryAfter time.Duration) bool {
 	x.outcome = outcomeRefused
-	g.cfg.Protocol.WriteVerdict(x.writer.Header(), call.Verdict{ComeBackAfter: retryAfter})
+	g.cfg.Protocol.WriteFailure(x.writer.Header(), call.FailureInfo{RetryAfter: retryAfter})
 	return g.writeError(x, http.StatusServiceUnavailable, reason, "the request was not run; it may be sent again")
 }
 
 // reject ends a call that is itself invalid.
 func (g *Gateway) reject(x *exchange, status int, reason string) bool {
 	x.outcome = outcomeRejected
-	g.cfg.Protocol.WriteVerdict(x.writer.Header(), call.Verdict{})
+	g.cfg.Protocol.WriteFailure(x.writer.Header(), call.FailureInfo{})
 	return g.writeError(x, status, reason, "the request cannot be served as it is")
 }
 
@@ -57,7 +57,7 @@
 		return
 	}
 	x.outcome = outcomeUnknown
-	g.cfg.Protocol.WriteVerdict(x.writer.Header(), call.Verdict{MayHaveRun: true})
+	g.cfg.Protocol.WriteFailure(x.writer.Header(), call.FailureInfo{MayHaveRun: true})
 	status := http.StatusBadGateway
 	if !boottime.Now().Before(x.deadline) {
 		status = http.StatusGatewayTimeout
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -82,7 +82,7 @@
 		return stepSwitched
 	}
 	repeatedCrash := a.isRepeatedCrash(end)
-	if a.x.route.MayRepeat() && !outOfTime && !repeatedCrash {
+	if a.x.route.IsRepeatable() && !outOfTime && !repeatedCrash {
 		return stepNextServer
 	}
 	a.gateway.endCall(a.x, reason, 0)
@@ -90,7 +90,7 @@
 }
 
 // handleRefusal handles a response which says that the server did not run the call.
-func (a *attempt) handleRefusal(response *handover.Response, marks call.Marks) nextStep {
+func (a *attempt) handleRefusal(response *handover.Response, marks call.ResponseInfo) nextStep {
 	a.recordRefusal(response, marks)
 	if a.watch.switchToHedge() {
 		return stepSwitched
@@ -104,7 +104,7 @@
 
 // recordRefusal records that the server did not run the call, and what the refusal shows about the
 // server.
-func (a *attempt) recordRefusal(response *handover.Response, marks call.Marks) {
+func (a *attempt) recordRefusal(response *handover.Response, marks call.ResponseInfo) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBytes)) // so that the connection can be reused
 	server := a.chosen.hold.Server()
 	replaced := marks.Server != "" && marks.Server != server.TargetName()
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -148,5 +148,5 @@
 
 // mayRetry reports whether the call may run once more after it may have run.
 func (x *exchange) mayRetry() bool {
-	return x.route.MayRepeat() && x.serversReached < x.maxServers()
+	return x.route.IsRepeatable() && x.serversReached < x.maxServers()
 }
--- a/internal/gateway/stalledservers_test.go
+++ b/internal/gateway/stalledservers_test.go
@@ -151,4 +151,4 @@
 // plainProtocol is planProtocol for calls without a prompt.
 type plainProtocol struct{ *planProtocol }
 
-func (plainProtocol) WriteHandover(http.Header, call.Handover) {}
+func (plainProtocol) WriteForwardInfo(http.Header, call.ForwardInfo) {}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -60,7 +60,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastReceivedAt = boottime.Now()
-	if w.current.x.route.MayRepeat() {
+	if w.current.x.route.IsRepeatable() {
 		w.scheduleCheck(w.observe(w.lastReceivedAt).IdleLimit())
 	}
 }
--- a/internal/logservice/client.go
+++ b/internal/logservice/client.go
@@ -51,8 +51,8 @@
 	return &Client{address: cfg.Address, timeout: timeout, http: http.Client{Transport: transport}}
 }
 
-// AppendAnswer is the body of an answered append.
-type AppendAnswer struct {
+// AppendResponse is the body of an answered append.
+type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
@@ -75,12 +75,12 @@
 	}
 	defer closeBody(response.Body)
 	if response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests {
-		return 0, ErrNotTaken
+		return 0, ErrNotAppended
 	}
 	if response.StatusCode != http.StatusOK {
 		return 0, ErrAmbiguous
 	}
-	var answer AppendAnswer
+	var answer AppendResponse
 	if err := json.NewDecoder(io.LimitReader(response.Body, 1<<10)).Decode(&answer); err != nil {
 		return 0, ErrAmbiguous
 	}
@@ -91,7 +91,7 @@
 // others: only a connection that was never made proves that.
 func appendError(err error) error {
 	if operation, ok := errors.AsType[*net.OpError](err); ok && operation.Op == "dial" {
-		return merry.Wrap(ErrNotTaken, merry.WithCause(err))
+		return merry.Wrap(ErrNotAppended, merry.WithCause(err))
 	}
 	return merry.Wrap(ErrAmbiguous, merry.WithCause(err))
 }
--- a/internal/logservice/logservice.go
+++ b/internal/logservice/logservice.go
@@ -46,7 +46,7 @@
 
 // Log is the platform's append-only log.
 type Log interface {
-	// Append adds a record and gives its offset. The error is ErrNotTaken when
+	// Append adds a record and gives its offset. The error is ErrNotAppended when
 	// the record is certainly not in the log, and ErrAmbiguous when it may be
 	// there now or appear later.
 	Append(ctx context.Context, stream string, data []byte) (int64, error)
@@ -55,8 +55,8 @@
 	Read(ctx context.Context, stream string, opts ReadOptions) (Page, error)
 }
 
-// ErrNotTaken says that an append certainly had no effect.
-var ErrNotTaken = merry.Sentinel("the log service did not take the record")
+// ErrNotAppended says that an append certainly had no effect.
+var ErrNotAppended = merry.Sentinel("the log service did not take the record")
 
 // ErrAmbiguous says that an append may have had an effect.
 var ErrAmbiguous = merry.Sentinel("no answer from the log service: the record may have been taken")
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -122,12 +122,12 @@
 		}
 		s.name, s.config = service.Name, *service.Store
 		stores = append(stores, s)
-		if lowestLatency < 0 || s.config.FirstByte < lowestLatency {
-			lowestLatency = s.config.FirstByte
+		if lowestLatency < 0 || s.config.FirstByteLatency < lowestLatency {
+			lowestLatency = s.config.FirstByteLatency
 		}
 	}
 	for _, s := range stores {
-		s.fast = s.config.FirstByte == lowestLatency || !x.cfg.Off.Enabled(mechanism.StoreKinds)
+		s.fast = s.config.FirstByteLatency == lowestLatency || !x.cfg.Off.Enabled(mechanism.StoreKinds)
 	}
 	slices.SortFunc(stores, func(a, b *store) int { return compare(a.config.Address, b.config.Address) })
 	x.stores = stores
--- a/internal/partindex/partindex_test.go
+++ b/internal/partindex/partindex_test.go
@@ -20,8 +20,8 @@
 
 func services() []catalog.Service {
 	return []catalog.Service{
-		{Name: "quick", Store: &catalog.Store{Address: fast, CapacityTokens: 20_000, LinkMbps: 100_000, FirstByte: time.Millisecond}},
-		{Name: "large", Store: &catalog.Store{Address: large, CapacityTokens: 100_000, LinkMbps: 100_000, FirstByte: 6 * time.Millisecond}},
+		{Name: "quick", Store: &catalog.Store{Address: fast, CapacityTokens: 20_000, LinkMbps: 100_000, FirstByteLatency: time.Millisecond}},
+		{Name: "large", Store: &catalog.Store{Address: large, CapacityTokens: 100_000, LinkMbps: 100_000, FirstByteLatency: 6 * time.Millisecond}},
 		{Name: "runners"},
 	}
 }
--- a/internal/partindex/plan.go
+++ b/internal/partindex/plan.go
@@ -123,10 +123,10 @@
 // moveTime estimates the duration of a transfer within a zone, from its start.
 func moveTime(s *store, tokens, bytesPerToken int) time.Duration {
 	if s.config.LinkMbps <= 0 {
-		return s.config.FirstByte
+		return s.config.FirstByteLatency
 	}
 	megabits := float64(tokens) * float64(bytesPerToken) * 8 / 1e6
-	return s.config.FirstByte + time.Duration(megabits/s.config.LinkMbps*float64(time.Second))
+	return s.config.FirstByteLatency + time.Duration(megabits/s.config.LinkMbps*float64(time.Second))
 }
 
 // findHolder finds a store box that holds a complete part according to recent state.
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -83,14 +83,14 @@
 func (p *Pipeline) Run(request *flow.Request) *apierror.Error {
 	p.offer(0, request)
 	select {
-	case refusal := <-request.Decided():
+	case refusal := <-request.Decision():
 		return refusal
 	case <-p.stopped:
 	}
 	// All loops have ended, so nobody decides on the request any more; it may
 	// have been decided just before.
 	select {
-	case refusal := <-request.Decided():
+	case refusal := <-request.Decision():
 		return refusal
 	default:
 		return apierror.NotReady("stopping", time.Second, "this entry box is stopping")
--- a/internal/plainservice/plainservice.go
+++ b/internal/plainservice/plainservice.go
@@ -24,18 +24,18 @@
 
 // Errors of a call.
 var (
-	// ErrNotHanded says that no byte of the call left this process.
-	ErrNotHanded = merry.Sentinel("the plain service could not be reached")
-	// ErrNoAnswer says that the call was handed over and no answer came back.
-	ErrNoAnswer = merry.Sentinel("the plain service gave no answer")
+	// ErrNotSent says that no byte of the call left this process.
+	ErrNotSent = merry.Sentinel("the plain service could not be reached")
+	// ErrNoResponse says that the call was handed over and no answer came back.
+	ErrNoResponse = merry.Sentinel("the plain service gave no answer")
 )
 
 // ClientConfig sets up a Client.
 type ClientConfig struct {
 	// DialTimeout bounds the making of a connection.
 	DialTimeout time.Duration
-	// Advised is told what answers say of the server at an address; it may be nil.
-	Advised func(address string, answer advisory.Answer)
+	// OnAdvisory is told what answers say of the server at an address; it may be nil.
+	OnAdvisory func(address string, answer advisory.Answer)
 }
 
 // Client calls the plain services of a zone.
@@ -55,7 +55,7 @@
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout}
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{
-		advised: cfg.Advised,
+		advised: cfg.OnAdvisory,
 		repeatable: http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
 			DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 		}},
@@ -65,8 +65,8 @@
 	}
 }
 
-// Call is one call of a plain service.
-type Call struct {
+// Request is one call of a plain service.
+type Request struct {
 	// Address is the IP address and port of the backend server.
 	Address string
 	// Method and Target (path and query) are as the caller sent them; Header is
@@ -82,11 +82,11 @@
 }
 
 // Do hands the call over, once, and gives the answer, whose body the caller of
-// Do closes. The error is ErrNotHanded or ErrNoAnswer.
-func (c *Client) Do(ctx context.Context, call Call) (*http.Response, error) {
+// Do closes. The error is ErrNotSent or ErrNoResponse.
+func (c *Client) Do(ctx context.Context, call Request) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+call.Address+call.Target, call.Body)
 	if err != nil {
-		return nil, merry.Wrap(ErrNotHanded, merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(ErrNotSent, merry.AppendMessage(err.Error()))
 	}
 	request.GetBody = nil
 	request.ContentLength = call.Length
@@ -106,9 +106,9 @@
 		return response, nil
 	}
 	if operation, ok := errors.AsType[*net.OpError](err); ok && operation.Op == "dial" {
-		return nil, merry.Wrap(ErrNotHanded, merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(ErrNotSent, merry.AppendMessage(err.Error()))
 	}
-	return nil, merry.Wrap(ErrNoAnswer, merry.AppendMessage(err.Error()))
+	return nil, merry.Wrap(ErrNoResponse, merry.AppendMessage(err.Error()))
 }
 
 // advise passes on what an answer says of its server.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -74,7 +74,7 @@
 		if err == nil {
 			return result
 		}
-		if errors.Is(err, errSink) || request.Gone() {
+		if errors.Is(err, errSink) || request.Canceled() {
 			r.cancel(attempt)
 			result.Failure = callerGone(result.Chunks)
 			return result
@@ -89,7 +89,7 @@
 			attempt.Stream = stream
 			continue
 		}
-		if request.Gone() {
+		if request.Canceled() {
 			r.cancel(attempt)
 			result.Failure = callerGone(result.Chunks)
 			return result
@@ -120,7 +120,7 @@
 		if result.Chunks == 0 {
 			result.FirstChunk = time.Now()
 			request.Placement.Handle.FirstToken()
-			request.Forget()
+			request.DropBody()
 			attempt.Run.Body = nil
 			sink.Begin(attempt.Server, attempt.Run)
 		}
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -134,7 +134,7 @@
 }
 
 // Take implements tail.Sink.
-func (s *Service) Take(record logservice.Record) {
+func (s *Service) ApplyRecord(record logservice.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.fold.apply(record.Offset, record.Time, record.Data)
@@ -148,7 +148,7 @@
 // Restart implements tail.Sink. All that is still needed was appended again in
 // time, so reading on from the earliest held record finds it; what was known
 // stays known.
-func (s *Service) Restart(int64, time.Time) {
+func (s *Service) Reset(int64, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = false
@@ -156,7 +156,7 @@
 }
 
 // AtEnd implements tail.Sink.
-func (s *Service) AtEnd() {
+func (s *Service) CaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = true
@@ -212,7 +212,7 @@
 		}
 		_, err = s.cfg.Log.Append(ctx, Stream, data)
 		switch {
-		case errors.Is(err, logservice.ErrNotTaken):
+		case errors.Is(err, logservice.ErrNotAppended):
 			return ErrNotAccepted
 		case err != nil && record.Part < record.Parts-1:
 			return ErrNotAccepted // the parts after this one were never sent
--- a/internal/routed/convert.go
+++ b/internal/routed/convert.go
@@ -20,7 +20,7 @@
 const headerLimit = 64 << 10
 
 var kinds = map[config.RouteKind]catalog.Kind{
-	config.RouteRepeatable: catalog.Repeatable, config.RouteOnce: catalog.Once, config.RouteStream: catalog.Stream,
+	config.RouteRepeatable: catalog.Repeatable, config.RouteOnce: catalog.AtMostOnce, config.RouteStream: catalog.Stream,
 }
 
 // catalogOf gives the routes of a version of the configuration, with all they need.
--- a/internal/routed/headers.go
+++ b/internal/routed/headers.go
@@ -60,8 +60,8 @@
 type Headers struct{}
 
 // ReadFacts implements call.Protocol.
-func (Headers) ReadFacts(header http.Header) call.Facts {
-	facts := call.Facts{
+func (Headers) ReadRequest(header http.Header) call.RequestInfo {
+	facts := call.RequestInfo{
 		RequestID: header.Get(api.HeaderRequestID), ResumeAfter: header.Get(headerResumeAfter), Key: api.BearerKey(header),
 	}
 	if text := header.Get(api.HeaderDeadline); text != "" {
@@ -70,7 +70,7 @@
 			facts.Malformed = "bad_deadline"
 			return facts
 		}
-		facts.Patience = patience
+		facts.MaxWait = patience
 	}
 	model := header.Get(headerModel)
 	if model == "" {
@@ -97,16 +97,16 @@
 
 // WriteHandover implements call.Protocol. The weights that are meant are in the
 // namespace.
-func (Headers) WriteHandover(header http.Header, handover call.Handover) {
+func (Headers) WriteForwardInfo(header http.Header, handover call.ForwardInfo) {
 	for _, name := range boxOnly {
 		header.Del(name)
 	}
 	// A server that chose an encoding by itself could not be resumed by another.
 	header.Set(headerEncodings, "identity")
 	header.Set(headerRemaining, strconv.FormatFloat(max(handover.Remaining.Seconds(), 0), 'f', secondsDecimals, 64))
-	call.SetIf(header, headerIncarnation, incarnationIn(handover.Server))
-	call.SetIf(header, headerOrganisation, handover.Organisation)
-	call.SetIf(header, headerResumeAfter, handover.ResumeAfter)
+	call.SetNonEmpty(header, headerIncarnation, incarnationIn(handover.Server))
+	call.SetNonEmpty(header, headerOrganisation, handover.Organisation)
+	call.SetNonEmpty(header, headerResumeAfter, handover.ResumeAfter)
 	if handover.Model != nil {
 		header.Set(headerNamespace, handover.Model.Namespace)
 		header.Set(headerPriority, string(priorityOf(handover.Model.Urgency)))
@@ -116,8 +116,8 @@
 // ReadMarks implements call.Protocol. A server says with Cometlock-Outcome that it did
 // not run a call; nothing else counts as that. Its answers are not signed: that they
 // come from its address is all that is known.
-func (Headers) ReadMarks(status int, header http.Header) call.Marks {
-	return call.Marks{
+func (Headers) ReadResponse(status int, header http.Header) call.ResponseInfo {
+	return call.ResponseInfo{
 		Genuine: true, NotRun: header.Get(api.HeaderOutcome) == string(apierror.NotRun), RequestID: header.Get(api.HeaderRequestID),
 		Server:   header.Get(headerIncarnation),
 		Advisory: selfheaders.Read(status, header),
@@ -125,14 +125,14 @@
 }
 
 // WriteVerdict implements call.Protocol.
-func (Headers) WriteVerdict(header http.Header, verdict call.Verdict) {
+func (Headers) WriteFailure(header http.Header, verdict call.FailureInfo) {
 	outcome := apierror.NotRun
 	if verdict.MayHaveRun {
 		outcome = apierror.Unknown
 	}
 	header.Set(api.HeaderOutcome, string(outcome))
-	if verdict.ComeBackAfter > 0 {
-		header.Set(headerComeBack, strconv.Itoa(int(math.Ceil(verdict.ComeBackAfter.Seconds()))))
+	if verdict.RetryAfter > 0 {
+		header.Set(headerComeBack, strconv.Itoa(int(math.Ceil(verdict.RetryAfter.Seconds()))))
 	}
 }
 
--- a/internal/routed/headers_test.go
+++ b/internal/routed/headers_test.go
@@ -17,12 +17,12 @@
 			"Cometlock-Deadline": {deadline}, "Cometlock-Model": {"m"}, "Cometlock-Prompt-Tokens": {tokens},
 			"Cometlock-Answer-Tokens": {answer}, "Cometlock-Prompt-Parts": {parts},
 		}
-		facts := Headers{}.ReadFacts(header)
+		facts := Headers{}.ReadRequest(header)
 		if facts.Malformed != "" {
 			return
 		}
-		if facts.Patience < 0 || facts.Patience > 366*24*time.Hour {
-			t.Fatalf("a patience of %v", facts.Patience)
+		if facts.MaxWait < 0 || facts.MaxWait > 366*24*time.Hour {
+			t.Fatalf("a patience of %v", facts.MaxWait)
 		}
 		total := facts.Prompt.Tokens + facts.Prompt.AnswerTokens
 		for _, part := range facts.Prompt.Parts {
--- a/internal/tail/tail.go
+++ b/internal/tail/tail.go
@@ -12,14 +12,14 @@
 
 // Sink takes what is read, from one goroutine.
 type Sink interface {
-	// Take is given each record, in order.
-	Take(record logservice.Record)
-	// Restart says that records which were not read have expired, and that
+	// ApplyRecord is given each record, in order.
+	ApplyRecord(record logservice.Record)
+	// Reset says that records which were not read have expired, and that
 	// reading begins again at the earliest held one. Began is when the read
 	// that found out was sent.
-	Restart(earliest int64, began time.Time)
-	// AtEnd says that all records up to the present end have been taken.
-	AtEnd()
+	Reset(earliest int64, began time.Time)
+	// CaughtUp says that all records up to the present end have been taken.
+	CaughtUp()
 }
 
 // Config sets up a Tail.
@@ -76,7 +76,7 @@
 	page, err := t.cfg.Log.Read(ctx, t.cfg.Stream, logservice.ReadOptions{From: t.next, Wait: wait})
 	if expired, ok := errors.AsType[*logservice.ExpiredError](err); ok {
 		t.next, t.atEnd = expired.Earliest, false
-		t.cfg.Sink.Restart(expired.Earliest, began)
+		t.cfg.Sink.Reset(expired.Earliest, began)
 		return nil
 	}
 	if err != nil {
@@ -84,11 +84,11 @@
 	}
 	for _, record := range page.Records {
 		t.next = record.Offset + 1
-		t.cfg.Sink.Take(record)
+		t.cfg.Sink.ApplyRecord(record)
 	}
 	if t.next >= page.Next {
 		t.atEnd = true
-		t.cfg.Sink.AtEnd()
+		t.cfg.Sink.CaughtUp()
 	}
 	return nil
 }
