--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,8 +1,8 @@
-// Package catalog holds the configuration that calls are routed by: routes by
-// host and path prefix, backend services, organisations with their keys.
+// Package catalog is the routing table of the entry boxes: routes by host and path prefix, backend
+// services, and organisations with their API keys.
 //
-// A Catalog is a whole: it is built once from plain data, never changed, and
-// replaced by a newer one at once. A call keeps the one that it began with.
+// A Catalog is an immutable snapshot, built from plain data and replaced as a whole by a newer
+// version. A call uses the version that was current when it arrived.
 package catalog
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Kind says what may be done with a call when its outcome is in doubt.
+// Kind determines whether a call may be retried when its outcome is unknown.
 type Kind uint8
 
 // Kinds of route.
@@ -23,38 +23,38 @@
 	Repeatable Kind = iota + 1
 	// AtMostOnce calls run at most once.
 	AtMostOnce
-	// Stream answers come as a series of events.
+	// Stream calls return a stream of server-sent events.
 	Stream
 )
 
-// Split sends a share of a route's calls to a service.
+// Split assigns a weighted share of a route's calls to a service.
 type Split struct {
 	Service string
 	Weight  int
 }
 
-// Route says how calls of a host and path prefix are treated.
+// Route holds the settings of the calls that match a host and path prefix.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a call is held.
+	// Timeout bounds the total time of a call.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is worth most.
+	// Objective is the latency target for the response, or for the first event of a stream. A later
+	// response is worth less to the caller.
 	Objective time.Duration
-	// Urgency is the rank among routes; 0 goes first.
+	// Urgency orders calls of different routes; calls with the lowest value are served first.
 	Urgency int
-	// Splits name the services that calls go to, by weight; at least one.
+	// Splits lists the services of the route with their weights. It has at least one entry.
 	Splits []Split
 	// MaxServers bounds the backend servers that one call may be sent to.
 	MaxServers int
-	// Public routes need no key.
+	// Public routes accept calls without an API key.
 	Public bool
-	// Resumable streams may go on at another runner after the last event.
+	// Resumable streams may continue on another runner after the last event that was sent.
 	Resumable bool
-	// Regions are those that calls may run in; none means all.
+	// Regions lists the regions in which calls may run; if it is empty, all are allowed.
 	Regions []string
 }
 
@@ -63,13 +63,13 @@
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
-// Service is a group of alike backend servers, or one store box.
+// Service is a group of interchangeable backend servers, or one store box.
 type Service struct {
 	Name string
-	// ConnectionLimit bounds the connections to each server, of all boxes.
+	// ConnectionLimit bounds the connections to each server, summed over all boxes.
 	ConnectionLimit int
-	// ColdStart is how long a server is cold after its start, and ColdPerSecond how many calls a
-	// second it bears then; zero is no bound.
+	// ColdStart is how long a server is cold after its start. ColdPerSecond bounds the calls per
+	// second that it gets in that time; zero means no bound.
 	ColdStart     time.Duration
 	ColdPerSecond float64
 	// Engine is set for runners, Store for a store box.
@@ -79,9 +79,9 @@
 
 // Engine describes the runners of a service.
 type Engine struct {
-	// CapacityTokens is how much context a runner's memory takes.
+	// CapacityTokens is the number of tokens that fit into a runner's KV cache.
 	CapacityTokens int
-	// BytesPerToken is what a token of kept context weighs.
+	// BytesPerToken is the size of the KV cache of one token.
 	BytesPerToken int
 }
 
@@ -91,49 +91,50 @@
 	Zone           string
 	CapacityTokens int
 	LinkMbps       float64
-	// FirstByteLatency is the time that each move waits besides its transfer.
+	// FirstByteLatency is the fixed delay of each transfer, in addition to the transfer time.
 	FirstByteLatency time.Duration
 }
 
-// KeyHash is the SHA-256 of a key.
+// KeyHash is the SHA-256 hash of an API key.
 type KeyHash [sha256.Size]byte
 
-// Organisation owns keys.
+// Organisation is a customer, identified by its API keys.
 type Organisation struct {
 	Name string
-	// Keys are given as they are or by their hashes.
+	// Keys holds API keys in clear text, KeyHashes those that are configured by hash.
 	Keys      []string
 	KeyHashes []KeyHash
-	// Isolated organisations share kept context with no other.
+	// Isolated organisations share no KV cache with others.
 	Isolated bool
-	// Urgency goes before that of the route, where it is set.
+	// Urgency, if set, overrides that of the route.
 	Urgency *int
-	// Regions are those that its calls may run in; none means all.
+	// Regions lists the regions in which the organisation's calls may run; if it is empty, all are
+	// allowed.
 	Regions []string
 }
 
-// Limits bound what callers may send.
+// Limits bounds what callers may send.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout is the longest time that the head of a call may take, IdleTimeout the
-	// longest rest of a connection; zero where the configuration names none.
+	// HeaderTimeout bounds the time to receive the headers of a call, IdleTimeout the idle time of a
+	// connection. Both are zero if the configuration sets none.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// Config is the plain data of a Catalog.
+// Config is the plain data from which a Catalog is built.
 type Config struct {
 	Version       int64
 	Routes        []Route
 	Services      []Service
 	Organisations []Organisation
-	// KeysRequired says that callers of routes that are not public need a key.
+	// KeysRequired requires an API key on routes that are not public.
 	KeysRequired bool
 	Limits       Limits
 }
 
-// Catalog is one version of the configuration.
+// Catalog is one version of the routing table.
 type Catalog struct {
 	cfg      Config
 	byHost   map[string][]*Route
@@ -141,7 +142,7 @@
 	keys     map[KeyHash]*Organisation
 }
 
-// New checks the data and builds what look-ups need.
+// New validates the configuration and builds the lookup tables.
 func New(cfg Config) (*Catalog, error) {
 	c := &Catalog{cfg: cfg, byHost: map[string][]*Route{}, services: map[string]*Service{}, keys: map[KeyHash]*Organisation{}}
 	for i := range cfg.Services {
@@ -171,35 +172,35 @@
 
 func (c *Catalog) checkRoute(route *Route) error {
 	if route.Kind < Repeatable || route.Kind > Stream {
-		return merry.Errorf("route %q: no kind", route.Name)
+		return merry.Errorf("route %q: kind is missing or unknown", route.Name)
 	}
 	if len(route.Splits) == 0 {
-		return merry.Errorf("route %q: no service", route.Name)
+		return merry.Errorf("route %q: no service is configured", route.Name)
 	}
 	for _, split := range route.Splits {
 		if c.services[split.Service] == nil {
-			return merry.Errorf("route %q: no service %q", route.Name, split.Service)
+			return merry.Errorf("route %q: service %q is not configured", route.Name, split.Service)
 		}
 	}
 	return nil
 }
 
-// Version gives the version, which rises with every change.
+// Version returns the version number, which increases with every change.
 func (c *Catalog) Version() int64 { return c.cfg.Version }
 
-// KeysRequired reports whether routes that are not public need a key.
+// KeysRequired reports whether routes that are not public require an API key.
 func (c *Catalog) KeysRequired() bool { return c.cfg.KeysRequired }
 
-// Limits gives the bounds of what callers may send.
+// Limits returns the limits on what callers may send.
 func (c *Catalog) Limits() Limits { return c.cfg.Limits }
 
-// Services gives all services; they are not to be changed.
+// Services returns all services. The caller must not modify them.
 func (c *Catalog) Services() []Service { return c.cfg.Services }
 
-// Service finds a service by name, or gives nil.
+// Service returns the service with a name, or nil if there is none.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// Route finds the route of a host with the longest prefix that begins the path.
+// Route returns the route of a host with the longest matching path prefix, or nil if none matches.
 func (c *Catalog) Route(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -212,14 +213,15 @@
 	return nil
 }
 
-// Organisation finds the owner of a key, or gives nil. Keys are compared by
-// hash, so the time that it takes tells nothing of them.
+// Organisation returns the owner of an API key, or nil if the key is unknown. Keys are looked up by
+// hash, so that the timing of a lookup reveals nothing about them.
 func (c *Catalog) Organisation(key string) *Organisation {
 	return c.keys[sha256.Sum256([]byte(key))]
 }
 
-// PickService gives the service for a call, spread by its number over the weights.
-func (r *Route) PickService(number uint64) string {
+// PickService selects a service for a call. Consecutive call numbers are distributed over the
+// services in proportion to their weights.
+func (r *Route) PickService(callNumber uint64) string {
 	total := 0
 	for _, split := range r.Splits {
 		total += max(split.Weight, 0)
@@ -227,9 +229,9 @@
 	if total == 0 {
 		return r.Splits[0].Service
 	}
-	at := int(number % uint64(total))
+	position := int(callNumber % uint64(total))
 	for _, split := range r.Splits {
-		if at -= max(split.Weight, 0); at < 0 {
+		if position -= max(split.Weight, 0); position < 0 {
 			return split.Service
 		}
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -12,7 +12,7 @@
 	return catalog.Route{Name: name, Host: host, PathPrefix: prefix, Kind: catalog.AtMostOnce, Splits: []catalog.Split{{Service: "s", Weight: 1}}}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestRouteMatchesLongestPrefix(t *testing.T) {
 	g := NewWithT(t)
 	c, err := catalog.New(catalog.Config{
 		Routes:   []catalog.Route{route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"), route("other", "b.example", "/x/")},
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestKeysFindTheirOrganisation(t *testing.T) {
+func TestOrganisationByKey(t *testing.T) {
 	g := NewWithT(t)
 	c, err := catalog.New(catalog.Config{Organisations: []catalog.Organisation{
 		{Name: "north", Keys: []string{"n1", "n2"}}, {Name: "south", Keys: []string{"s1"}},
@@ -52,7 +52,7 @@
 	g.Expect(c.Organisation("n")).To(BeNil())
 }
 
-func TestSplitsFollowTheirWeights(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	g := NewWithT(t)
 	r := route("r", "a", "/")
 	r.Splits = []catalog.Split{{Service: "one", Weight: 90}, {Service: "none", Weight: 0}, {Service: "two", Weight: 10}}
@@ -63,7 +63,7 @@
 	g.Expect(counts).To(Equal(map[string]int{"one": 900, "two": 100}))
 }
 
-func TestAConfigurationThatPointsNowhereIsRefused(t *testing.T) {
+func TestNewRejectsInvalidRoutes(t *testing.T) {
 	g := NewWithT(t)
 	tests := []struct {
 		name   string
