--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,9 +1,9 @@
-// Package call holds the facts of a routed call as plain data: what the caller
-// said of it, what a box tells the backend server with it, and what the backend
-// server's answer says of itself.
+// Package call defines the metadata of a routed call, independent of the header names that carry it:
+// what the caller sends with the request, what an entry box adds for the backend server, and what the
+// response says about itself.
 //
-// The adapter of an interface reads and writes these; the stages in between see
-// nothing else. A header name of any interface appears in no other package.
+// A Protocol translates between these types and the headers of one interface. The code in between
+// uses these types only; header names appear in the protocol adapters alone.
 package call
 
 import (
@@ -23,96 +23,94 @@
 // Prompt describes a prompt without holding its text.
 type Prompt struct {
 	Model string
-	// Tokens is the length of the prompt, AnswerTokens the longest answer.
+	// Tokens is the length of the prompt, AnswerTokens the maximum length of the answer.
 	Tokens       int
 	AnswerTokens int
-	// Parts cover the prompt in order; the last belongs to this request or its
-	// session alone.
+	// Parts covers the prompt in order. The last part is specific to this request or its session.
 	Parts []Part
 }
 
-// RequestInfo are what a caller's headers say.
+// RequestInfo is the metadata in a caller's request headers.
 type RequestInfo struct {
-	// RequestID names this attempt of the caller.
+	// RequestID identifies this attempt of the caller; a retry has another ID.
 	RequestID string
-	// MaxWait is how long the caller will wait; zero when it does not say.
+	// MaxWait is how long the caller waits for the response; zero if it sends no limit.
 	MaxWait time.Duration
-	// Key is the caller's secret; it is never logged or passed on.
+	// Key is the caller's API key. It is never logged or forwarded.
 	Key string
 	// Prompt is nil for a call of a plain service.
 	Prompt *Prompt
-	// ResumeAfter names the last event that the caller has, or nothing.
+	// ResumeAfter is the ID of the last event that the caller received, or empty.
 	ResumeAfter string
-	// Malformed says why the facts cannot be used, or nothing.
+	// Malformed describes why the headers are invalid; empty if they are valid.
 	Malformed string
 }
 
-// ForwardInfo is what a box tells a backend server with a call.
+// ForwardInfo is the metadata that a box adds to a call for the backend server.
 type ForwardInfo struct {
-	// Server names the server that the call is meant for; another one refuses it.
+	// Server is the name of the intended server. Another server that receives the call rejects it.
 	Server string
-	// Organisation owns the caller's key; empty on public routes.
+	// Organisation is the owner of the caller's API key; empty on public routes.
 	Organisation string
-	// Remaining is the time left for the answer.
+	// Remaining is the time left until the deadline of the response.
 	Remaining time.Duration
-	// ResumeAfter asks a stream to begin after the event of this name.
+	// ResumeAfter makes a stream start after the event with this ID.
 	ResumeAfter string
-	// Model is set for calls with a prompt, and with it all that follows.
+	// Model is set for calls with a prompt.
 	Model *ModelForwardInfo
 }
 
-// ModelForwardInfo is what a runner is told besides.
+// ModelForwardInfo is the additional metadata for a runner.
 type ModelForwardInfo struct {
-	// WeightVersion is the version that must answer; another one refuses.
+	// WeightVersion is the required weight version. A runner with another version rejects the call.
 	WeightVersion int
-	// Namespace keeps kept context apart: a runner finds only what was made
-	// under the same one.
+	// Namespace isolates KV cache entries: a runner reuses only those created in the same namespace.
 	Namespace string
-	// Urgency orders what waits at the runner; the lowest goes first.
+	// Urgency orders the runner's queue; calls with the lowest value are served first.
 	Urgency int
-	// Fetch and Save name for each part of the prompt the store box to bring it
-	// from and to keep it in; an empty string means none.
+	// Fetch and Save hold, for each part of the prompt, the address of the store box from which to
+	// load its KV cache, and of the one in which to store it; an empty string means none.
 	Fetch []string
 	Save  []string
-	// FetchDeadline is when a fetch that has not ended is thrown away, on the
-	// servers' clock in milliseconds.
+	// FetchDeadline is the time at which an unfinished fetch is discarded, in milliseconds of the
+	// servers' clock.
 	FetchDeadline int64
 }
 
-// ResponseInfo are what an answer says of itself.
+// ResponseInfo is the metadata in a backend server's response.
 type ResponseInfo struct {
-	// NotRun is the backend server's word that it did not run the call.
+	// NotRun is set if the backend server states that it did not run the call.
 	NotRun bool
-	// Genuine says that a backend server made the answer as it is, as far as the
-	// interface can tell.
+	// Genuine is set if the response was produced by a backend server and not changed on the way, as
+	// far as the protocol shows this.
 	Genuine bool
-	// RequestID is the call that the answer belongs to.
+	// RequestID is the ID of the call to which the response belongs.
 	RequestID string
-	// Server names the server that answers, where it says so.
+	// Server is the name of the responding server; empty if the response does not name it.
 	Server string
-	// Advisory is what the server says of its own state.
+	// Advisory is what the server states about its own load and state.
 	Advisory advisory.Advisory
 }
 
-// FailureInfo is what an answer of the box's own says of the call, where no backend server
-// answered.
+// FailureInfo is the metadata of an error response that the box itself creates because no backend
+// server responded.
 type FailureInfo struct {
-	// MayHaveRun is false only when the call has certainly not run and never will.
+	// MayHaveRun is false only if the call has certainly not run and never will.
 	MayHaveRun bool
-	// RetryAfter is when another try makes sense; zero when nothing is known.
+	// RetryAfter is the delay after which the caller may retry; zero if unknown.
 	RetryAfter time.Duration
 }
 
-// Protocol reads and writes the facts of one interface: that of the product's own
-// configuration file (package routed) or, by the platform's adapter, that of the
-// platform. The stages import neither.
+// Protocol translates call metadata from and to the headers of one interface: that of the product's
+// own configuration file (package routed), or that of the platform (the platform's adapter). The code
+// that routes calls imports neither.
 type Protocol interface {
-	// ReadRequest decodes a caller's headers.
+	// ReadRequest decodes a caller's request headers.
 	ReadRequest(header http.Header) RequestInfo
-	// WriteForwardInfo replaces in header whatever only a box may say.
-	WriteForwardInfo(header http.Header, handover ForwardInfo)
-	// ReadResponse decodes the head of a backend server's answer.
+	// WriteForwardInfo sets the headers that only a box may set, and removes any that the caller sent.
+	WriteForwardInfo(header http.Header, forward ForwardInfo)
+	// ReadResponse decodes the status and headers of a backend server's response.
 	ReadResponse(status int, header http.Header) ResponseInfo
-	// WriteFailure adds a verdict to the head of the box's own answer.
-	WriteFailure(header http.Header, verdict FailureInfo)
+	// WriteFailure adds the metadata of a failure to the headers of the box's own response.
+	WriteFailure(header http.Header, failure FailureInfo)
 }
--- a/internal/call/text.go
+++ b/internal/call/text.go
@@ -1,4 +1,4 @@
-// How facts of calls are written in headers where interfaces do so alike.
+// Parsers of header values that several protocols share.
 
 package call
 
@@ -12,21 +12,21 @@
 	"github.com/cometlock/cometlock/internal/advisory"
 )
 
-// mostTokens bounds a number of tokens that is believed: far more than any model reads,
-// and so little that sums of many do not overflow.
-const mostTokens = 1 << 30
+// maxTokens is the largest accepted number of tokens. It exceeds the context length of any model, and
+// is small enough that sums of many such numbers do not overflow.
+const maxTokens = 1 << 30
 
-// ReadCount reads a number of tokens; nothing counts as 0.
+// ReadCount parses a number of tokens. An empty text means 0.
 func ReadCount(text string) (int, bool) {
 	if text == "" {
 		return 0, true
 	}
 	count, err := strconv.Atoi(strings.TrimSpace(text))
-	return count, err == nil && count >= 0 && count <= mostTokens
+	return count, err == nil && count >= 0 && count <= maxTokens
 }
 
-// ReadParts reads the parts of a prompt, written as "id:tokens,id:tokens". Nothing is a
-// prompt without named parts, and an id without a number a part of 0 tokens.
+// ReadParts parses the parts of a prompt, written as "id:tokens,id:tokens". An empty text means that
+// the prompt has no named parts; an ID without a number is a part of 0 tokens.
 func ReadParts(text string) ([]Part, bool) {
 	if text == "" {
 		return nil, true
@@ -43,59 +43,61 @@
 	return parts, true
 }
 
-// SetNonEmpty sets a header that has a value.
+// SetNonEmpty sets a header unless the value is empty.
 func SetNonEmpty(header http.Header, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
 }
 
-// mostPerSecond bounds a rate that is believed, in requests a second: far more than any server takes.
-const mostPerSecond = 1e6
+// maxPerSecond caps rate limits, in requests per second. It exceeds what any server accepts.
+const maxPerSecond = 1e6
 
-// AdvisoryHeaders are the headers in which an answer says something of its server; empty where it does
-// not.
+// AdvisoryHeaders holds the response headers that describe the server's state. Missing headers are
+// empty.
 type AdvisoryHeaders struct {
 	Status int
-	// Limit is a rate limit in requests a second, a decimal number.
+	// Limit is a rate limit in requests per second, a decimal number.
 	Limit string
-	// Draining is 1 or true where the server drains.
+	// Draining is "1" or "true" if the server is draining.
 	Draining string
-	// RetryAfter is that of RFC 9110, seconds with decimals or a date; Date is when the answer was made.
+	// RetryAfter is the Retry-After header of RFC 9110, a date or a number of seconds, which may have
+	// decimals. Date is the time at which the response was created.
 	RetryAfter, Date string
 }
 
-// ReadAdvisory reads what an answer says of its server. What cannot be read says nothing.
+// ReadAdvisory parses the headers that describe the server's state. Malformed values of Draining,
+// RetryAfter and Date are ignored; a malformed Limit is reported as such.
 func ReadAdvisory(headers AdvisoryHeaders) advisory.Advisory {
-	said := advisory.Advisory{}
-	said.Limit, said.PerSecond = readRateLimit(headers.Limit)
-	said.Draining, _ = strconv.ParseBool(strings.TrimSpace(headers.Draining)) // what is neither says nothing
+	parsed := advisory.Advisory{}
+	parsed.Limit, parsed.PerSecond = readRateLimit(headers.Limit)
+	parsed.Draining, _ = strconv.ParseBool(strings.TrimSpace(headers.Draining)) // a malformed value counts as false
 	if headers.Status == http.StatusServiceUnavailable || headers.Status == http.StatusTooManyRequests {
-		said.Pause = readRetryAfter(headers.RetryAfter, headers.Date)
+		parsed.Pause = readRetryAfter(headers.RetryAfter, headers.Date)
 	}
-	return said
+	return parsed
 }
 
-// longestPause bounds a pause that a server asks for. After it the server is asked again.
-const longestPause = time.Hour
+// maxPause caps the pause that a server requests. After it, the server gets calls again.
+const maxPause = time.Hour
 
-// readRetryAfter gives the pause that an answer asks for; zero for none.
+// readRetryAfter returns the pause that a Retry-After header requests, or zero if there is none.
 func readRetryAfter(text, date string) time.Duration {
 	if seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64); err == nil {
 		if math.IsNaN(seconds) {
 			return 0
 		}
-		return time.Duration(min(max(seconds, 0), longestPause.Seconds()) * float64(time.Second))
+		return time.Duration(min(max(seconds, 0), maxPause.Seconds()) * float64(time.Second))
 	}
-	at, err := http.ParseTime(text)
+	retryAt, err := http.ParseTime(text)
 	if err != nil {
 		return 0
 	}
-	from, err := http.ParseTime(date)
+	sentAt, err := http.ParseTime(date)
 	if err != nil {
-		from = time.Now()
+		sentAt = time.Now()
 	}
-	return min(max(at.Sub(from), 0), longestPause)
+	return min(max(retryAt.Sub(sentAt), 0), maxPause)
 }
 
 func readRateLimit(text string) (advisory.LimitStatement, float64) {
@@ -106,5 +108,5 @@
 	if err != nil || math.IsNaN(perSecond) || perSecond < 0 {
 		return advisory.LimitMalformed, 0
 	}
-	return advisory.LimitNamed, min(perSecond, mostPerSecond)
+	return advisory.LimitNamed, min(perSecond, maxPerSecond)
 }
