--- a/internal/api/accept.go
+++ b/internal/api/accept.go
@@ -20,23 +20,23 @@
 
 // Headers that cometlock adds to the OpenAI protocol.
 const (
-	// HeaderRequestID names the request in logs.
+	// HeaderRequestID is the ID of the request in logs.
 	HeaderRequestID = "Cometlock-Request-Id"
-	// HeaderAnswerID names the answer, for taking it up again.
+	// HeaderAnswerID is the ID with which the caller can resume the answer.
 	HeaderAnswerID = "Cometlock-Answer-Id"
-	// HeaderOutcome says on a refusal or failure whether the request ran.
+	// HeaderOutcome states on an error response whether the request ran.
 	HeaderOutcome = "Cometlock-Outcome"
 	// HeaderRepeatable is "false" on a request that must run at most once.
 	HeaderRepeatable = "Cometlock-Repeatable"
 	// HeaderDeadline is the number of seconds within which the answer must begin.
 	HeaderDeadline = "Cometlock-Deadline"
-	// HeaderReplayed is "true" on the kept answer of an earlier request.
+	// HeaderReplayed is "true" on a stored answer of an earlier request.
 	HeaderReplayed = "Cometlock-Replayed"
-	// HeaderIdempotency is the key of a request that must run at most once.
+	// HeaderIdempotency is the idempotency key of a request that must run at most once.
 	HeaderIdempotency = "Idempotency-Key"
 )
 
-// newRequest reads what every request carries in its headers.
+// newRequest creates a request and parses the headers that all kinds of requests have in common.
 func (s *Server) newRequest(r *http.Request) (*flow.Request, *apierror.Error) {
 	snapshot := s.snapshot()
 	request := flow.NewRequest(r.Context())
@@ -55,7 +55,7 @@
 	return request, readDeadline(r.Header, request)
 }
 
-// BearerKey gives a caller's key, or nothing.
+// BearerKey returns the API key in the Authorization header, or an empty string if there is none.
 func BearerKey(header http.Header) string {
 	scheme, key, _ := strings.Cut(header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
@@ -85,15 +85,15 @@
 	if text == "" {
 		return nil
 	}
-	patience, ok := ParseSeconds(text)
+	maxWait, ok := ParseSeconds(text)
 	if !ok {
 		return apierror.BadRequest("invalid_header", "%s is a number of seconds above 0", HeaderDeadline)
 	}
-	request.Deadline = request.Arrived.Add(patience)
+	request.Deadline = request.Arrived.Add(maxWait)
 	return nil
 }
 
-// ParseSeconds reads a number of seconds above 0 and of a year at most.
+// ParseSeconds parses a number of seconds that is above 0 and at most a year.
 func ParseSeconds(text string) (time.Duration, bool) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds <= maxDeadlineSeconds) {
@@ -102,13 +102,13 @@
 	return time.Duration(seconds * float64(time.Second)), true
 }
 
-// bodyTimeout is how long a caller may take to send a whole body.
+// bodyTimeout bounds the time in which a caller sends the whole body.
 const bodyTimeout = 30 * time.Second
 
 // readBody reads a body within the configured limit and a bounded time.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *apierror.Error) {
 	controller := http.NewResponseController(w)
-	// Writers that cannot set deadlines are those of tests.
+	// Only the response writers of tests do not support deadlines.
 	_ = controller.SetReadDeadline(time.Now().Add(s.bodyTimeout))
 	buffer := bytes.NewBuffer(make([]byte, 0, max(0, min(r.ContentLength, limit))+bytes.MinRead))
 	_, err := buffer.ReadFrom(http.MaxBytesReader(w, r.Body, limit))
@@ -126,10 +126,10 @@
 	return buffer.Bytes(), nil
 }
 
-// fields are the top-level fields of a request body, kept as they came.
+// fields holds the top-level fields of a request body as raw JSON.
 type fields map[string]json.RawMessage
 
-// Names of the fields that cometlock reads or sets.
+// Fields of a request body that cometlock reads or sets.
 const (
 	fieldModel       = "model"
 	fieldStream      = "stream"
@@ -140,7 +140,7 @@
 	fieldCacheSalt   = "cache_salt"
 )
 
-// parseModelRequest reads the body of a chat or text completion.
+// parseModelRequest parses and validates the body of a chat or text completion.
 func parseModelRequest(body []byte, promptField string, request *flow.Request) (fields, *apierror.Error) {
 	var parsed fields
 	if err := json.Unmarshal(body, &parsed); err != nil || parsed == nil {
@@ -176,7 +176,7 @@
 	}
 }
 
-// readTier maps the protocol's service tiers to priorities.
+// readTier maps the service tiers of the OpenAI API to priorities.
 func readTier(parsed fields, request *flow.Request) *apierror.Error {
 	raw, ok := parsed[fieldServiceTier]
 	if !ok {
@@ -201,9 +201,8 @@
 	return nil
 }
 
-// engineBody writes the body that the engine gets. Priority and cache salt are
-// set here and nowhere else: a caller that sends a salt of its own must not get
-// at another organisation's context.
+// engineBody encodes the body that is sent to the engine. It always overwrites priority and cache salt:
+// a caller that sends its own salt must not get access to another organisation's KV cache.
 func engineBody(parsed fields, request *flow.Request) []byte {
 	parsed[fieldPriority] = json.RawMessage(strconv.Itoa(enginePriority(request.Priority)))
 	parsed[fieldCacheSalt] = json.RawMessage(strconv.Quote(request.Salt.String()))
@@ -211,7 +210,7 @@
 	encoder := json.NewEncoder(&body)
 	encoder.SetEscapeHTML(false) // the engine must hash the same bytes as place
 	if err := encoder.Encode(parsed); err != nil {
-		return nil // each field was read as JSON, so it can be written as JSON
+		return nil // cannot happen: each field was parsed as JSON
 	}
 	return body.Bytes()
 }
@@ -227,15 +226,15 @@
 	}
 }
 
-// drainTimeout is how long the rest of an unwanted body may take to come.
+// drainTimeout bounds the time for reading the rest of the body of a rejected request.
 const drainTimeout = time.Second
 
-// drain reads the rest of a body that is not wanted, as far as it is short and
-// comes soon, so that the caller gets to read the refusal. The deadline stays: a
-// sender that has stopped must not hold the connection after the answer either.
+// drain reads and discards the rest of the body of a rejected request, up to 64 KiB and drainTimeout,
+// so that the caller receives the error response. The read deadline remains set: a caller that has
+// stopped sending must not keep the connection open after the response either.
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
 	deadline := time.Now().Add(min(drainTimeout, s.bodyTimeout))
-	// Writers that cannot set deadlines are those of tests.
+	// Only the response writers of tests do not support deadlines.
 	_ = http.NewResponseController(w).SetReadDeadline(deadline)
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 64<<10))
 }
--- a/internal/api/accept_test.go
+++ b/internal/api/accept_test.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-func TestTheEngineGetsThePromptThatPlaceHashed(t *testing.T) {
+func TestEngineBodyContainsHashedPrompt(t *testing.T) {
 	g := NewWithT(t)
 	request := flow.NewRequest(context.Background())
 	body := `{"model":"m","messages":[ {"role":"user", "content":"a < b & c > d \u00e9"} ],"cache_salt":"mine","priority":0,"service_tier":"flex","temperature":0.5}`
@@ -24,14 +24,14 @@
 	var got map[string]json.RawMessage
 	g.Expect(json.Unmarshal(sent, &got)).To(Succeed())
 	g.Expect(string(got["messages"])).To(Equal(string(request.Prompt)))
-	g.Expect(string(got["cache_salt"])).To(Equal(`"`+request.Salt.String()+`"`), "a caller's own salt counts for nothing")
+	g.Expect(string(got["cache_salt"])).To(Equal(`"`+request.Salt.String()+`"`), "a salt sent by the caller is ignored")
 	g.Expect(string(got["priority"])).To(Equal("20"))
 	g.Expect(string(got["temperature"])).To(Equal("0.5"))
 	g.Expect(got).NotTo(HaveKey("service_tier"))
 	g.Expect(strings.Count(string(sent), "cache_salt")).To(Equal(1))
 
-	// A request that moves to another weight version must not carry the salt of
-	// the one before to the engine.
+	// When a request is moved to another weight version, its body must not contain the salt of the
+	// previous version.
 	request.Salt = prefix.NewSalt("o", "m", "v2")
 	g.Expect(string(request.EngineBody())).To(ContainSubstring(request.Salt.String()))
 }
@@ -48,7 +48,7 @@
 			}
 			sent := engineBody(parsed, request)
 			if !json.Valid(sent) {
-				t.Fatalf("the engine would get %q", sent)
+				t.Fatalf("the body for the engine is not valid JSON: %q", sent)
 			}
 		}
 	})
--- a/internal/api/models.go
+++ b/internal/api/models.go
@@ -14,19 +14,19 @@
 	"github.com/cometlock/cometlock/internal/settle"
 )
 
-// serveChat answers /v1/chat/completions.
+// serveChat handles /v1/chat/completions.
 func (s *Server) serveChat(c echo.Context) error {
 	s.serveModel(c.Response(), c.Request(), fieldMessages)
 	return nil
 }
 
-// serveCompletion answers /v1/completions.
+// serveCompletion handles /v1/completions.
 func (s *Server) serveCompletion(c echo.Context) error {
 	s.serveModel(c.Response(), c.Request(), fieldPrompt)
 	return nil
 }
 
-// serveModel takes one model request through all stages.
+// serveModel runs one model request through all stages.
 func (s *Server) serveModel(w http.ResponseWriter, r *http.Request, promptField string) {
 	request, parsed, refusal := s.acceptModel(w, r, promptField)
 	w.Header().Set(HeaderRequestID, request.ID)
@@ -51,7 +51,7 @@
 	s.runModel(w, request, claimed)
 }
 
-// acceptModel reads a model request.
+// acceptModel parses and validates a model request.
 func (s *Server) acceptModel(w http.ResponseWriter, r *http.Request, promptField string) (*flow.Request, fields, *apierror.Error) {
 	request, refusal := s.newRequest(r)
 	if refusal != nil {
@@ -60,7 +60,7 @@
 	request.Kind = flow.KindModel
 	request.Path = r.URL.Path
 	if _, refusal := authenticate.Organisation(request.Snapshot, request.APIKey); refusal != nil {
-		return request, nil, refusal // before any room is made for a body
+		return request, nil, refusal // before memory is allocated for the body
 	}
 	body, refusal := s.readBody(w, r, request.Snapshot.File().Limits.BodyBytes)
 	if refusal != nil {
@@ -73,25 +73,25 @@
 	return request, parsed, refusal
 }
 
-// prepare takes a request through the computing stages.
+// prepare runs a request through the computing stages.
 func (s *Server) prepare(request *flow.Request, parsed fields) *apierror.Error {
 	request.SetEncoder(func() []byte { return engineBody(parsed, request) })
 	return s.pipeline.Run(request)
 }
 
-// runModel hands a request to an engine and its answer to the caller.
-func (s *Server) runModel(w http.ResponseWriter, request *flow.Request, claimed *onceRun) {
+// runModel sends a request to an engine and the answer to the caller.
+func (s *Server) runModel(w http.ResponseWriter, request *flow.Request, claimed *claimedRun) {
 	sink := newHTTPSink(w, s.keys, request.Organisation.Name, request.Stream)
 	capture := &capturingSink{Sink: sink, enabled: claimed != nil && !request.Stream}
 	result := s.runToSink(request, capture)
-	claimed.end(result.Failure, capture.answer())
+	claimed.finish(result.Failure, capture.answer())
 	if result.Failure != nil {
 		sink.fail(result.Failure)
 	}
 	s.settleRun(request, result)
 }
 
-// runToSink hands a request to an engine and passes its answer on.
+// runToSink sends a request to an engine and writes the answer to sink.
 func (s *Server) runToSink(request *flow.Request, sink relay.Sink) relay.Result {
 	attempt, failure := s.dispatcher.Open(request)
 	if failure != nil {
@@ -114,7 +114,8 @@
 	s.settle.Settle(request, record)
 }
 
-// refuse ends a request that was not handed to a backend server.
+// refuse sends an error response for a request that got no response from a backend server, and
+// settles it.
 func (s *Server) refuse(w http.ResponseWriter, request *flow.Request, refusal *apierror.Error) {
 	WriteError(w, refusal)
 	s.settleRefused(request, refusal)
@@ -126,7 +127,7 @@
 	s.settle.Settle(request, record)
 }
 
-// modelList and modelEntry are the OpenAI protocol's list of models.
+// modelList and modelEntry are the list of models in the OpenAI API.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
@@ -139,7 +140,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// serveModels answers /v1/models.
+// serveModels handles /v1/models.
 func (s *Server) serveModels(c echo.Context) error {
 	request, refusal := s.authenticated(c)
 	if refusal != nil {
@@ -154,8 +155,8 @@
 	return nil
 }
 
-// authenticated makes a request that only reads what cometlock knows itself and
-// so skips the queue.
+// authenticated creates and authenticates a request that the box serves itself, without a backend
+// server. Such requests bypass the admission queue.
 func (s *Server) authenticated(c echo.Context) (*flow.Request, *apierror.Error) {
 	request, refusal := s.newRequest(c.Request())
 	c.Response().Header().Set(HeaderRequestID, request.ID)
@@ -167,7 +168,7 @@
 	return request, refusal
 }
 
-// serveAnswer takes an answer up again: GET /v1/answers/{id}?starting_after=N.
+// serveAnswer handles GET /v1/answers/{id}?starting_after=N, which resumes an answer.
 func (s *Server) serveAnswer(c echo.Context) error {
 	request, refusal := s.authenticated(c)
 	if refusal != nil {
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// serveCancelAnswer cancels a run: DELETE /v1/answers/{id}.
+// serveCancelAnswer handles DELETE /v1/answers/{id}, which cancels a run.
 func (s *Server) serveCancelAnswer(c echo.Context) error {
 	request, refusal := s.authenticated(c)
 	if refusal != nil {
@@ -217,8 +218,8 @@
 	return nil
 }
 
-// findAnswer opens an answer's name. Another organisation's is as unknown as
-// one that never was.
+// findAnswer decodes an answer ID. The error for another organisation's answer is the same as for one
+// that does not exist.
 func (s *Server) findAnswer(request *flow.Request, name string) (server *serverEntry, run engine.Run, refusal *apierror.Error) {
 	reference, err := s.keys.Decode(request.Organisation.Name, name)
 	if err != nil {
--- a/internal/api/once.go
+++ b/internal/api/once.go
@@ -16,23 +16,22 @@
 	"github.com/cometlock/cometlock/internal/relay"
 )
 
-// claimTimeout bounds the wait for the log to decide a claim.
+// claimTimeout bounds the wait for the decision on a claim, which needs an append to the log.
 const claimTimeout = 5 * time.Second
 
-// onceRun is a won claim: the right to run a request, once.
-type onceRun struct {
+// claimedRun is a successful claim. Its owner may run the request once.
+type claimedRun struct {
 	claims *claim.Service
 	key    claim.Key
 	id     uuid.UUID
 }
 
-// claimOnce claims the key of a request that must run at most once. It gives
-// the won claim, or the kept answer of the request that had the key before, or
-// a refusal. All are nil for a request that has no key or may be repeated.
+// claimOnce claims the idempotency key of a request that must run at most once. It returns the
+// successful claim, or the stored answer of the earlier request with the key, or an error. All are nil
+// for a request that has no key or is repeatable.
 //
-// A request without a key needs no claim: this process hands it over once, and
-// nobody else knows of it.
-func (s *Server) claimOnce(request *flow.Request) (*onceRun, *claim.Answer, *apierror.Error) {
+// A request without a key needs no claim: this process sends it once, and no other process has it.
+func (s *Server) claimOnce(request *flow.Request) (*claimedRun, *claim.Answer, *apierror.Error) {
 	if request.Repeatable || request.IdempotencyKey == "" {
 		return nil, nil, nil
 	}
@@ -48,7 +47,7 @@
 	}
 	switch decision.Verdict {
 	case claim.Won:
-		return &onceRun{claims: s.claims, key: key, id: decision.ClaimID}, nil, nil
+		return &claimedRun{claims: s.claims, key: key, id: decision.ClaimID}, nil, nil
 	case claim.Finished:
 		return nil, &decision.Answer, nil
 	default:
@@ -56,7 +55,7 @@
 	}
 }
 
-// digestOf identifies a request as the caller sent it.
+// digestOf returns the digest of a request as the caller sent it.
 func digestOf(method, target string, body []byte) claim.Digest {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(target), body} {
@@ -66,7 +65,7 @@
 	return claim.Digest(hash.Sum(nil))
 }
 
-// claimRefusal is the answer when the log decided nothing.
+// claimRefusal returns the error response for a claim that was not decided.
 func claimRefusal(err error) *apierror.Error {
 	if errors.Is(err, claim.ErrUnknown) {
 		return conflict("claim_unknown", apierror.Unknown, "whether an earlier request with this key has run is unknown")
@@ -100,8 +99,9 @@
 	return &apierror.Error{Status: http.StatusConflict, Type: apierror.Conflict, Code: code, Message: message, Outcome: outcome}
 }
 
-// end states how the run ended. A nil claim has nothing to state.
-func (o *onceRun) end(failure *apierror.Error, answer claim.Answer) {
+// finish records the outcome of the run in the log. It does nothing on a nil claim, or if the outcome
+// is unknown.
+func (o *claimedRun) finish(failure *apierror.Error, answer claim.Answer) {
 	switch {
 	case o == nil:
 	case failure == nil:
@@ -113,7 +113,7 @@
 	}
 }
 
-// replay answers with the kept answer of an earlier request.
+// replay sends the stored answer of an earlier request.
 func (s *Server) replay(w http.ResponseWriter, request *flow.Request, answer claim.Answer) {
 	if !answer.Whole {
 		s.refuse(w, request, conflict("answer_not_kept", apierror.Ran, "the request with this key has run; its answer is not kept"))
@@ -122,27 +122,27 @@
 	w.Header().Set(HeaderReplayed, "true")
 	w.Header().Set("Content-Type", answer.ContentType)
 	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body) // a caller that is gone may ask again
+	_, _ = w.Write(answer.Body) // a caller that has disconnected may retry
 	s.settleRun(request, relay.Result{Chunks: 1, FirstChunk: time.Now()})
 }
 
-// capturingSink keeps a copy of a whole answer for callers that ask again.
+// capturingSink saves a copy of a complete answer for callers that retry.
 type capturingSink struct {
 	relay.Sink
-	enabled bool
-	body    []byte
-	done    bool
+	enabled  bool
+	body     []byte
+	complete bool
 }
 
 // Write implements relay.Sink.
 func (c *capturingSink) Write(chunk engine.Chunk, more bool) error {
 	if c.enabled && len(chunk.Data) <= claim.MaxAnswerBytes {
 		c.body = append(c.body[:0], chunk.Data...)
-		c.done = true
+		c.complete = true
 	}
 	return c.Sink.Write(chunk, more)
 }
 
 func (c *capturingSink) answer() claim.Answer {
-	return claim.Answer{Status: http.StatusOK, ContentType: "application/json", Body: c.body, Whole: c.done}
+	return claim.Answer{Status: http.StatusOK, ContentType: "application/json", Body: c.body, Whole: c.complete}
 }
--- a/internal/api/responseobject.go
+++ b/internal/api/responseobject.go
@@ -7,20 +7,20 @@
 	"github.com/cometlock/cometlock/internal/review"
 )
 
-// response is the response object of the OpenAI protocol. The field cometlock is
-// an extension: it tells how the deadline stands.
+// response is the response object of the OpenAI API. The field cometlock is an extension that holds
+// the state of the deadline.
 type response struct {
-	ID        string          `json:"id"`
-	Object    string          `json:"object"`
-	CreatedAt int64           `json:"created_at"`
-	Status    review.Status   `json:"status"`
-	Back      bool            `json:"background"`
-	Model     string          `json:"model"`
-	Output    []outputMessage `json:"output"`
-	Error     *responseError  `json:"error"`
-	Metadata  json.RawMessage `json:"metadata,omitempty"`
-	Usage     *responseUsage  `json:"usage,omitempty"`
-	Deadline  *deadlineState  `json:"cometlock,omitempty"`
+	ID         string          `json:"id"`
+	Object     string          `json:"object"`
+	CreatedAt  int64           `json:"created_at"`
+	Status     review.Status   `json:"status"`
+	Background bool            `json:"background"`
+	Model      string          `json:"model"`
+	Output     []outputMessage `json:"output"`
+	Error      *responseError  `json:"error"`
+	Metadata   json.RawMessage `json:"metadata,omitempty"`
+	Usage      *responseUsage  `json:"usage,omitempty"`
+	Deadline   *deadlineState  `json:"cometlock,omitempty"`
 }
 
 type outputMessage struct {
@@ -48,15 +48,15 @@
 	TotalTokens  int `json:"total_tokens"`
 }
 
-// deadlineState tells how the deadline stands.
+// deadlineState is the state of a review's deadline.
 type deadlineState struct {
 	Deadline time.Time `json:"deadline"`
-	// AtRisk says that the deadline will probably be missed, Missed that it was.
+	// AtRisk is set if the deadline will probably be missed, Missed if it was missed.
 	AtRisk bool `json:"deadline_at_risk"`
 	Missed bool `json:"deadline_missed"`
 }
 
-// completion is the part of an engine's answer that a response is made of.
+// completion holds the fields of an engine's answer that a response is built from.
 type completion struct {
 	Choices []struct {
 		Message struct {
@@ -70,26 +70,26 @@
 	} `json:"usage"`
 }
 
-// newResponse describes a review, with its answer once it is completed.
-func newResponse(known review.Review, answer []byte) response {
-	described := response{
-		ID: known.Meta.ID, Object: "response", CreatedAt: known.Meta.Accepted.Unix(), Status: known.Status, Back: true,
-		Model: known.Meta.Model, Output: []outputMessage{}, Metadata: known.Meta.Metadata,
+// newResponse builds the response object of a review; answer is nil unless the review is completed.
+func newResponse(current review.Review, answer []byte) response {
+	object := response{
+		ID: current.Meta.ID, Object: "response", CreatedAt: current.Meta.Accepted.Unix(), Status: current.Status, Background: true,
+		Model: current.Meta.Model, Output: []outputMessage{}, Metadata: current.Meta.Metadata,
 	}
-	if !known.Meta.Deadline.IsZero() {
-		described.Deadline = &deadlineState{Deadline: known.Meta.Deadline, AtRisk: known.AtRisk, Missed: known.Missed}
+	if !current.Meta.Deadline.IsZero() {
+		object.Deadline = &deadlineState{Deadline: current.Meta.Deadline, AtRisk: current.AtRisk, Missed: current.Missed}
 	}
-	if known.Status == review.StatusFailed {
-		described.Error = &responseError{Code: "server_error", Message: known.Meta.Reason}
+	if current.Status == review.StatusFailed {
+		object.Error = &responseError{Code: "server_error", Message: current.Meta.Reason}
 	}
 	if answer != nil {
-		described.fill(answer)
+		object.fill(answer)
 	}
-	return described
+	return object
 }
 
-// fill adds the engine's answer. An answer that reads as none stays empty; the
-// relay has checked that it is JSON.
+// fill adds the engine's answer. If the answer cannot be parsed as a completion, the output remains
+// empty; the relay has already checked that it is valid JSON.
 func (r *response) fill(answer []byte) {
 	var parsed completion
 	if json.Unmarshal(answer, &parsed) != nil {
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -20,10 +20,10 @@
 	"github.com/cometlock/cometlock/internal/review"
 )
 
-// acceptTimeout bounds the wait for the log to take a review.
-const acceptTimeout = 5 * time.Second
+// reviewLogTimeout bounds an append to the log that accepts, cancels or deletes a review.
+const reviewLogTimeout = 5 * time.Second
 
-// responseRequest is the body of POST /v1/responses, as far as it is read.
+// responseRequest holds the supported fields of the body of POST /v1/responses.
 type responseRequest struct {
 	Model           string          `json:"model"`
 	Input           json.RawMessage `json:"input"`
@@ -41,14 +41,14 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// chatRequest is the body that the engine gets for a review.
+// chatRequest is the request body that is sent to the engine for a review.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
 	MaxTokens int           `json:"max_tokens,omitempty"`
 }
 
-// serveCreateResponse answers POST /v1/responses: it accepts a review.
+// serveCreateResponse handles POST /v1/responses, which submits a review.
 func (s *Server) serveCreateResponse(c echo.Context) error {
 	w, r := c.Response(), c.Request()
 	request, refusal := s.authenticated(c)
@@ -67,7 +67,7 @@
 		s.refuse(w, request, refusal)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), acceptTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), reviewLogTimeout)
 	defer cancel()
 	accepted, err := s.reviews.Accept(ctx, meta, content)
 	if err != nil {
@@ -75,14 +75,14 @@
 		return nil
 	}
 	if stream {
-		s.streamResponse(w, r, request, accepted, noEvent)
+		s.streamResponse(w, r, request, accepted, beforeFirstEvent)
 		return nil
 	}
 	writeJSON(w, http.StatusOK, newResponse(accepted, nil))
 	return nil
 }
 
-// acceptReview reads the body of a review.
+// acceptReview parses and validates the body of a review.
 func acceptReview(request *flow.Request, body []byte) (meta review.Meta, content []byte, stream bool, refusal *apierror.Error) {
 	var parsed responseRequest
 	if err := json.Unmarshal(body, &parsed); err != nil {
@@ -108,9 +108,8 @@
 	}, content, parsed.Stream, nil
 }
 
-// reviewID names a review. With an idempotency key the name follows from it, so
-// that a caller who got no answer and sends the review again, to whatever box,
-// names the same one.
+// reviewID returns the ID of a new review. With an idempotency key, the ID is derived from the key, so
+// that a caller that received no response and retries, on any box, refers to the same review.
 func reviewID(request *flow.Request) string {
 	if request.IdempotencyKey == "" {
 		return "resp_" + strings.ReplaceAll(uuid.NewString(), "-", "")
@@ -123,7 +122,7 @@
 	return "resp_" + hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-// chat turns the input into the messages of a chat completion.
+// chat converts the input to a chat completion request.
 func (r *responseRequest) chat() (chatRequest, *apierror.Error) {
 	chat := chatRequest{Model: r.Model, MaxTokens: r.MaxOutputTokens}
 	if r.Instructions != "" {
@@ -156,17 +155,18 @@
 	return chatMessage{Role: role, Content: content}
 }
 
-// contentPart is a part of a message; the two protocols name its type apart.
+// contentPart is a part of a message. Its type has different names in the Responses API and in chat
+// completions.
 type contentPart struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-// chatContent renames the parts of a message to those of a chat completion.
+// chatContent converts the part types of a message to those of a chat completion.
 func chatContent(content json.RawMessage) json.RawMessage {
 	var parts []contentPart
 	if json.Unmarshal(content, &parts) != nil {
-		return content // a plain text, or parts that the engine may know
+		return content // plain text, or parts that the engine may support
 	}
 	for i := range parts {
 		if parts[i].Type == "input_text" || parts[i].Type == "output_text" {
@@ -180,7 +180,7 @@
 	return renamed
 }
 
-// reviewRefusal is what a caller is told of an error of the reviews.
+// reviewRefusal converts an error of package review to the error that the caller receives.
 func reviewRefusal(err error) *apierror.Error {
 	switch {
 	case errors.Is(err, review.ErrMissing):
@@ -197,14 +197,14 @@
 	}
 }
 
-// serveGetResponse answers GET /v1/responses/{id}, also as a stream.
+// serveGetResponse handles GET /v1/responses/{id}, with or without streaming.
 func (s *Server) serveGetResponse(c echo.Context) error {
 	request, refusal := s.authenticated(c)
 	if refusal != nil {
 		WriteError(c.Response(), refusal)
 		return nil
 	}
-	known, err := s.reviews.Get(request.Organisation.Name, c.Param("id"))
+	current, err := s.reviews.Get(request.Organisation.Name, c.Param("id"))
 	if err != nil {
 		WriteError(c.Response(), reviewRefusal(err))
 		return nil
@@ -215,65 +215,65 @@
 			WriteError(c.Response(), refusal)
 			return nil
 		}
-		s.streamResponse(c.Response(), c.Request(), request, known, after)
+		s.streamResponse(c.Response(), c.Request(), request, current, after)
 		return nil
 	}
-	answer, err := s.completedAnswer(c.Request().Context(), known)
+	answer, err := s.completedAnswer(c.Request().Context(), current)
 	if err != nil {
 		WriteError(c.Response(), reviewRefusal(err))
 		return nil
 	}
-	writeJSON(c.Response(), http.StatusOK, newResponse(known, answer))
+	writeJSON(c.Response(), http.StatusOK, newResponse(current, answer))
 	return nil
 }
 
-// completedAnswer reads the answer of a review that is completed.
-func (s *Server) completedAnswer(ctx context.Context, known review.Review) ([]byte, error) {
-	if known.Status != review.StatusCompleted {
+// completedAnswer returns the answer of a completed review, or nil if the review is not completed.
+func (s *Server) completedAnswer(ctx context.Context, current review.Review) ([]byte, error) {
+	if current.Status != review.StatusCompleted {
 		return nil, nil
 	}
-	return s.reviews.Answer(ctx, known.Meta.Organisation, known.Meta.ID)
+	return s.reviews.Answer(ctx, current.Meta.Organisation, current.Meta.ID)
 }
 
-// serveCancelResponse answers POST /v1/responses/{id}/cancel.
+// serveCancelResponse handles POST /v1/responses/{id}/cancel.
 func (s *Server) serveCancelResponse(c echo.Context) error {
-	return s.decideResponse(c, s.reviews.Cancel, func(known review.Review) any { return newResponse(known, nil) })
+	return s.decideResponse(c, s.reviews.Cancel, func(current review.Review) any { return newResponse(current, nil) })
 }
 
-// deletedResponse is the answer to a deletion.
+// deletedResponse is the response body of a deletion.
 type deletedResponse struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Deleted bool   `json:"deleted"`
 }
 
-// serveDeleteResponse answers DELETE /v1/responses/{id}.
+// serveDeleteResponse handles DELETE /v1/responses/{id}.
 func (s *Server) serveDeleteResponse(c echo.Context) error {
-	return s.decideResponse(c, s.reviews.Delete, func(known review.Review) any {
-		return deletedResponse{ID: known.Meta.ID, Object: "response", Deleted: true}
+	return s.decideResponse(c, s.reviews.Delete, func(current review.Review) any {
+		return deletedResponse{ID: current.Meta.ID, Object: "response", Deleted: true}
 	})
 }
 
 type decideFunc = func(ctx context.Context, organisation, id string) (review.Review, error)
 
-func (s *Server) decideResponse(c echo.Context, decide decideFunc, answer func(review.Review) any) error {
+func (s *Server) decideResponse(c echo.Context, decide decideFunc, body func(review.Review) any) error {
 	request, refusal := s.authenticated(c)
 	if refusal != nil {
 		WriteError(c.Response(), refusal)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), acceptTimeout)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), reviewLogTimeout)
 	defer cancel()
-	known, err := decide(ctx, request.Organisation.Name, c.Param("id"))
+	current, err := decide(ctx, request.Organisation.Name, c.Param("id"))
 	if err != nil {
 		WriteError(c.Response(), reviewRefusal(err))
 		return nil
 	}
-	writeJSON(c.Response(), http.StatusOK, answer(known))
+	writeJSON(c.Response(), http.StatusOK, body(current))
 	return nil
 }
 
-// bufferSink keeps a whole answer.
+// bufferSink collects an answer in memory.
 type bufferSink struct {
 	body []byte
 }
@@ -287,7 +287,7 @@
 	return nil
 }
 
-// RunReview answers a review; it is the reviews' Runner.
+// RunReview runs a review and returns its answer. It implements the Runner of package review.
 func (s *Server) RunReview(ctx context.Context, task review.Task) ([]byte, error) {
 	request := flow.NewRequest(ctx)
 	request.ID, request.Kind, request.Path = task.Meta.ID, flow.KindModel, "/v1/chat/completions"
@@ -311,20 +311,20 @@
 	}
 	if refusal := s.prepare(request, parsed); refusal != nil {
 		s.settleRefused(request, refusal)
-		return nil, permanentOrNot(refusal)
+		return nil, toReviewError(refusal)
 	}
 	sink := &bufferSink{}
 	result := s.runToSink(request, sink)
 	s.settleRun(request, result)
 	if result.Failure != nil {
-		return nil, permanentOrNot(result.Failure)
+		return nil, toReviewError(result.Failure)
 	}
 	return sink.body, nil
 }
 
-// permanentOrNot tells faults of the request itself, which no other try mends,
-// from all others.
-func permanentOrNot(failure *apierror.Error) error {
+// toReviewError converts an error of the request itself, which a retry cannot fix, to a
+// review.PermanentError, and returns all others unchanged.
+func toReviewError(failure *apierror.Error) error {
 	if failure.Status == http.StatusBadRequest || failure.Status == http.StatusRequestEntityTooLarge || failure.Status == http.StatusUnprocessableEntity {
 		return &review.PermanentError{Reason: failure.Message}
 	}
--- a/internal/api/responsestream.go
+++ b/internal/api/responsestream.go
@@ -15,22 +15,21 @@
 	"github.com/cometlock/cometlock/internal/review"
 )
 
-// The events of a streamed response are a function of the stored answer, so
-// that every box gives the same ones with the same numbers, and a caller that
-// lost its connection goes on after the last number it saw:
+// The events of a streamed response are a deterministic function of the stored answer. Every box
+// produces the same events with the same sequence numbers, so a caller that lost its connection can
+// resume after the last number it received, on any box:
 //
 //	0 response.created      1 response.in_progress
 //	2 output_item.added     3 content_part.added
 //	4… output_text.delta    then done events, and response.completed
 
-// noEvent is the starting point of a stream from its beginning.
-const noEvent = -1
+// beforeFirstEvent is the value of starting_after for a stream from its beginning.
+const beforeFirstEvent = -1
 
-// deltaBytes is the length of the pieces that an answer is cut into.
+// deltaBytes is the size of the text deltas into which an answer is split.
 const deltaBytes = 256
 
-// keepAliveInterval is the time between two signs of life of a stream that
-// waits for its review.
+// keepAliveInterval is the interval of keep-alive comments on a stream that waits for its review.
 const keepAliveInterval = 15 * time.Second
 
 // responseEvent is one event of a streamed response.
@@ -50,57 +49,56 @@
 func startingAfter(c echo.Context) (int, *apierror.Error) {
 	text := c.QueryParam("starting_after")
 	if text == "" {
-		return noEvent, nil
+		return beforeFirstEvent, nil
 	}
 	after, err := strconv.Atoi(text)
-	if err != nil || after < noEvent {
+	if err != nil || after < beforeFirstEvent {
 		return 0, apierror.BadRequest("invalid_index", "starting_after is the sequence number of an event")
 	}
 	return after, nil
 }
 
-// streamResponse writes the events of a review after a sequence number, waiting
-// for its end.
-func (s *Server) streamResponse(w http.ResponseWriter, r *http.Request, request *flow.Request, known review.Review, after int) {
+// streamResponse writes the events of a review that follow a sequence number. It waits for the review
+// to end.
+func (s *Server) streamResponse(w http.ResponseWriter, r *http.Request, request *flow.Request, current review.Review, after int) {
 	writer := &eventWriter{sink: newHTTPSink(w, s.keys, request.Organisation.Name, true), after: after}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	began := known
-	began.Status = review.StatusQueued
-	created := newResponse(began, nil)
+	queued := current
+	queued.Status = review.StatusQueued
+	created := newResponse(queued, nil)
 	writer.send(responseEvent{Type: "response.created", Response: &created})
 	writer.send(responseEvent{Type: "response.in_progress", Response: &created})
-	ended, ok := s.awaitEnd(r.Context(), writer, known)
+	ended, ok := s.awaitEnd(r.Context(), writer, current)
 	if !ok {
 		return
 	}
 	answer, err := s.completedAnswer(r.Context(), ended)
 	if err != nil {
-		writer.sink.begun = true
+		writer.sink.headerSent = true
 		writer.sink.fail(reviewRefusal(err))
 		return
 	}
 	writer.sendEnd(newResponse(ended, answer))
 }
 
-// awaitEnd waits for the end of a review, with signs of life for the caller.
-func (s *Server) awaitEnd(ctx context.Context, writer *eventWriter, known review.Review) (review.Review, bool) {
+// awaitEnd waits for a review to end and sends keep-alive comments to the caller meanwhile.
+func (s *Server) awaitEnd(ctx context.Context, writer *eventWriter, current review.Review) (review.Review, bool) {
 	for {
 		waitCtx, cancel := context.WithTimeout(ctx, keepAliveInterval)
-		ended, err := s.reviews.AwaitEnd(waitCtx, known.Meta.Organisation, known.Meta.ID)
+		ended, err := s.reviews.AwaitEnd(waitCtx, current.Meta.Organisation, current.Meta.ID)
 		cancel()
 		if err == nil {
 			return ended, true
 		}
 		if ctx.Err() != nil || waitCtx.Err() == nil {
-			return known, false // the caller is gone, or the review was deleted
+			return current, false // the caller disconnected, or the review was deleted
 		}
 		writer.keepAlive()
 	}
 }
 
-// eventWriter numbers the events of a response and writes those that the caller
-// has not seen.
+// eventWriter numbers the events of a response and writes those that the caller has not yet received.
 type eventWriter struct {
 	sink  *httpSink
 	after int
@@ -130,13 +128,13 @@
 }
 
 func (e *eventWriter) write() {
-	// A caller that is gone is noticed by its context.
+	// Errors are ignored: if the caller has disconnected, the request context is canceled.
 	if _, err := e.sink.w.Write(e.sink.buffer); err == nil {
 		_ = e.sink.flush()
 	}
 }
 
-// sendEnd writes the events from the answer to the end.
+// sendEnd writes the events with the answer and the final event.
 func (e *eventWriter) sendEnd(ended response) {
 	for i := range ended.Output {
 		e.sendOutput(i, ended.Output[i])
@@ -149,35 +147,36 @@
 	part := 0
 	text := message.Content[0].Text
 	empty := outputText{Type: "output_text", Annotations: []string{}}
-	begun := outputMessage{Type: message.Type, ID: message.ID, Role: message.Role, Status: "in_progress", Content: []outputText{}}
-	at := responseEvent{ItemID: message.ID, OutputIndex: &index, ContentIndex: &part}
-	e.send(responseEvent{Type: "response.output_item.added", OutputIndex: &index, Item: &begun})
-	e.send(at.of("response.content_part.added", func(event *responseEvent) { event.Part = &empty }))
-	for _, piece := range pieces(text) {
-		e.send(at.of("response.output_text.delta", func(event *responseEvent) { event.Delta = piece }))
+	started := outputMessage{Type: message.Type, ID: message.ID, Role: message.Role, Status: "in_progress", Content: []outputText{}}
+	base := responseEvent{ItemID: message.ID, OutputIndex: &index, ContentIndex: &part}
+	e.send(responseEvent{Type: "response.output_item.added", OutputIndex: &index, Item: &started})
+	e.send(base.withType("response.content_part.added", func(event *responseEvent) { event.Part = &empty }))
+	for _, piece := range splitText(text) {
+		e.send(base.withType("response.output_text.delta", func(event *responseEvent) { event.Delta = piece }))
 	}
-	e.send(at.of("response.output_text.done", func(event *responseEvent) { event.Text = text }))
-	e.send(at.of("response.content_part.done", func(event *responseEvent) { event.Part = &message.Content[0] }))
+	e.send(base.withType("response.output_text.done", func(event *responseEvent) { event.Text = text }))
+	e.send(base.withType("response.content_part.done", func(event *responseEvent) { event.Part = &message.Content[0] }))
 	e.send(responseEvent{Type: "response.output_item.done", OutputIndex: &index, Item: &message})
 }
 
-// of gives an event at the same place.
-func (e responseEvent) of(kind string, set func(*responseEvent)) responseEvent {
+// withType returns a copy of the event with another type and the fields that set fills in.
+func (e responseEvent) withType(kind string, set func(*responseEvent)) responseEvent {
 	e.Type = kind
 	set(&e)
 	return e
 }
 
-// pieces cuts a text at the same places every time, and never inside a rune.
-func pieces(text string) []string {
-	var cut []string
+// splitText splits a text into deltas. The boundaries depend on the text only and never fall inside a
+// rune.
+func splitText(text string) []string {
+	var parts []string
 	for len(text) > 0 {
 		end := min(deltaBytes, len(text))
 		for end < len(text) && !utf8.RuneStart(text[end]) {
 			end++
 		}
-		cut = append(cut, text[:end])
+		parts = append(parts, text[:end])
 		text = text[end:]
 	}
-	return cut
+	return parts
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,12 +1,10 @@
-// Package api is the caller's side of an entry box: the accept stage, which
-// turns an HTTP request into a flow.Request, and the end of the way, where the
-// answer is written.
+// Package api is the HTTP server of an entry box: it parses HTTP requests into flow.Requests (the
+// accept stage) and writes the responses.
 //
-// It speaks the OpenAI-compatible protocol, because callers have clients for
-// it, and passes calls of plain services through. A request is read here, goes
-// through the computing stages (package pipeline), is claimed if it must run
-// at most once (package claim), and is then dispatched, relayed and settled on
-// the goroutine that reads it.
+// It implements an OpenAI-compatible API, because callers have clients for it, and proxies calls of
+// plain services. A request is parsed here, passes through the computing stages (package pipeline),
+// is claimed if it must run at most once (package claim), and is then dispatched, relayed and settled
+// in the HTTP server's goroutine for the request.
 package api
 
 import (
@@ -34,7 +32,7 @@
 
 // Config sets up a Server.
 type Config struct {
-	// Snapshot gives the configuration in force, or nil.
+	// Snapshot returns the current configuration, or nil if none has been loaded yet.
 	Snapshot   func() *config.Snapshot
 	Keys       answerid.Keys
 	Pipeline   *pipeline.Pipeline
@@ -47,11 +45,11 @@
 	Zone       *zone.Knowledge
 	Keeper     *kept.Keeper
 	Budget     *retrybudget.Budget
-	// BodyTimeout is how long a caller may take to send a body; 0 means 30 s.
+	// BodyTimeout bounds the time in which a caller sends the body; 0 means 30 s.
 	BodyTimeout time.Duration
 }
 
-// Server answers callers.
+// Server serves the API.
 type Server struct {
 	snapshot    func() *config.Snapshot
 	keys        answerid.Keys
@@ -66,13 +64,13 @@
 	keeper      *kept.Keeper
 	budget      *retrybudget.Budget
 	bodyTimeout time.Duration
-	turn        atomic.Int64
+	rotation    atomic.Int64
 }
 
 // serverEntry shortens signatures.
 type serverEntry = config.BackendServer
 
-// New makes a server.
+// New creates a server.
 func New(cfg Config) *Server {
 	if cfg.BodyTimeout == 0 {
 		cfg.BodyTimeout = bodyTimeout
@@ -83,7 +81,7 @@
 	}
 }
 
-// Handler gives the routes.
+// Handler returns the HTTP handler with all routes.
 func (s *Server) Handler() http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
@@ -102,7 +100,7 @@
 	return router
 }
 
-// handleRouteError answers a request that no route takes.
+// handleRouteError responds to a request that matches no route.
 func handleRouteError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
--- a/internal/api/services.go
+++ b/internal/api/services.go
@@ -20,25 +20,25 @@
 	"github.com/cometlock/cometlock/internal/relay"
 )
 
-// headerOrganisation tells a plain service whose call it gets. The caller's key
-// stays here.
+// headerOrganisation carries the name of the caller's organisation to a plain service. The caller's
+// API key is not forwarded.
 const headerOrganisation = "X-Organisation"
 
-// ourHeaders begins the names of the headers that only an entry box writes.
-const ourHeaders = "Cometlock-"
+// ownHeaderPrefix is the prefix of the response headers that only an entry box may set.
+const ownHeaderPrefix = "Cometlock-"
 
-// serviceCall is one call of a plain service on its way.
+// serviceCall is one call of a plain service in progress.
 type serviceCall struct {
 	request *flow.Request
 	service *config.PlainService
-	// target is the path and query at the service.
+	// target is the path and query that are sent to the service.
 	target string
 	header http.Header
 	body   io.Reader
 	length int64
 }
 
-// serveService answers /services/{name}/….
+// serveService handles /services/{name}/….
 func (s *Server) serveService(c echo.Context) error {
 	w, r := c.Response(), c.Request()
 	request, refusal := s.newRequest(r)
@@ -68,8 +68,9 @@
 	return nil
 }
 
-// acceptService reads a call. The body of a call with a key is read whole, since
-// the key stands for the body too; any other streams through.
+// acceptService parses a call. If the call has an idempotency key and is not repeatable, the whole
+// body is read first, because the digest that is claimed with the key covers the body. Otherwise the
+// body is streamed.
 func (s *Server) acceptService(w http.ResponseWriter, r *http.Request, request *flow.Request, name string) (*serviceCall, *apierror.Error) {
 	service, ok := request.Snapshot.Service(name)
 	if !ok {
@@ -78,8 +79,8 @@
 	prefix := "/services/" + name
 	request.Kind = flow.KindService
 	request.Service = name
-	// What decides is the decoded path without "..", "//" and the like, so that
-	// no spelling of a path gets around the rule for it.
+	// Rules apply to the decoded and cleaned path, without ".." and "//", so that no other spelling of
+	// a path bypasses its rule.
 	request.Path = path.Clean("/" + strings.TrimPrefix(r.URL.Path, prefix))
 	request.Repeatable = request.Repeatable && service.Repeatable(r.Method, request.Path)
 	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), prefix)
@@ -98,7 +99,7 @@
 		return call, nil
 	}
 	if _, refusal := authenticate.Organisation(request.Snapshot, request.APIKey); refusal != nil {
-		return nil, refusal // before any room is made for a body
+		return nil, refusal // before memory is allocated for the body
 	}
 	body, refusal := s.readBody(w, r, limit)
 	if refusal != nil {
@@ -109,38 +110,37 @@
 	return call, nil
 }
 
-// runService hands a call to a server of the service and its answer back.
-func (s *Server) runService(w http.ResponseWriter, call *serviceCall, claimed *onceRun) {
+// runService sends a call to a server of the service and the response back to the caller.
+func (s *Server) runService(w http.ResponseWriter, call *serviceCall, claimed *claimedRun) {
 	response, failure := s.callService(call)
 	if failure != nil {
-		claimed.end(failure, claim.Answer{})
+		claimed.finish(failure, claim.Answer{})
 		s.refuse(w, call.request, failure)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	var kept keeper
-	whole := passResponse(w, response, &kept)
-	if whole {
-		claimed.end(nil, kept.answer(response))
+	var saved responseCopy
+	complete := copyResponse(w, response, &saved)
+	if complete {
+		claimed.finish(nil, saved.answer(response))
 	} else {
-		claimed.end(apierror.Failed("answer_cut", apierror.Ran, "the answer broke off"), claim.Answer{})
+		claimed.finish(apierror.Failed("answer_cut", apierror.Ran, "the answer broke off"), claim.Answer{})
 	}
 	result := relay.Result{Chunks: 1, FirstChunk: time.Now()}
-	if !whole {
+	if !complete {
 		result.Failure = apierror.Failed("answer_cut", apierror.Ran, "the answer broke off")
 	}
 	s.settleRun(call.request, result)
-	if !whole {
-		panic(http.ErrAbortHandler) // the only way to show the caller a cut
+	if !complete {
+		panic(http.ErrAbortHandler) // aborting the connection is the only way to signal a truncated response
 	}
 }
 
-// callService tries the servers of a service in turn. After a server that could
-// not be reached another may get any call; after one that gave no answer only a
-// call without a body that may be repeated.
+// callService tries the servers of a service in order. If a server cannot be reached, any call is sent
+// to the next one. If a server sends no response, only a repeatable call without a body is retried.
 func (s *Server) callService(call *serviceCall) (*http.Response, *apierror.Error) {
 	failure := apierror.NotReady("no_server", time.Second, "no server of the plain service can be reached")
-	for _, server := range s.serversOf(call) {
+	for _, server := range s.candidateServers(call) {
 		s.zone.NoteCall(server.Name)
 		response, err := s.services.Do(call.request.Context(), plainservice.Request{
 			Address: server.Address, Method: call.request.Method, Target: call.target, Header: s.serviceHeader(call),
@@ -169,21 +169,21 @@
 	return header
 }
 
-// serversOf lists the servers of a service: those of the own zone first, from a
-// different one on at each call, then those of other zones.
-func (s *Server) serversOf(call *serviceCall) []*config.BackendServer {
-	var near, far []*config.BackendServer
+// candidateServers lists the servers of a service in the order in which they are tried: those of the
+// box's own zone first, in round-robin order, then those of other zones.
+func (s *Server) candidateServers(call *serviceCall) []*config.BackendServer {
+	var sameZone, otherZones []*config.BackendServer
 	for _, name := range call.service.Servers {
 		server, ok := call.request.Snapshot.Server(name)
 		switch {
 		case !ok || call.request.Snapshot.Evacuated(server.Zone):
 		case server.Zone != s.zone.Zone():
-			far = append(far, server)
+			otherZones = append(otherZones, server)
 		case s.zone.Available(name):
-			near = append(near, server)
+			sameZone = append(sameZone, server)
 		}
 	}
-	return append(rotate(near, int(s.turn.Add(1))), far...)
+	return append(rotate(sameZone, int(s.rotation.Add(1))), otherZones...)
 }
 
 func rotate[T any](items []T, by int) []T {
@@ -194,25 +194,24 @@
 	return append(append(make([]T, 0, len(items)), items[by:]...), items[:by]...)
 }
 
-// passBufferBytes is the size of the pieces in which an answer is passed on.
-const passBufferBytes = 16 << 10
+// copyBufferBytes is the size of the buffer for copying a response to the caller.
+const copyBufferBytes = 16 << 10
 
-// passResponse writes a service's answer to the caller piece by piece, and
-// reports whether it was whole.
-func passResponse(w http.ResponseWriter, response *http.Response, kept *keeper) bool {
+// copyResponse streams a service's response to the caller and reports whether it was complete.
+func copyResponse(w http.ResponseWriter, response *http.Response, saved *responseCopy) bool {
 	for name, values := range response.Header {
-		if !strings.HasPrefix(name, ourHeaders) { // a service does not speak for us
+		if !strings.HasPrefix(name, ownHeaderPrefix) { // a service must not set the box's own headers
 			w.Header()[name] = values
 		}
 	}
 	controller := http.NewResponseController(w)
-	// Writers without full duplex are those of tests.
+	// Only the response writers of tests do not support full duplex.
 	_ = controller.EnableFullDuplex()
 	w.WriteHeader(response.StatusCode)
-	buffer := make([]byte, passBufferBytes)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, readErr := response.Body.Read(buffer)
-		kept.add(buffer[:n])
+		saved.add(buffer[:n])
 		if _, err := w.Write(buffer[:n]); err != nil {
 			return false
 		}
@@ -225,13 +224,13 @@
 	}
 }
 
-// keeper copies an answer as long as it is small enough to be kept.
-type keeper struct {
+// responseCopy collects a response body up to the size limit for stored answers.
+type responseCopy struct {
 	body     []byte
 	tooLarge bool
 }
 
-func (k *keeper) add(piece []byte) {
+func (k *responseCopy) add(piece []byte) {
 	if k.tooLarge || len(k.body)+len(piece) > claim.MaxAnswerBytes {
 		k.tooLarge = true
 		return
@@ -239,7 +238,7 @@
 	k.body = append(k.body, piece...)
 }
 
-func (k *keeper) answer(response *http.Response) claim.Answer {
+func (k *responseCopy) answer(response *http.Response) claim.Answer {
 	return claim.Answer{
 		Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"),
 		Body: k.body, Whole: !k.tooLarge,
--- a/internal/api/sink.go
+++ b/internal/api/sink.go
@@ -12,17 +12,17 @@
 	"github.com/cometlock/cometlock/internal/engine"
 )
 
-// writeTimeout is how long a caller may take to accept what is written.
+// writeTimeout bounds the time of one write to the caller.
 const writeTimeout = 30 * time.Second
 
-// httpSink writes an answer to a caller. It allocates nothing per chunk.
+// httpSink writes an answer to a caller. It does not allocate per chunk.
 type httpSink struct {
 	w            http.ResponseWriter
 	controller   *http.ResponseController
 	keys         answerid.Keys
 	organisation string
 	stream       bool
-	begun        bool
+	headerSent   bool
 	buffer       []byte
 }
 
@@ -32,7 +32,7 @@
 
 // Begin implements relay.Sink.
 func (s *httpSink) Begin(server *config.BackendServer, run engine.Run) {
-	s.begun = true
+	s.headerSent = true
 	header := s.w.Header()
 	name, err := s.keys.Encode(s.organisation, answerid.Reference{Server: server.Name, RunID: run.ID, Weights: run.Weights, Stream: run.Stream})
 	if err == nil {
@@ -65,12 +65,12 @@
 }
 
 func (s *httpSink) flush() error {
-	// Writers that cannot set deadlines are those of tests.
+	// Only the response writers of tests do not support deadlines.
 	_ = s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return s.controller.Flush()
 }
 
-// appendEvent writes a chunk as a server-sent event, with its index as the id.
+// appendEvent encodes a chunk as a server-sent event, with its index as the event ID.
 func appendEvent(buffer []byte, chunk engine.Chunk) []byte {
 	buffer = append(buffer, "id: "...)
 	buffer = strconv.AppendInt(buffer, int64(chunk.Index), 10)
@@ -79,22 +79,22 @@
 	return append(buffer, "\n\n"...)
 }
 
-// streamFailure is the last event of a stream that could not be finished.
+// streamFailure is the last event of a stream that failed.
 type streamFailure struct {
 	apierror.Body
 	Outcome apierror.Outcome `json:"outcome"`
 }
 
-// fail tells the caller of a failure, in the headers while that is possible and
-// as the last event after that. Without the event that ends a stream, no client
-// takes the answer for whole.
+// fail reports a failure to the caller: as an error response if the headers have not been sent, and
+// otherwise as the last event of the stream. The stream then lacks its regular final event, so clients
+// do not treat the answer as complete.
 func (s *httpSink) fail(failure *apierror.Error) {
-	if !s.begun {
+	if !s.headerSent {
 		WriteError(s.w, failure)
 		return
 	}
 	if !s.stream {
-		return // the body is cut short, which its client sees
+		return // the client detects the truncated body
 	}
 	data, err := json.Marshal(streamFailure{Body: failure.Body(), Outcome: failure.Outcome})
 	if err != nil {
@@ -102,11 +102,11 @@
 	}
 	s.buffer = append(append(append(s.buffer[:0], "data: "...), data...), "\n\n"...)
 	if _, err := s.w.Write(s.buffer); err == nil {
-		_ = s.flush() // nobody is left to tell of a second failure
+		_ = s.flush() // a second failure cannot be reported
 	}
 }
 
-// WriteError writes a refusal or failure.
+// WriteError writes an error response.
 func WriteError(w http.ResponseWriter, failure *apierror.Error) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
@@ -120,6 +120,6 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone; there is nobody left to tell.
+	// Write errors are ignored: they mean that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/api/slow_test.go
+++ b/internal/api/slow_test.go
@@ -16,12 +16,12 @@
 	"github.com/cometlock/cometlock/internal/settle"
 )
 
-// keyHash is the SHA-256 of "sk-lot-demo".
+// keyHash is the SHA-256 hash of the API key "sk-lot-demo".
 const keyHash = "f0abdfc4ca5e6b0d7596a74a72885cf9523aff2c8ac2c159c2d7ef17865ce4cb"
 
-// A sender that stops in the middle of its body must not hold a connection for
-// ever, and is told.
-func TestASlowSenderIsToldAndLetGo(t *testing.T) {
+// A caller that stops in the middle of the body must not keep the connection open forever, and
+// receives an error response.
+func TestSlowBodyTimesOut(t *testing.T) {
 	g := NewWithT(t)
 	entries, err := (&config.File{
 		Limits:        config.Limits{BodyBytes: 1000},
@@ -41,7 +41,7 @@
 		want int
 	}{
 		{"sk-lot-demo", http.StatusRequestTimeout},
-		{"wrong", http.StatusUnauthorized}, // whatever the body would have been
+		{"wrong", http.StatusUnauthorized}, // regardless of the body
 	} {
 		conn, err := net.Dial("tcp", listening.Listener.Addr().String())
 		g.Expect(err).NotTo(HaveOccurred())
