--- a/internal/api/accept.go
+++ b/internal/api/accept.go
@@ -18,7 +18,7 @@
 	"github.com/cometlock/cometlock/internal/flow"
 )
 
-// Headers that cometlock adds to the OpenAI protocol.
+// Headers that cometlock adds to the OpenAI API.
 const (
 	// HeaderRequestID is the ID of the request in logs.
 	HeaderRequestID = "Cometlock-Request-Id"
@@ -105,7 +105,8 @@
 // bodyTimeout bounds the time in which a caller sends the whole body.
 const bodyTimeout = 30 * time.Second
 
-// readBody reads a body within the configured limit and a bounded time.
+// readBody reads the whole body. It returns an error if the body exceeds the limit or does not arrive
+// within the body timeout.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *apierror.Error) {
 	controller := http.NewResponseController(w)
 	// Only the response writers of tests do not support deadlines.
@@ -208,7 +209,7 @@
 	parsed[fieldCacheSalt] = json.RawMessage(strconv.Quote(request.Salt.String()))
 	var body bytes.Buffer
 	encoder := json.NewEncoder(&body)
-	encoder.SetEscapeHTML(false) // the engine must hash the same bytes as place
+	encoder.SetEscapeHTML(false) // the engine must hash the same prompt bytes as the place stage
 	if err := encoder.Encode(parsed); err != nil {
 		return nil // cannot happen: each field was parsed as JSON
 	}
--- a/internal/api/models.go
+++ b/internal/api/models.go
@@ -220,8 +220,8 @@
 
 // findAnswer decodes an answer ID. The error for another organisation's answer is the same as for one
 // that does not exist.
-func (s *Server) findAnswer(request *flow.Request, name string) (server *serverEntry, run engine.Run, refusal *apierror.Error) {
-	reference, err := s.keys.Decode(request.Organisation.Name, name)
+func (s *Server) findAnswer(request *flow.Request, id string) (server *serverEntry, run engine.Run, refusal *apierror.Error) {
+	reference, err := s.keys.Decode(request.Organisation.Name, id)
 	if err != nil {
 		return nil, run, apierror.Missing("answer_not_found", "there is no such answer")
 	}
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -150,7 +150,7 @@
 func textMessage(role, text string) chatMessage {
 	content, err := json.Marshal(text)
 	if err != nil {
-		content = []byte(`""`) // a string always marshals
+		content = []byte(`""`) // cannot happen: encoding a string does not fail
 	}
 	return chatMessage{Role: role, Content: content}
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -30,7 +30,7 @@
 	"github.com/cometlock/cometlock/internal/zone"
 )
 
-// Config sets up a Server.
+// Config is the configuration of a Server.
 type Config struct {
 	// Snapshot returns the current configuration, or nil if none has been loaded yet.
 	Snapshot   func() *config.Snapshot
@@ -67,7 +67,7 @@
 	rotation    atomic.Int64
 }
 
-// serverEntry shortens signatures.
+// serverEntry is a shorter name for config.BackendServer.
 type serverEntry = config.BackendServer
 
 // New creates a server.
--- a/internal/api/sink.go
+++ b/internal/api/sink.go
@@ -34,9 +34,9 @@
 func (s *httpSink) Begin(server *config.BackendServer, run engine.Run) {
 	s.headerSent = true
 	header := s.w.Header()
-	name, err := s.keys.Encode(s.organisation, answerid.Reference{Server: server.Name, RunID: run.ID, Weights: run.Weights, Stream: run.Stream})
+	id, err := s.keys.Encode(s.organisation, answerid.Reference{Server: server.Name, RunID: run.ID, Weights: run.Weights, Stream: run.Stream})
 	if err == nil {
-		header.Set(HeaderAnswerID, name)
+		header.Set(HeaderAnswerID, id)
 	}
 	if s.stream {
 		header.Set("Content-Type", "text/event-stream")
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -13,14 +13,14 @@
 	"github.com/cometlock/cometlock/internal/advisory"
 )
 
-// Part is a section of a prompt that may be shared with other prompts. Two parts
-// with the same ID hold the same tokens.
+// Part is a section of a prompt that may be shared with other prompts. Parts with the same ID consist of
+// the same tokens.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt describes a prompt without holding its text.
+// Prompt describes a prompt without containing its text.
 type Prompt struct {
 	Model string
 	// Tokens is the length of the prompt, AnswerTokens the maximum length of the answer.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -48,7 +48,7 @@
 	Urgency int
 	// Splits lists the services of the route with their weights. It has at least one entry.
 	Splits []Split
-	// MaxServers bounds the backend servers that one call may be sent to.
+	// MaxServers bounds the number of backend servers to which one call may be sent.
 	MaxServers int
 	// Public routes accept calls without an API key.
 	Public bool
