--- a/internal/callerconn/callerconn.go
+++ b/internal/callerconn/callerconn.go
@@ -1,17 +1,15 @@
-// Package callerconn looks after the connections of callers, in two respects in which
-// Go's HTTP server falls short.
+// Package callerconn wraps the callers' connections to add two features that Go's HTTP server lacks.
 //
-// It lets the server close the connections that rest without cutting off a call that
-// has just come on one of them. The server decides that a connection rests, and then
-// closes it. In between the first bytes of a call may have been read: the call would
-// be handled, and its answer would have nowhere to go. Here a connection remembers
-// whether bytes were read since it last came to rest, and does not let itself be
-// closed as resting then. Its call is served, and the server closes it after the
-// answer; but for one whose head is whole only after Shutdown was called, which the
-// server drops before anybody handles it, so that its caller may send it again.
+// First, the server can close idle connections without breaking a call that has just arrived on one
+// of them. The server checks that a connection is idle and then closes it; in between, the first bytes
+// of a call may have been read. That call would run, and its response could not be sent. A wrapped
+// connection records whether bytes were received since it became idle, and if so ignores the close.
+// The call is served, and the server closes the connection after the response. The exception is a call
+// whose headers are complete only after Shutdown was called: the server drops it before a handler
+// runs, so its caller may retry it.
 //
-// It also lets the time limits of rests and of heads of calls follow the
-// configuration; the server's own are fixed when it starts.
+// Second, the timeouts for idle connections and for request headers follow the configuration. Those of
+// the server itself are fixed when it starts.
 package callerconn
 
 import (
@@ -21,19 +19,19 @@
 	"time"
 )
 
-// Timeouts are times that callers may take; zero leaves that of the server in place.
+// Timeouts holds the configurable timeouts of connections; for a zero value, the server's own applies.
 type Timeouts struct {
-	// Header is the longest time from the first byte of a call to the end of its head.
+	// Header bounds the time from the first byte of a call to the end of its headers.
 	Header time.Duration
-	// Idle is the longest rest of a connection between two calls.
+	// Idle bounds the idle time of a connection between two calls.
 	Idle time.Duration
 }
 
-// Listener wraps connections so that TrackState can follow them.
+// Listener wraps the accepted connections so that TrackState can track their state.
 type Listener struct {
 	net.Listener
-	// Timeouts gives the limits in force. The server must have limits of its own, since
-	// only a deadline that it sets is replaced.
+	// Timeouts returns the current timeouts. The server must have its own timeouts set too, because
+	// only a deadline that the server sets is replaced.
 	Timeouts func() Timeouts
 }
 
@@ -43,10 +41,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: connection, limits: l.Timeouts}, nil
+	return &conn{Conn: connection, timeouts: l.Timeouts}, nil
 }
 
-// TrackState is the server's ConnState hook.
+// TrackState must be installed as the server's ConnState hook.
 func TrackState(connection net.Conn, state http.ConnState) {
 	if c, ok := connection.(*conn); ok {
 		c.track(state)
@@ -56,49 +54,52 @@
 // conn is one connection of a caller.
 type conn struct {
 	net.Conn
-	limits func() Timeouts
+	timeouts func() Timeouts
 
 	mu sync.Mutex
-	// working says that the head of a call has been read, and its answer is not over.
-	working bool
-	resting bool
-	// read says that bytes came since the connection came to rest, and restLimited that
-	// the server has set the deadline of the rest.
-	read        bool
-	restLimited bool
+	// active is set from the time the headers of a call have been read until its response has been
+	// sent; idle is set between calls.
+	active bool
+	idle   bool
+	// received is set if bytes were received since the connection became idle, idleTimeoutSet if the
+	// server has set the deadline for the idle time.
+	received       bool
+	idleTimeoutSet bool
 }
 
 func (c *conn) track(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.working = state == http.StateActive
-	c.resting = state == http.StateIdle
-	c.read, c.restLimited = false, false
+	c.active = state == http.StateActive
+	c.idle = state == http.StateIdle
+	c.received, c.idleTimeoutSet = false, false
 }
 
-// SetReadDeadline implements net.Conn. The server sets one for a rest, and then one for
-// the head of a call; those that are set while a call is at work concern its body.
+// SetReadDeadline implements net.Conn. The server sets a deadline for the idle time, and then one for
+// the headers of a call. Deadlines that are set while a call is active apply to its body and are not
+// changed.
 func (c *conn) SetReadDeadline(deadline time.Time) error {
 	if !deadline.IsZero() {
-		if limit := c.nextLimit(); limit > 0 {
-			deadline = time.Now().Add(limit)
+		if timeout := c.nextTimeout(); timeout > 0 {
+			deadline = time.Now().Add(timeout)
 		}
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// nextLimit gives the limit of what the connection is about to wait for, or zero.
-func (c *conn) nextLimit() time.Duration {
+// nextTimeout returns the timeout of what the connection waits for next, or zero if the deadline is
+// not to be changed.
+func (c *conn) nextTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.working:
+	case c.active:
 		return 0
-	case c.resting && !c.restLimited:
-		c.restLimited = true
-		return c.limits().Idle
+	case c.idle && !c.idleTimeoutSet:
+		c.idleTimeoutSet = true
+		return c.timeouts().Idle
 	default:
-		return c.limits().Header
+		return c.timeouts().Header
 	}
 }
 
@@ -106,20 +107,20 @@
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 || err != nil {
-		// After an error no more of a call that has begun will come.
+		// After an error, the rest of a partly received call will not arrive.
 		c.mu.Lock()
-		c.read = err == nil
+		c.received = err == nil
 		c.mu.Unlock()
 	}
 	return n, err
 }
 
-// Close implements net.Conn.
+// Close implements net.Conn. It ignores the close of an idle connection that has received bytes.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	spared := c.resting && c.read
+	keepOpen := c.idle && c.received
 	c.mu.Unlock()
-	if spared {
+	if keepOpen {
 		return nil
 	}
 	return c.Conn.Close()
--- a/internal/callerconn/callerconn_test.go
+++ b/internal/callerconn/callerconn_test.go
@@ -14,8 +14,9 @@
 	"github.com/cometlock/cometlock/internal/callerconn"
 )
 
-// pair gives the server's end of a connection through a Listener, and the other.
-func pair(g *WithT) (server, client net.Conn) {
+// connectionPair returns the server's end of a connection, accepted through a Listener, and the
+// client's end.
+func connectionPair(g *WithT) (server, client net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer listener.Close()
@@ -26,24 +27,24 @@
 	return server, client
 }
 
-func TestACallThatHasBegunToComeIsNotCutOff(t *testing.T) {
+func TestCloseKeepsConnectionWithPartialRequest(t *testing.T) {
 	tests := []struct {
 		name   string
 		before func(server, client net.Conn)
 		closed bool
 	}{
-		{"at rest", func(server, _ net.Conn) { callerconn.TrackState(server, http.StateIdle) }, true},
-		{"at rest, and bytes came", func(server, client net.Conn) {
+		{"idle", func(server, _ net.Conn) { callerconn.TrackState(server, http.StateIdle) }, true},
+		{"idle, with bytes received", func(server, client net.Conn) {
 			callerconn.TrackState(server, http.StateIdle)
 			_, _ = client.Write([]byte("GET"))
 			_, _ = io.ReadFull(server, make([]byte, 3))
 		}, false},
-		{"at work", func(server, client net.Conn) {
+		{"active", func(server, client net.Conn) {
 			callerconn.TrackState(server, http.StateActive)
 			_, _ = client.Write([]byte("GET"))
 			_, _ = io.ReadFull(server, make([]byte, 3))
 		}, true},
-		{"at rest again", func(server, client net.Conn) {
+		{"idle again after a call", func(server, client net.Conn) {
 			_, _ = client.Write([]byte("GET"))
 			_, _ = io.ReadFull(server, make([]byte, 3))
 			callerconn.TrackState(server, http.StateIdle)
@@ -52,7 +53,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			server, client := pair(g)
+			server, client := connectionPair(g)
 			defer client.Close()
 			test.before(server, client)
 			g.Expect(server.Close()).To(Succeed())
@@ -62,8 +63,9 @@
 	}
 }
 
-// startServer serves calls at once, with limits of its own that no test waits for.
-func startServer(t *testing.T, limits callerconn.Timeouts) string {
+// startServer starts a server that responds immediately. Its own timeouts are an hour, so that only
+// those of the listener take effect.
+func startServer(t *testing.T, timeouts callerconn.Timeouts) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,50 +79,49 @@
 		ReadHeaderTimeout: time.Hour, IdleTimeout: time.Hour, ConnState: callerconn.TrackState,
 	}
 	go func() {
-		_ = server.Serve(callerconn.Listener{Listener: listener, Timeouts: func() callerconn.Timeouts { return limits }})
+		_ = server.Serve(callerconn.Listener{Listener: listener, Timeouts: func() callerconn.Timeouts { return timeouts }})
 	}()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-func TestLimitsOfRestsAndHeadsFollowTheConfiguration(t *testing.T) {
+func TestTimeoutsFollowConfiguration(t *testing.T) {
 	const short, long = 100 * time.Millisecond, time.Hour
-	const head = "GET / HTTP/1.1\r\nHost: h\r\n"
+	const headers = "GET / HTTP/1.1\r\nHost: h\r\n"
 	tests := []struct {
-		name   string
-		limits callerconn.Timeouts
-		// sent is what the caller sends, and later what it sends when it has the first
-		// answer, before it falls silent; answers is how many answers come before the
-		// connection is closed.
+		name     string
+		timeouts callerconn.Timeouts
+		// sent is what the client sends first, and later what it sends after the first response. It
+		// then sends nothing more. answers is the number of responses before the connection is closed.
 		sent    string
 		later   string
 		answers int
 	}{
-		{"no call", callerconn.Timeouts{Header: short, Idle: long}, "", "", 0},
-		{"a head that stops", callerconn.Timeouts{Header: short, Idle: long}, head, "", 0},
-		{"a rest", callerconn.Timeouts{Header: long, Idle: short}, head + "\r\n", "", 1},
-		{"the second head stops", callerconn.Timeouts{Header: short, Idle: long}, head + "\r\n" + head, "", 1},
-		{"the second head stops after two bytes", callerconn.Timeouts{Header: long, Idle: short}, head + "\r\n", "GE", 1},
+		{"no request", callerconn.Timeouts{Header: short, Idle: long}, "", "", 0},
+		{"partial request headers", callerconn.Timeouts{Header: short, Idle: long}, headers, "", 0},
+		{"idle after a call", callerconn.Timeouts{Header: long, Idle: short}, headers + "\r\n", "", 1},
+		{"partial headers of the second request", callerconn.Timeouts{Header: short, Idle: long}, headers + "\r\n" + headers, "", 1},
+		{"two bytes of the second request", callerconn.Timeouts{Header: long, Idle: short}, headers + "\r\n", "GE", 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			client, err := net.Dial("tcp", startServer(t, test.limits))
+			client, err := net.Dial("tcp", startServer(t, test.timeouts))
 			g.Expect(err).NotTo(HaveOccurred())
 			defer client.Close()
 			_, err = client.Write([]byte(test.sent))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(client.SetReadDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
-			var came bytes.Buffer
-			for test.later != "" && !strings.HasSuffix(came.String(), "\r\n\r\n") {
-				_, err = io.CopyN(&came, client, 1)
+			var received bytes.Buffer
+			for test.later != "" && !strings.HasSuffix(received.String(), "\r\n\r\n") {
+				_, err = io.CopyN(&received, client, 1)
 				g.Expect(err).NotTo(HaveOccurred())
 			}
 			_, err = client.Write([]byte(test.later))
 			g.Expect(err).NotTo(HaveOccurred())
-			_, err = io.Copy(&came, client)
+			_, err = io.Copy(&received, client)
 			g.Expect(err).NotTo(HaveOccurred(), "the server closes the connection")
-			g.Expect(strings.Count(came.String(), "204 No Content")).To(Equal(test.answers))
+			g.Expect(strings.Count(received.String(), "204 No Content")).To(Equal(test.answers))
 		})
 	}
 }
--- a/internal/callerconn/stop_test.go
+++ b/internal/callerconn/stop_test.go
@@ -15,13 +15,13 @@
 	"github.com/cometlock/cometlock/internal/callerconn"
 )
 
-// stopping is how a server is stopped; entry boxes use Shutdown alone. Ending the rests
-// first, by SetKeepAlivesEnabled(false), closes connections whose calls are handled.
-func stopping(server *http.Server) error { return server.Shutdown(context.Background()) }
+// shutdown stops a server in the same way as entry boxes do, by Shutdown alone. Closing idle
+// connections before, by SetKeepAlivesEnabled(false), would close connections whose calls are handled.
+func shutdown(server *http.Server) error { return server.Shutdown(context.Background()) }
 
-// Calls come on kept connections at the very moment at which the server stops. One that
-// is handled must get its answer; one that is not may be sent again.
-func TestAStopCutsOffNoCallThatIsHandled(t *testing.T) {
+// Calls arrive on keep-alive connections while the server shuts down. A call that reaches the handler
+// must get its response; one that does not may be retried.
+func TestShutdownCompletesHandledCalls(t *testing.T) {
 	const rounds, callers = 20, 200
 	for range rounds {
 		g := NewWithT(t)
@@ -46,14 +46,14 @@
 		}
 		ready.Wait()
 		close(begin)
-		g.Expect(stopping(server)).To(Succeed())
-		_ = server.Close() // connections that rest
+		g.Expect(shutdown(server)).To(Succeed())
+		_ = server.Close() // closes idle connections
 		done.Wait()
 		g.Expect(answered.Load()).To(Equal(handled.Load()))
 	}
 }
 
-// runCaller makes one call, waits, and makes another on the same connection.
+// runCaller sends one call, waits for begin, and sends another on the same connection.
 func runCaller(address string, ready *sync.WaitGroup, begin <-chan struct{}, answered *atomic.Int64) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
@@ -73,10 +73,10 @@
 		answered.Add(1)
 		return response.Body.Close() == nil
 	}
-	goesOn := call()
+	succeeded := call()
 	ready.Done()
 	<-begin
-	if goesOn {
+	if succeeded {
 		call()
 	}
 }
