--- a/internal/answerid/answerid.go
+++ b/internal/answerid/answerid.go
@@ -1,9 +1,8 @@
-// Package answerid makes the names of answers.
+// Package answerid encodes and decodes answer IDs.
 //
-// A name says where the run is, so that any entry box can take up the answer
-// without asking another, and it is authenticated together with the
-// organisation, so that no organisation can name another's run. The name holds
-// no key and no prompt.
+// An answer ID contains the location of the run, so that any entry box can resume the answer without
+// contacting another. It is authenticated (HMAC-SHA256) together with the organisation, so that no
+// organisation can access another's run. The ID contains no API key and no part of the prompt.
 package answerid
 
 import (
@@ -18,20 +17,20 @@
 	"github.com/cometlock/cometlock/internal/safepack"
 )
 
-// Prefix begins every answer name.
+// Prefix is the prefix of every answer ID.
 const Prefix = "ans_"
 
-// macBytes is the length of the authenticator.
+// macBytes is the length of the truncated HMAC.
 const macBytes = 16
 
-// maxNameBytes bounds the names that are looked at.
-const maxNameBytes = 1024
+// maxNameBytes bounds the length of IDs that are decoded.
+const maxIDBytes = 1024
 
-// ErrInvalid says that a name is not one of ours, or is another
-// organisation's; the two are not told apart.
+// ErrInvalid is returned for an ID that is malformed, was not created with one of the keys, or belongs
+// to another organisation. The error does not reveal which.
 var ErrInvalid = merry.Sentinel("no such answer")
 
-// Reference is where a run is.
+// Reference is the location of a run.
 type Reference struct {
 	Server  string `msgpack:"s"`
 	RunID   string `msgpack:"r"`
@@ -39,16 +38,16 @@
 	Stream  bool   `msgpack:"t"`
 }
 
-// Keys authenticates names. The first key makes new ones; all are accepted, so
-// that keys can be rotated while old names are in use.
+// Keys holds the keys that authenticate answer IDs. New IDs are created with the first key; IDs created
+// with any of the keys are accepted, so that keys can be rotated while old IDs are in use.
 type Keys struct {
 	keys [][]byte
 }
 
-// minKeyBytes is the shortest key that is accepted.
+// minKeyBytes is the minimum length of a key.
 const minKeyBytes = 16
 
-// NewKeys checks and takes over the keys, newest first.
+// NewKeys validates the keys, newest first. It does not copy them.
 func NewKeys(keys [][]byte) (Keys, error) {
 	if len(keys) == 0 {
 		return Keys{}, merry.New("at least one answer key is needed")
@@ -61,39 +60,39 @@
 	return Keys{keys: keys}, nil
 }
 
-// Encode gives the name of an organisation's run.
+// Encode returns the answer ID of an organisation's run.
 func (k Keys) Encode(organisation string, reference Reference) (string, error) {
 	payload, err := msgpack.Marshal(&reference)
 	if err != nil {
 		return "", merry.Wrap(err)
 	}
-	sealed := append(mac(k.keys[0], organisation, payload), payload...)
-	return Prefix + base64.RawURLEncoding.EncodeToString(sealed), nil
+	token := append(mac(k.keys[0], organisation, payload), payload...)
+	return Prefix + base64.RawURLEncoding.EncodeToString(token), nil
 }
 
-// Decode reads a name on behalf of an organisation.
-func (k Keys) Decode(organisation, name string) (Reference, error) {
-	text, ok := strings.CutPrefix(name, Prefix)
-	if !ok || len(name) > maxNameBytes {
+// Decode verifies an answer ID that was sent by an organisation and returns the location of the run.
+func (k Keys) Decode(organisation, id string) (Reference, error) {
+	text, ok := strings.CutPrefix(id, Prefix)
+	if !ok || len(id) > maxIDBytes {
 		return Reference{}, ErrInvalid
 	}
-	sealed, err := base64.RawURLEncoding.DecodeString(text)
-	if err != nil || len(sealed) <= macBytes {
+	token, err := base64.RawURLEncoding.DecodeString(text)
+	if err != nil || len(token) <= macBytes {
 		return Reference{}, ErrInvalid
 	}
-	if !k.authentic(organisation, sealed[:macBytes], sealed[macBytes:]) {
+	if !k.isAuthentic(organisation, token[:macBytes], token[macBytes:]) {
 		return Reference{}, ErrInvalid
 	}
 	var reference Reference
-	if err := safepack.Unmarshal(sealed[macBytes:], &reference); err != nil {
+	if err := safepack.Unmarshal(token[macBytes:], &reference); err != nil {
 		return Reference{}, ErrInvalid
 	}
 	return reference, nil
 }
 
-func (k Keys) authentic(organisation string, given, payload []byte) bool {
+func (k Keys) isAuthentic(organisation string, tag, payload []byte) bool {
 	for _, key := range k.keys {
-		if hmac.Equal(given, mac(key, organisation, payload)) {
+		if hmac.Equal(tag, mac(key, organisation, payload)) {
 			return true
 		}
 	}
--- a/internal/answerid/answerid_test.go
+++ b/internal/answerid/answerid_test.go
@@ -19,37 +19,37 @@
 	return made
 }
 
-func TestANameOpensForItsOrganisationAlone(t *testing.T) {
+func TestDecodeRequiresSameOrganisation(t *testing.T) {
 	g := NewWithT(t)
 	reference := answerid.Reference{Server: "runner-1", RunID: "run", Weights: "v1", Stream: true}
-	name, err := keys(t, newKey).Encode("one", reference)
+	id, err := keys(t, newKey).Encode("one", reference)
 	g.Expect(err).NotTo(HaveOccurred())
-	got, err := keys(t, newKey).Decode("one", name)
+	got, err := keys(t, newKey).Decode("one", id)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(reference))
-	for i := range len(name) {
-		flipped := []byte(name)
+	for i := range len(id) {
+		flipped := []byte(id)
 		flipped[i] ^= 2
 		_, err := keys(t, newKey).Decode("one", string(flipped))
 		g.Expect(err).To(MatchError(answerid.ErrInvalid), "byte %d", i)
 	}
-	_, err = keys(t, newKey).Decode("two", name)
+	_, err = keys(t, newKey).Decode("two", id)
 	g.Expect(err).To(MatchError(answerid.ErrInvalid))
 }
 
-func TestKeysRotate(t *testing.T) {
+func TestKeyRotation(t *testing.T) {
 	g := NewWithT(t)
-	name, err := keys(t, oldKey).Encode("one", answerid.Reference{Server: "r"})
+	id, err := keys(t, oldKey).Encode("one", answerid.Reference{Server: "r"})
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = keys(t, newKey, oldKey).Decode("one", name)
+	_, err = keys(t, newKey, oldKey).Decode("one", id)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = keys(t, newKey).Decode("one", name)
+	_, err = keys(t, newKey).Decode("one", id)
 	g.Expect(err).To(MatchError(answerid.ErrInvalid))
 	_, err = answerid.NewKeys([][]byte{[]byte("short")})
 	g.Expect(err).To(HaveOccurred())
 }
 
-func FuzzOpen(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	made, err := answerid.NewKeys([][]byte{newKey})
 	if err != nil {
 		f.Fatal(err)
@@ -57,7 +57,7 @@
 	f.Add("ans_AAAAAAAAAAAAAAAAAAAAAAAAAAAA")
 	f.Fuzz(func(t *testing.T, name string) {
 		if _, err := made.Decode("one", name); err == nil {
-			t.Fatalf("%q opened", name)
+			t.Fatalf("%q was accepted", name)
 		}
 	})
 }
