--- a/internal/authenticate/authenticate.go
+++ b/internal/authenticate/authenticate.go
@@ -1,5 +1,5 @@
-// Package authenticate is the stage that finds whose request this is, and
-// whether that organisation may name what it names.
+// Package authenticate is the stage that identifies the organisation of a request by its API key and
+// checks that the requested model exists.
 package authenticate
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/cometlock/cometlock/internal/ring"
 )
 
-// Stage checks keys and names.
+// Stage checks API keys and model names.
 type Stage struct{}
 
-// New makes the stage.
+// New creates the stage.
 func New() *Stage { return &Stage{} }
 
 // Name implements flow.Stage.
@@ -26,9 +26,9 @@
 	flow.Filter(ctx, in, next, Check)
 }
 
-// Check finds the organisation of a request and the thing it asks for.
+// Check sets the organisation, priority and weights of a request, or returns an error.
 func Check(request *flow.Request) *apierror.Error {
-	if request.Organisation == nil { // reviews come with theirs, out of the log
+	if request.Organisation == nil { // set already for reviews, which are read from the log
 		organisation, err := Organisation(request.Snapshot, request.APIKey)
 		if err != nil {
 			return err
@@ -39,7 +39,7 @@
 		request.Priority = request.Organisation.Priority
 	}
 	if request.Kind == flow.KindService {
-		return nil // accept has found the service already
+		return nil // the accept stage has already looked up the service
 	}
 	model, ok := request.Snapshot.Model(request.Model)
 	if !ok {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Organisation finds whose key this is.
+// Organisation returns the owner of an API key.
 func Organisation(snapshot *config.Snapshot, key string) (*config.Organisation, *apierror.Error) {
 	organisation, ok := snapshot.OrganisationByKey(key)
 	if !ok {
