--- a/internal/tail/tail.go
+++ b/internal/tail/tail.go
@@ -1,4 +1,4 @@
-// Package tail follows one stream of the platform's log from its beginning.
+// Package tail reads one stream of the platform's log from its beginning and follows it.
 package tail
 
 import (
@@ -10,26 +10,25 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Sink takes what is read, from one goroutine.
+// Sink processes the records. Its methods are called from one goroutine.
 type Sink interface {
-	// ApplyRecord is given each record, in order.
+	// ApplyRecord is called with each record, in order.
 	ApplyRecord(record logservice.Record)
-	// Reset says that records which were not read have expired, and that
-	// reading begins again at the earliest held one. Began is when the read
-	// that found out was sent.
+	// Reset is called if records that were not read have expired. Reading continues at the earliest
+	// record that the log still holds. Began is when the read that detected this was sent.
 	Reset(earliest int64, began time.Time)
-	// CaughtUp says that all records up to the present end have been taken.
+	// CaughtUp is called when all records up to the current end of the stream have been applied.
 	CaughtUp()
 }
 
-// Config sets up a Tail.
+// Config is the configuration of a Tail.
 type Config struct {
 	Log    logservice.Log
 	Stream string
 	Sink   Sink
-	// PollWait is how long a read may wait at the log for a new record.
+	// PollWait is how long the log may hold a read until a new record arrives (long polling).
 	PollWait time.Duration
-	// RetryDelay is the pause after the log failed.
+	// RetryDelay is the delay after a failed read.
 	RetryDelay time.Duration
 }
 
@@ -46,7 +45,7 @@
 	atEnd bool
 }
 
-// New makes a tail that begins at the first record.
+// New creates a tail that starts at the first record.
 func New(cfg Config) *Tail {
 	if cfg.PollWait == 0 {
 		cfg.PollWait = DefaultPollWait
@@ -57,17 +56,17 @@
 	return &Tail{cfg: cfg}
 }
 
-// Loop follows the stream until ctx ends.
+// Loop follows the stream until ctx is done.
 func (t *Tail) Loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := t.page(ctx); err != nil {
+		if err := t.readPage(ctx); err != nil {
 			waiting.For(ctx, t.cfg.RetryDelay)
 		}
 	}
 }
 
-// page reads one page. Until the end was reached once, reads do not wait there.
-func (t *Tail) page(ctx context.Context) error {
+// readPage reads one page. Reads do not wait for new records until the end has been reached once.
+func (t *Tail) readPage(ctx context.Context) error {
 	wait := t.cfg.PollWait
 	if !t.atEnd {
 		wait = 0
