--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,14 +1,12 @@
-// Package admit is the stage that decides when a request may run.
+// Package admit is the admission control stage: it queues requests and decides when each may run.
 //
-// Requests wait here, not at the engines, because only here the order can still
-// change: the most urgent go first, and among them organisations by fair
-// shares. An engine gets little more than its batch holds. Reviews may take
-// only part of the room, so that an instant request never waits for a batch
-// full of long ones.
+// Requests are queued here and not at the engines, because only here can they still be reordered: by
+// priority, and within a priority by fair queueing among organisations. An engine gets little more
+// than fits into its batch. Reviews may use only a fraction of the capacity, so that an instant
+// request never waits for a batch full of long reviews.
 //
-// Shares need no message to a central place: the balancer spreads each
-// organisation over the boxes of a zone, so a share that holds in every box
-// holds in the zone.
+// Fair shares need no central coordination: the load balancer distributes each organisation's requests
+// over the boxes of a zone, so shares that hold in every box also hold in the zone.
 package admit
 
 import (
@@ -22,13 +20,13 @@
 	"github.com/cometlock/cometlock/internal/ring"
 )
 
-// Config sets up a Stage.
+// Config is the configuration of a Stage.
 type Config struct {
-	// InFlightLimit gives how many model requests this box may have at the engines.
+	// InFlightLimit returns how many model requests this box may have in flight at the engines.
 	InFlightLimit func() int
-	// ReviewFraction is the part of the room that reviews may take.
+	// ReviewFraction is the fraction of InFlightLimit that reviews may use.
 	ReviewFraction float64
-	// AgingInterval is how long a request waits before it becomes more urgent.
+	// AgingInterval is how long a request waits before its priority is raised.
 	AgingInterval time.Duration
 }
 
@@ -38,42 +36,43 @@
 	DefaultAgingInterval  = 30 * time.Second
 )
 
-// tick is how often the stage looks at what waits without being woken up.
-const tick = 100 * time.Millisecond
+// agingTick is the interval at which the stage raises the priority of waiting requests and checks for
+// capacity without another event.
+const agingTick = 100 * time.Millisecond
 
-// Stage holds the waiting requests.
+// Stage queues requests and admits them.
 type Stage struct {
-	room       func() int
-	reviewPart float64
-	ageStep    time.Duration
-	released   *ring.Ring[*ticket]
-	queue      *queue
-	// inFlight counts the requests passed on and not released; reviews those
-	// of them that can wait; byName the requests of each organisation, waiting
-	// ones included.
-	inFlight int
-	reviews  int
-	byName   map[string]int
-	// interval is the learnt time between two releases.
+	inFlightLimit  func() int
+	reviewFraction float64
+	agingInterval  time.Duration
+	released       *ring.Ring[*reservation]
+	queue          *queue
+	// inFlight is the number of requests that were admitted and not yet released, and reviews the
+	// number of reviews among them. perOrganisation is the number of requests of each organisation,
+	// including waiting ones.
+	inFlight        int
+	reviews         int
+	perOrganisation map[string]int
+	// interval is the moving average of the time between two releases.
 	interval    time.Duration
 	lastRelease time.Time
 
 	state atomic.Pointer[State]
 }
 
-// ticket is a request's claim on room.
-type ticket struct {
+// reservation is the capacity that one request uses.
+type reservation struct {
 	organisation string
 	review       bool
-	// passed is set once the request has left the queue.
-	passed bool
+	// admitted is set when the request leaves the queue to run.
+	admitted bool
 }
 
-// releasedCapacity bounds the ring of finished requests. The stage empties it
-// at once; a full ring makes a finishing request wait for a moment.
+// releasedCapacity bounds the ring of finished requests. The stage empties the ring immediately; while
+// it is full, finishing requests block briefly.
 const releasedCapacity = 1024
 
-// New makes the stage.
+// New creates the stage.
 func New(cfg Config) *Stage {
 	if cfg.ReviewFraction == 0 {
 		cfg.ReviewFraction = DefaultReviewFraction
@@ -82,9 +81,9 @@
 		cfg.AgingInterval = DefaultAgingInterval
 	}
 	s := &Stage{
-		room: cfg.InFlightLimit, reviewPart: cfg.ReviewFraction, ageStep: cfg.AgingInterval,
-		released: ring.New[*ticket](ring.Config{Name: "released", Capacity: releasedCapacity}),
-		queue:    newQueue(), byName: map[string]int{},
+		inFlightLimit: cfg.InFlightLimit, reviewFraction: cfg.ReviewFraction, agingInterval: cfg.AgingInterval,
+		released: ring.New[*reservation](ring.Config{Name: "released", Capacity: releasedCapacity}),
+		queue:    newQueue(), perOrganisation: map[string]int{},
 	}
 	s.state.Store(&State{})
 	return s
@@ -95,31 +94,31 @@
 
 // Loop implements flow.Stage.
 func (s *Stage) Loop(ctx context.Context, in *ring.Ring[*flow.Request], next func(*flow.Request)) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(agingTick)
 	defer ticker.Stop()
 	for {
 		select {
 		case request := <-in.Items():
-			s.take(ctx, request, next)
+			s.enqueue(ctx, request, next)
 		case done := <-s.released.Items():
-			s.giveBack(done)
+			s.handleRelease(done)
 		case <-ticker.C:
-			s.queue.age(time.Now(), s.ageStep)
+			s.queue.age(time.Now(), s.agingInterval)
 		case <-ctx.Done():
 			return
 		}
-		s.passOn(next)
-		s.state.Store(&State{Waiting: s.queue.len(), InFlight: s.inFlight, Reviews: s.reviews, InFlightLimit: s.room()})
+		s.admitWaiting(next)
+		s.state.Store(&State{Waiting: s.queue.len(), InFlight: s.inFlight, Reviews: s.reviews, InFlightLimit: s.inFlightLimit()})
 	}
 }
 
-func (s *Stage) take(ctx context.Context, request *flow.Request, next func(*flow.Request)) {
+func (s *Stage) enqueue(ctx context.Context, request *flow.Request, next func(*flow.Request)) {
 	if request.Canceled() {
 		request.Refuse(flow.CallerGone())
 		return
 	}
 	organisation := request.Organisation
-	if s.byName[organisation.Name] >= organisation.MaxInFlight {
+	if s.perOrganisation[organisation.Name] >= organisation.MaxInFlight {
 		request.Refuse(apierror.Busy("organisation_limit", s.expectedWait(), "the organisation has %d requests in flight, its limit", organisation.MaxInFlight))
 		return
 	}
@@ -127,75 +126,75 @@
 		request.Refuse(apierror.Busy("queue_full", s.expectedWait(), "too many requests are waiting"))
 		return
 	}
-	s.byName[organisation.Name]++
-	claim := &ticket{organisation: organisation.Name, review: request.Priority == config.PriorityReview}
+	s.perOrganisation[organisation.Name]++
+	reserved := &reservation{organisation: organisation.Name, review: request.Priority == config.PriorityReview}
 	request.OnRelease(func() {
-		// When the stage has ended nobody counts any more.
-		_ = s.released.Push(ctx, claim)
+		// An error means that the stage has stopped and the counts no longer matter.
+		_ = s.released.Push(ctx, reserved)
 	})
 	if request.Kind == flow.KindService {
-		next(request) // plain services limit themselves; only the organisation's count holds
+		next(request) // plain services limit themselves; only the organisation's limit applies
 		return
 	}
-	s.queue.push(request, claim)
+	s.queue.push(request, reserved)
 }
 
-func (s *Stage) giveBack(done *ticket) {
-	if s.byName[done.organisation]--; s.byName[done.organisation] <= 0 {
-		delete(s.byName, done.organisation)
+func (s *Stage) handleRelease(done *reservation) {
+	if s.perOrganisation[done.organisation]--; s.perOrganisation[done.organisation] <= 0 {
+		delete(s.perOrganisation, done.organisation)
 	}
-	if !done.passed {
+	if !done.admitted {
 		return
 	}
 	s.inFlight--
 	if done.review {
 		s.reviews--
 	}
-	s.learn()
+	s.updateInterval()
 }
 
-// passOn lets as many requests go as there is room for.
-func (s *Stage) passOn(next func(*flow.Request)) {
-	room := s.room()
-	reviewRoom := max(1, int(s.reviewPart*float64(room)))
-	for s.queue.len() > 0 && s.inFlight < room {
+// admitWaiting admits waiting requests until the limit is reached.
+func (s *Stage) admitWaiting(next func(*flow.Request)) {
+	limit := s.inFlightLimit()
+	reviewLimit := max(1, int(s.reviewFraction*float64(limit)))
+	for s.queue.len() > 0 && s.inFlight < limit {
 		first := s.queue.peek()
 		if first.request.Canceled() {
 			s.queue.pop()
 			first.request.Refuse(flow.CallerGone())
 			continue
 		}
-		if first.claim.review && s.reviews >= reviewRoom {
-			return // all that wait behind a review are reviews
+		if first.reserved.review && s.reviews >= reviewLimit {
+			return // all requests behind a review are reviews too
 		}
 		s.queue.pop()
-		first.claim.passed = true
+		first.reserved.admitted = true
 		s.inFlight++
-		if first.claim.review {
+		if first.reserved.review {
 			s.reviews++
 		}
 		next(first.request)
 	}
 }
 
-// learnWeight is the weight of the newest interval between two releases.
-const learnWeight = 0.05
+// intervalWeight is the weight of the newest sample in the moving average of interval.
+const intervalWeight = 0.05
 
-func (s *Stage) learn() {
+func (s *Stage) updateInterval() {
 	now := time.Now()
 	if !s.lastRelease.IsZero() {
-		s.interval += time.Duration(learnWeight * float64(now.Sub(s.lastRelease)-s.interval))
+		s.interval += time.Duration(intervalWeight * float64(now.Sub(s.lastRelease)-s.interval))
 	}
 	s.lastRelease = now
 }
 
-// expectedWait is how long the queue takes to empty at the present pace, and at
-// least a second: what Retry-After tells.
+// expectedWait returns the value of Retry-After: the time to drain the queue at the current rate, and
+// at least a second.
 func (s *Stage) expectedWait() time.Duration {
 	return max(time.Second, s.interval*time.Duration(s.queue.len()))
 }
 
-// State is the part of a state dump that describes the stage.
+// State is the stage's part of a state dump.
 type State struct {
 	Waiting       int `json:"waiting"`
 	InFlight      int `json:"in_flight"`
@@ -203,5 +202,5 @@
 	InFlightLimit int `json:"room"`
 }
 
-// State describes the stage as it was after its last step.
+// State returns the state after the last event that the stage processed.
 func (s *Stage) State() State { return *s.state.Load() }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -16,21 +16,21 @@
 	"github.com/cometlock/cometlock/internal/ring"
 )
 
-// gate runs the stage and notes who passes, in order.
-type gate struct {
-	stage  *admit.Stage
-	in     *ring.Ring[*flow.Request]
-	passed []*flow.Request
-	room   int
-	stop   context.CancelFunc
+// stageRun runs the stage and records the admitted requests in order.
+type stageRun struct {
+	stage    *admit.Stage
+	in       *ring.Ring[*flow.Request]
+	admitted []*flow.Request
+	limit    int
+	stop     context.CancelFunc
 }
 
-func newGate(room int) *gate {
-	g := &gate{in: ring.New[*flow.Request](ring.Config{Capacity: 1000}), room: room}
-	g.stage = admit.New(admit.Config{InFlightLimit: func() int { return g.room }})
+func startStage(limit int) *stageRun {
+	g := &stageRun{in: ring.New[*flow.Request](ring.Config{Capacity: 1000}), limit: limit}
+	g.stage = admit.New(admit.Config{InFlightLimit: func() int { return g.limit }})
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
-	go g.stage.Loop(ctx, g.in, func(request *flow.Request) { g.passed = append(g.passed, request) })
+	go g.stage.Loop(ctx, g.in, func(request *flow.Request) { g.admitted = append(g.admitted, request) })
 	return g
 }
 
@@ -50,31 +50,31 @@
 	return &config.Organisation{Name: name, Share: share, MaxInFlight: 100}
 }
 
-func (g *gate) send(ctx context.Context, of *config.Organisation, priority config.Priority) *flow.Request {
+func (g *stageRun) send(ctx context.Context, owner *config.Organisation, priority config.Priority) *flow.Request {
 	request := flow.NewRequest(ctx)
-	request.Kind, request.Organisation, request.Priority, request.Snapshot = flow.KindModel, of, priority, snapshot
+	request.Kind, request.Organisation, request.Priority, request.Snapshot = flow.KindModel, owner, priority, snapshot
 	g.in.TryPush(request)
 	return request
 }
 
-// order names who passed, one letter each.
-func (g *gate) order() string {
+// order returns the organisations of the admitted requests, one letter each.
+func (g *stageRun) order() string {
 	var names strings.Builder
-	for _, request := range g.passed {
+	for _, request := range g.admitted {
 		names.WriteString(request.Organisation.Name)
 	}
 	return names.String()
 }
 
-// finish gives room for one more, one after the other.
-func (g *gate) finish(count int) {
+// finish releases the first admitted requests one after the other, so that others are admitted.
+func (g *stageRun) finish(count int) {
 	for i := range count {
-		g.passed[i].Release()
+		g.admitted[i].Release()
 		synctest.Wait()
 	}
 }
 
-func TestSharesAndUrgencyDecideWhoGoesNext(t *testing.T) {
+func TestOrderByUrgencyAndShare(t *testing.T) {
 	type sent struct {
 		name     string
 		share    int
@@ -88,13 +88,13 @@
 	}{
 		{"first come, first served in one organisation", []sent{{"a", 1, config.PriorityNormal, 3}}, "aaa"},
 		{"shares 2 to 1", []sent{{"a", 2, config.PriorityNormal, 6}, {"b", 1, config.PriorityNormal, 3}}, "abaabaaba"},
-		{"a large one cannot push a small one's instant request out", []sent{{"a", 8, config.PriorityNormal, 6}, {"b", 1, config.PriorityInstant, 1}}, "baaaaaa"},
+		{"a large organisation does not delay a small one's instant request", []sent{{"a", 8, config.PriorityNormal, 6}, {"b", 1, config.PriorityInstant, 1}}, "baaaaaa"},
 		{"reviews last", []sent{{"r", 8, config.PriorityReview, 2}, {"a", 1, config.PriorityNormal, 2}, {"i", 1, config.PriorityInstant, 1}}, "iaarr"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newGate(1)
+				g := startStage(1)
 				defer g.stop()
 				ctx := t.Context()
 				blocker := g.send(ctx, organisation("-", 1), config.PriorityInstant)
@@ -110,7 +110,7 @@
 				blocker.Release()
 				synctest.Wait()
 				for i := 1; i < total; i++ {
-					g.passed[i].Release()
+					g.admitted[i].Release()
 					synctest.Wait()
 				}
 				NewWithT(t).Expect(g.order()).To(Equal("-" + c.want))
@@ -119,9 +119,9 @@
 	}
 }
 
-func TestAShareIsNotSavedUpWhileIdle(t *testing.T) {
+func TestIdleOrganisationsAccumulateNoCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate(1)
+		g := startStage(1)
 		defer g.stop()
 		a, b := organisation("a", 1), organisation("b", 1)
 		for range 10 {
@@ -134,25 +134,25 @@
 		}
 		synctest.Wait()
 		for i := 6; i < 13; i++ {
-			g.passed[i].Release()
+			g.admitted[i].Release()
 			synctest.Wait()
 		}
-		NewWithT(t).Expect(g.order()[7:]).To(Equal("bababab"), "b gets every second place, not the next four")
+		NewWithT(t).Expect(g.order()[7:]).To(Equal("bababab"), "b gets every second slot, not the next four")
 	})
 }
 
-func TestReviewsLeaveRoom(t *testing.T) {
+func TestReviewsLeaveCapacityForInstantRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWithT(t)
-		g := newGate(10)
+		g := startStage(10)
 		defer g.stop()
-		reviews, people := organisation("r", 1), organisation("p", 1)
+		reviews, interactive := organisation("r", 1), organisation("p", 1)
 		for range 20 {
 			g.send(t.Context(), reviews, config.PriorityReview)
 		}
 		synctest.Wait()
-		w.Expect(g.order()).To(Equal("rrrrrrrr"), "reviews take 8 of 10 places")
-		g.send(t.Context(), people, config.PriorityInstant)
+		w.Expect(g.order()).To(Equal("rrrrrrrr"), "reviews use 8 of 10 slots")
+		g.send(t.Context(), interactive, config.PriorityInstant)
 		synctest.Wait()
 		w.Expect(g.order()).To(HaveSuffix("p"))
 	})
@@ -160,28 +160,28 @@
 
 func TestReviewsDoNotStarve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate(1)
+		g := startStage(1)
 		defer g.stop()
-		people := organisation("p", 1)
-		g.send(t.Context(), people, config.PriorityNormal)
+		interactive := organisation("p", 1)
+		g.send(t.Context(), interactive, config.PriorityNormal)
 		synctest.Wait()
 		g.send(t.Context(), organisation("r", 1), config.PriorityReview)
-		// Normal requests without end: there is always one that waits.
-		g.send(t.Context(), people, config.PriorityNormal)
+		// At least one normal request is waiting at any time.
+		g.send(t.Context(), interactive, config.PriorityNormal)
 		for next := range 100 {
-			g.send(t.Context(), people, config.PriorityNormal)
+			g.send(t.Context(), interactive, config.PriorityNormal)
 			time.Sleep(time.Second)
-			g.passed[next].Release()
+			g.admitted[next].Release()
 			synctest.Wait()
 		}
 		NewWithT(t).Expect(g.order()).To(ContainSubstring("r"))
 	})
 }
 
-func TestRefusals(t *testing.T) {
+func TestLimitsAreEnforced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWithT(t)
-		g := newGate(1)
+		g := startStage(1)
 		defer g.stop()
 		small := organisation("s", 1)
 		small.MaxInFlight = 2
@@ -203,21 +203,21 @@
 	})
 }
 
-func TestCallersThatGoAwayTakeNoRoom(t *testing.T) {
+func TestCanceledRequestsTakeNoCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWithT(t)
-		g := newGate(1)
+		g := startStage(1)
 		defer g.stop()
-		ctx, goAway := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		g.send(t.Context(), organisation("a", 1), config.PriorityNormal)
-		gone := g.send(ctx, organisation("b", 1), config.PriorityNormal)
+		canceled := g.send(ctx, organisation("b", 1), config.PriorityNormal)
 		g.send(t.Context(), organisation("c", 1), config.PriorityNormal)
 		synctest.Wait()
-		goAway()
-		g.passed[0].Release()
+		cancel()
+		g.admitted[0].Release()
 		synctest.Wait()
 		w.Expect(g.order()).To(Equal("ac"))
-		w.Expect((<-gone.Decision()).Code).To(Equal("caller_gone"))
+		w.Expect((<-canceled.Decision()).Code).To(Equal("caller_gone"))
 		w.Expect(g.stage.State().InFlight).To(Equal(1))
 	})
 }
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -8,94 +8,93 @@
 	"github.com/cometlock/cometlock/internal/flow"
 )
 
-// queue orders waiting requests by urgency, and among equally urgent ones by
-// fair shares.
+// queue orders waiting requests by urgency, and requests of the same urgency by start-time fair queueing
+// (SFQ).
 //
-// Fairness is start-time fair queueing: each request gets a virtual start, which
-// is the end of its organisation's request before, or the virtual time now if
-// the organisation was idle; it then takes 1 ÷ share of virtual time. The lowest
-// start goes first. An organisation with share 2 so passes two requests for
-// each one of share 1, and nobody saves up a claim while idle:
+// In SFQ, each request gets a virtual start time: the virtual finish time of its organisation's previous
+// request, or the current virtual time if the organisation was idle. Its virtual duration is 1 ÷ share.
+// The request with the lowest start time is served first. An organisation with share 2 thus runs two
+// requests for each one of an organisation with share 1, and idle organisations accumulate no credit:
 //
 //	a (share 2) queues 4 at once: starts 0, ½, 1, 1½
 //	b (share 1) queues 2 at once: starts 0, 1
 //	order: a0 b0 a½ a1 b1 a1½
 type queue struct {
-	waiting waiting
-	// clock is the virtual time of each urgency.
-	clock [urgencies]float64
-	// ends is where each organisation's next request begins at the earliest.
-	ends     map[lane]float64
-	sequence uint64
+	waiting entryHeap
+	// virtualTime is the current virtual time of each urgency.
+	virtualTime [urgencyLevels]float64
+	// finishTimes holds the virtual finish time of each organisation's last request, which is the
+	// earliest start time of its next one.
+	finishTimes map[flowKey]float64
+	sequence    uint64
 }
 
-// urgencies is the number of priorities.
-const urgencies = 3
+// urgencyLevels is the number of priorities.
+const urgencyLevels = 3
 
-type lane struct {
+type flowKey struct {
 	organisation string
 	urgency      int
 }
 
 type entry struct {
 	request  *flow.Request
-	claim    *ticket
+	reserved *reservation
 	urgency  int
 	start    float64
 	sequence uint64
 	since    time.Time
 }
 
-func newQueue() *queue { return &queue{ends: map[lane]float64{}} }
+func newQueue() *queue { return &queue{finishTimes: map[flowKey]float64{}} }
 
 func (q *queue) len() int { return len(q.waiting) }
 
-func (q *queue) push(request *flow.Request, claim *ticket) {
+func (q *queue) push(request *flow.Request, reserved *reservation) {
 	urgency := Urgency(request.Priority)
-	key := lane{organisation: request.Organisation.Name, urgency: urgency}
-	start := max(q.clock[urgency], q.ends[key])
-	q.ends[key] = start + 1/float64(request.Organisation.Share)
+	key := flowKey{organisation: request.Organisation.Name, urgency: urgency}
+	start := max(q.virtualTime[urgency], q.finishTimes[key])
+	q.finishTimes[key] = start + 1/float64(request.Organisation.Share)
 	q.sequence++
-	heap.Push(&q.waiting, &entry{request: request, claim: claim, urgency: urgency, start: start, sequence: q.sequence, since: time.Now()})
+	heap.Push(&q.waiting, &entry{request: request, reserved: reserved, urgency: urgency, start: start, sequence: q.sequence, since: time.Now()})
 }
 
-// pop takes the request that goes next.
+// pop removes and returns the next request.
 func (q *queue) pop() *entry {
 	next, ok := heap.Pop(&q.waiting).(*entry)
 	if !ok {
 		return nil
 	}
-	q.clock[next.urgency] = max(q.clock[next.urgency], next.start)
+	q.virtualTime[next.urgency] = max(q.virtualTime[next.urgency], next.start)
 	q.prune(next)
 	return next
 }
 
-// peek gives the request that goes next without taking it.
+// peek returns the next request without removing it.
 func (q *queue) peek() *entry { return q.waiting[0] }
 
-// prune forgets an organisation whose lane has caught up with the clock, so
-// that the memory is bounded by the organisations that are waiting.
+// prune deletes the finish time of an organisation once the virtual time has reached it, so that the
+// memory in use is bounded by the number of organisations with waiting requests.
 func (q *queue) prune(e *entry) {
-	key := lane{organisation: e.request.Organisation.Name, urgency: e.urgency}
-	if q.ends[key] <= q.clock[e.urgency] {
-		delete(q.ends, key)
+	key := flowKey{organisation: e.request.Organisation.Name, urgency: e.urgency}
+	if q.finishTimes[key] <= q.virtualTime[e.urgency] {
+		delete(q.finishTimes, key)
 	}
 	if len(q.waiting) == 0 {
-		clear(q.ends)
-		q.clock = [urgencies]float64{}
+		clear(q.finishTimes)
+		q.virtualTime = [urgencyLevels]float64{}
 	}
 }
 
-// age makes requests that have waited long more urgent, so that none starves:
-// a review becomes normal after one step, and instant never, since a person
-// waits for those.
-func (q *queue) age(now time.Time, step time.Duration) {
+// age raises the urgency of requests that have waited for long, so that none starves. A review becomes
+// normal after one interval. No request becomes instant, because users wait for instant requests.
+func (q *queue) age(now time.Time, interval time.Duration) {
 	changed := false
 	for _, e := range q.waiting {
-		if e.urgency > Urgency(config.PriorityNormal) && now.Sub(e.since) >= step {
+		if e.urgency > Urgency(config.PriorityNormal) && now.Sub(e.since) >= interval {
 			e.urgency--
 			e.since = now
-			e.start = q.clock[e.urgency]
+			e.start = q.virtualTime[e.urgency]
 			changed = true
 		}
 	}
@@ -104,7 +103,7 @@
 	}
 }
 
-// Urgency ranks a priority; the lowest goes first.
+// Urgency returns the rank of a priority; the lowest rank is served first.
 func Urgency(priority config.Priority) int {
 	switch priority {
 	case config.PriorityInstant:
@@ -116,11 +115,11 @@
 	}
 }
 
-type waiting []*entry
+type entryHeap []*entry
 
-func (w waiting) Len() int { return len(w) }
+func (w entryHeap) Len() int { return len(w) }
 
-func (w waiting) Less(i, j int) bool {
+func (w entryHeap) Less(i, j int) bool {
 	if w[i].urgency != w[j].urgency {
 		return w[i].urgency < w[j].urgency
 	}
@@ -130,15 +129,15 @@
 	return w[i].sequence < w[j].sequence
 }
 
-func (w waiting) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
+func (w entryHeap) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
 
-func (w *waiting) Push(x any) {
+func (w *entryHeap) Push(x any) {
 	if e, ok := x.(*entry); ok {
 		*w = append(*w, e)
 	}
 }
 
-func (w *waiting) Pop() any {
+func (w *entryHeap) Pop() any {
 	old := *w
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
