--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,11 +1,10 @@
-// Package flow holds the request that travels through the stages, and the loop
-// that a stage runs.
+// Package flow defines the request that is processed by the stages of the pipeline, and the interface of
+// a stage.
 //
-// A stage has one duty and one goroutine. It takes requests from its ring, does
-// its duty, and passes each on to the next stage's ring or ends it. Stages that
-// compute (authenticate, admit, place) work this way. Stages that wait for
-// sockets (dispatch, relay) run on the goroutine that the HTTP server gave the
-// request, since a goroutine that waits for one engine cannot serve another.
+// A computing stage (authenticate, admit, place) runs in a single goroutine. It takes requests from its
+// ring, processes each, and passes it to the ring of the next stage or rejects it. Stages that wait for
+// network I/O (dispatch, relay) run in the HTTP server's goroutine for the request instead, because a
+// goroutine that waits for one engine cannot serve other requests.
 package flow
 
 import (
@@ -19,41 +18,41 @@
 	"github.com/cometlock/cometlock/internal/ring"
 )
 
-// Kind tells the protocols that callers speak apart.
+// Kind is the kind of a request, which depends on the API that the caller uses.
 type Kind uint8
 
 const (
-	// KindModel is a request for a model's answer.
+	// KindModel is an inference request.
 	KindModel Kind = iota + 1
 	// KindService is a call of a plain service.
 	KindService
 )
 
-// Request is one request on its way through the stages. Each field is written
-// by the one stage named with it and only read afterwards.
+// Request is a request in the pipeline. Each field is written only by the stage that is named above it,
+// and only read by later stages.
 type Request struct {
 	// Written by accept.
 	ID             string
 	Kind           Kind
 	Arrived        time.Time
 	APIKey         string // the caller's bearer key; never logged
-	Path           string // path at the backend server
+	Path           string // path that is sent to the backend server
 	Model          string
 	Service        string
 	Method         string
 	Prompt         []byte // the part of the body that the engine prefills
 	Stream         bool
 	Priority       config.Priority
-	Deadline       time.Time // zero: none
+	Deadline       time.Time // zero if none
 	Repeatable     bool
 	IdempotencyKey string
-	Digest         [32]byte // of the request as the caller sent it; only with a key
+	Digest         [32]byte // of the request as the caller sent it; only set with an idempotency key
 	Snapshot       *config.Snapshot
 
 	// Written by authenticate.
 	Organisation *config.Organisation
 
-	// Written by admit: gives back the room the request takes.
+	// Written by admit: releases the capacity that the request uses.
 	release func()
 
 	// Written by place.
@@ -62,12 +61,12 @@
 	Chain     prefix.Chain
 	Placement Placement
 
-	// Written by dispatch: the same for each sending of the request.
+	// Written by dispatch: the same for each attempt.
 	Fingerprint fingerprint.Fingerprint
 
 	ctx  context.Context
 	done chan *apierror.Error
-	// encode writes the engine's body; body is what it wrote for bodySalt.
+	// encode encodes the body for the engine; body is the cached result for bodySalt.
 	encode   func() []byte
 	body     []byte
 	bodySalt prefix.Salt
@@ -77,25 +76,25 @@
 type Placement struct {
 	// Server is the chosen backend server.
 	Server *config.BackendServer
-	// WarmTokens is how much of the prompt is thought to be there already.
+	// WarmTokens is the estimated number of prompt tokens in the server's KV cache.
 	WarmTokens int
-	// Prepare, when set, is run before the request is handed over.
+	// Prepare, if set, is called before the request is sent.
 	Prepare func(ctx context.Context)
-	// Handle is the request's hold on the server.
+	// Handle is the request's reservation of capacity at the server.
 	Handle Hold
 	// FirstToken is the estimated time to first token.
 	FirstToken time.Duration
 }
 
-// Hold is a request's place at a backend server.
+// Hold is a request's reservation of capacity at a backend server.
 type Hold interface {
-	// FirstToken notes that the first token has come.
+	// FirstToken records that the first token has been received.
 	FirstToken()
-	// Done gives the place back, and says whether the request ran to its end.
+	// Done releases the reservation; ran states whether the request ran to completion.
 	Done(ran bool)
 }
 
-// NewRequest makes a request whose life is bounded by ctx.
+// NewRequest creates a request that is canceled when ctx is done.
 func NewRequest(ctx context.Context) *Request {
 	return &Request{
 		ctx: ctx, done: make(chan *apierror.Error, 1), Repeatable: true,
@@ -103,25 +102,25 @@
 	}
 }
 
-// noHold is the hold of a request that has no place at a backend server.
+// noHold is the Hold of a request that has not been placed.
 type noHold struct{}
 
 func (noHold) FirstToken() {}
 
 func (noHold) Done(bool) {}
 
-// Context ends when the caller goes away.
+// Context returns the request's context, which is canceled when the caller disconnects.
 func (r *Request) Context() context.Context { return r.ctx }
 
-// Canceled reports whether the caller has gone away.
+// Canceled reports whether the caller has disconnected.
 func (r *Request) Canceled() bool { return r.ctx.Err() != nil }
 
-// SetEncoder sets how the engine's body is written, from what the stages found.
+// SetEncoder sets the function that encodes the body for the engine from the request's fields.
 func (r *Request) SetEncoder(encode func() []byte) { r.encode = encode }
 
-// EngineBody gives the body for the engine that the request is placed on. The
-// body names the salt of the kept context that the engine may use, so it is
-// written anew when the request has moved to another weight version.
+// EngineBody returns the body for the engine on which the request is placed. The body contains the cache
+// salt, which depends on the weight version, so it is encoded again if the request was moved to another
+// weight version.
 func (r *Request) EngineBody() []byte {
 	if r.body == nil || r.bodySalt != r.Salt {
 		r.body, r.bodySalt = r.encode(), r.Salt
@@ -129,28 +128,28 @@
 	return r.body
 }
 
-// DropBody drops what is needed only to hand the request over. Once part of an
-// answer has been passed on, the request is never handed over again, and an
-// answer may take minutes: a prompt of 64 KiB must not stay for all of them.
+// DropBody frees the data that is needed only to send the request. A request is never sent again after
+// part of its answer has been forwarded, and the answer may take minutes, during which a prompt of 64 KiB
+// must not stay in memory.
 func (r *Request) DropBody() { r.Prompt, r.body, r.encode = nil, nil, nil }
 
-// Pass ends the way through the computing stages: the request may run.
+// Pass completes the computing stages: the request may run.
 func (r *Request) Pass() { r.done <- nil }
 
-// Refuse ends the request with an error.
+// Refuse rejects the request with an error and releases its capacity.
 func (r *Request) Refuse(err *apierror.Error) {
 	r.Release()
 	r.done <- err
 }
 
-// Decision brings the refusal of the computing stages, or nil when they passed
-// the request.
+// Decision returns a channel that receives nil when the request has passed the computing stages, or the
+// error with which a stage rejected it.
 func (r *Request) Decision() <-chan *apierror.Error { return r.done }
 
-// OnRelease sets how admit gets back the room the request takes.
+// OnRelease sets the function with which admit releases the capacity that the request uses.
 func (r *Request) OnRelease(release func()) { r.release = release }
 
-// Release gives back the room the request takes; a second call does nothing.
+// Release releases the capacity that the request uses; a second call does nothing.
 func (r *Request) Release() {
 	if r.release == nil {
 		return
@@ -160,16 +159,15 @@
 	release()
 }
 
-// Stage is one computing duty.
+// Stage is a computing stage.
 type Stage interface {
 	// Name identifies the stage in metrics, logs and state dumps.
 	Name() string
-	// Loop takes requests from in until ctx ends, and hands each to next or
-	// refuses it.
+	// Loop takes requests from in until ctx is done, and passes each to next or rejects it.
 	Loop(ctx context.Context, in *ring.Ring[*Request], next func(*Request))
 }
 
-// Filter runs the loop of a stage that decides on each request at once.
+// Filter runs the loop of a stage that passes or rejects each request immediately.
 func Filter(ctx context.Context, in *ring.Ring[*Request], next func(*Request), handle func(*Request) *apierror.Error) {
 	for {
 		request, err := in.Pop(ctx)
@@ -188,11 +186,11 @@
 	}
 }
 
-// statusCallerGone is what the log shows for a caller that went away; nobody
-// is left to read it.
+// statusCallerGone is the status that is logged for a request whose caller disconnected. It is never
+// sent.
 const statusCallerGone = 499
 
-// CallerGone is the end of a request whose caller went away before it ran.
+// CallerGone returns the error of a request whose caller disconnected before it ran.
 func CallerGone() *apierror.Error {
 	return &apierror.Error{
 		Status: statusCallerGone, Type: apierror.InvalidRequest, Code: "caller_gone",
