--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,8 +1,8 @@
-// Package pipeline joins the computing stages with bounded rings.
+// Package pipeline connects the computing stages by bounded rings.
 //
 //	accept ─▶ [ring] authenticate ─▶ [ring] admit ─▶ [ring] place ─▶ dispatch, relay, settle
 //
-// A new stage is one package and one line where the daemon assembles them.
+// A new stage needs a package of its own and one line in the daemon, which assembles the stages.
 package pipeline
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/cometlock/cometlock/internal/ring"
 )
 
-// Config sets up a Pipeline.
+// Config is the configuration of a Pipeline.
 type Config struct {
 	// Capacity bounds each ring.
 	Capacity int
@@ -23,19 +23,19 @@
 	Stages []flow.Stage
 }
 
-// DefaultCapacity is the capacity where none is given.
+// DefaultCapacity is the default of Config.Capacity.
 const DefaultCapacity = 1024
 
 // Pipeline runs the stages.
 type Pipeline struct {
-	stages []flow.Stage
-	rings  []*ring.Ring[*flow.Request]
-	ended  sync.WaitGroup
-	// stopped is closed once all loops have ended.
+	stages  []flow.Stage
+	rings   []*ring.Ring[*flow.Request]
+	running sync.WaitGroup
+	// stopped is closed when all loops have ended.
 	stopped chan struct{}
 }
 
-// New joins the stages; they do nothing before Start.
+// New connects the stages; Start runs them.
 func New(cfg Config) *Pipeline {
 	if cfg.Capacity == 0 {
 		cfg.Capacity = DefaultCapacity
@@ -47,48 +47,47 @@
 	return p
 }
 
-// Start runs the stages until ctx ends.
+// Start runs the stages until ctx is done.
 func (p *Pipeline) Start(ctx context.Context) {
 	for i, stage := range p.stages {
-		p.ended.Go(func() { stage.Loop(ctx, p.rings[i], p.next(i)) })
+		p.running.Go(func() { stage.Loop(ctx, p.rings[i], p.next(i)) })
 	}
-	go p.loopEnd()
+	go p.awaitStages()
 }
 
-// loopEnd waits for the end of all loops.
-func (p *Pipeline) loopEnd() {
-	p.ended.Wait()
+// awaitStages waits until all loops have ended and closes stopped.
+func (p *Pipeline) awaitStages() {
+	p.running.Wait()
 	close(p.stopped)
 }
 
 // Wait waits until all stages have ended.
 func (p *Pipeline) Wait() { <-p.stopped }
 
-// next gives the function that hands a request from a stage to the one after.
+// next returns the function that passes a request from a stage to the next one.
 func (p *Pipeline) next(stage int) func(*flow.Request) {
 	if stage == len(p.stages)-1 {
 		return (*flow.Request).Pass
 	}
-	return func(request *flow.Request) { p.offer(stage+1, request) }
+	return func(request *flow.Request) { p.enqueue(stage+1, request) }
 }
 
-func (p *Pipeline) offer(stage int, request *flow.Request) {
+func (p *Pipeline) enqueue(stage int, request *flow.Request) {
 	if !p.rings[stage].TryPush(request) {
 		request.Refuse(apierror.Busy("ring_full", time.Second, "stage %s has no room", p.stages[stage].Name()))
 	}
 }
 
-// Run takes a request through all stages and gives the refusal, or nil when
+// Run passes a request through all stages. It returns the error with which a stage rejected it, or nil if
 // the request may be dispatched.
 func (p *Pipeline) Run(request *flow.Request) *apierror.Error {
-	p.offer(0, request)
+	p.enqueue(0, request)
 	select {
 	case refusal := <-request.Decision():
 		return refusal
 	case <-p.stopped:
 	}
-	// All loops have ended, so nobody decides on the request any more; it may
-	// have been decided just before.
+	// All loops have ended, so no stage will decide on the request. It may have been decided just before.
 	select {
 	case refusal := <-request.Decision():
 		return refusal
@@ -97,7 +96,7 @@
 	}
 }
 
-// State describes the rings.
+// State returns the states of the rings.
 func (p *Pipeline) State() []ring.State {
 	states := make([]ring.State, len(p.rings))
 	for i, r := range p.rings {
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -13,7 +13,7 @@
 	"github.com/cometlock/cometlock/internal/ring"
 )
 
-// stage is a stage that does with each request what a test wants.
+// stage is a stage that calls handle for each request.
 type stage struct {
 	name   string
 	handle func(request *flow.Request, next func(*flow.Request))
@@ -33,13 +33,13 @@
 
 func pass(request *flow.Request, next func(*flow.Request)) { next(request) }
 
-func TestRequestsPassAllStagesOrAreRefused(t *testing.T) {
+func TestRequestsPassAllStagesOrAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var seen []string
+		var visited []string
 		record := func(name string) func(*flow.Request, func(*flow.Request)) {
 			return func(request *flow.Request, next func(*flow.Request)) {
-				seen = append(seen, name)
+				visited = append(visited, name)
 				if request.Model == name {
 					request.Refuse(apierror.BadRequest("no", "refused by %s", name))
 					return
@@ -54,18 +54,18 @@
 		refused := flow.NewRequest(ctx)
 		refused.Model = "a"
 		g.Expect(p.Run(refused).Message).To(Equal("refused by a"))
-		g.Expect(seen).To(Equal([]string{"a", "b", "a"}))
+		g.Expect(visited).To(Equal([]string{"a", "b", "a"}))
 		stop()
 		p.Wait()
 	})
 }
 
-// A request that waits in a stage when the box stops must not wait for ever.
-func TestStoppingEndsWaitingRequests(t *testing.T) {
+// When the box stops, a request that waits in a stage must not hang.
+func TestStopRejectsWaitingRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		keep := func(*flow.Request, func(*flow.Request)) {}
-		p := pipeline.New(pipeline.Config{Stages: []flow.Stage{stage{"a", pass}, stage{"keeps", keep}}})
+		hold := func(*flow.Request, func(*flow.Request)) {}
+		p := pipeline.New(pipeline.Config{Stages: []flow.Stage{stage{"a", pass}, stage{"hold", hold}}})
 		ctx, stop := context.WithCancel(context.Background())
 		p.Start(ctx)
 		ended := make(chan *apierror.Error)
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestAFullRingRefusesAsNotRun(t *testing.T) {
+func TestFullRingRejectsAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		block := make(chan struct{})
