--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -1,5 +1,5 @@
-// Package settle is the last stage: it gives back the room a request took,
-// counts how it ended, and logs one line of it.
+// Package settle is the last stage: it releases the capacity that a request used, updates the metrics,
+// and writes one log line per request.
 package settle
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/cometlock/cometlock/internal/telemetry"
 )
 
-// Record is how one request ended. It holds no key, prompt or answer.
+// Record describes one finished request. It contains no API key, prompt or answer.
 type Record struct {
 	RequestID    string
 	Organisation string
@@ -34,11 +34,11 @@
 	Resumes      int
 	Reruns       int
 	Failure      *apierror.Error
-	// Target is the deployment's wanted time to first token; 0 if unknown.
+	// Target is the deployment's target for the time to first token; 0 if unknown.
 	Target time.Duration
 }
 
-// NewRecord takes from a request what its record needs.
+// NewRecord creates a record with the data of a request.
 func NewRecord(request *flow.Request) Record {
 	record := Record{
 		RequestID: request.ID, Kind: request.Kind, Model: request.Model, Priority: request.Priority,
@@ -56,15 +56,15 @@
 	return record
 }
 
-// Config sets up a Stage.
+// Config is the configuration of a Stage.
 type Config struct {
 	Logger zerolog.Logger
 	Scope  tally.Scope
-	// Capacity bounds the records that wait to be written.
+	// Capacity bounds the number of records that wait to be written.
 	Capacity int
 }
 
-// DefaultCapacity is the capacity where none is given.
+// DefaultCapacity is the default of Config.Capacity.
 const DefaultCapacity = 8192
 
 // Stage settles requests.
@@ -72,40 +72,40 @@
 	logger  zerolog.Logger
 	scope   tally.Scope
 	records *ring.Ring[Record]
-	lost    tally.Counter
+	dropped tally.Counter
 	settled atomic.Int64
 }
 
-// New makes the stage.
+// New creates the stage.
 func New(cfg Config) *Stage {
 	if cfg.Capacity == 0 {
 		cfg.Capacity = DefaultCapacity
 	}
 	return &Stage{
-		logger: cfg.Logger, scope: cfg.Scope, lost: cfg.Scope.Counter("records_lost"),
+		logger: cfg.Logger, scope: cfg.Scope, dropped: cfg.Scope.Counter("records_lost"),
 		records: ring.New[Record](ring.Config{Name: "settle", Capacity: cfg.Capacity}),
 	}
 }
 
-// Settle gives back what the request holds and hands its record over. It never
-// waits: under a flood of refusals a record may be lost, which is counted.
+// Settle releases the capacity that the request uses and queues its record. It never blocks: at a very
+// high rate of rejections a record may be dropped, which is counted.
 func (s *Stage) Settle(request *flow.Request, record Record) {
 	request.Placement.Handle.Done(record.Failure == nil)
 	request.Release()
 	record.Ended = time.Now()
 	s.settled.Add(1)
 	if !s.records.TryPush(record) {
-		s.lost.Inc(1)
+		s.dropped.Inc(1)
 	}
 }
 
-// Settled counts the requests that have ended.
+// Settled returns the number of settled requests.
 func (s *Stage) Settled() int64 { return s.settled.Load() }
 
-// Ring describes the stage's ring.
+// Ring returns the state of the stage's ring.
 func (s *Stage) Ring() ring.State { return s.records.State() }
 
-// Loop writes records until ctx ends.
+// Loop writes records until ctx is done.
 func (s *Stage) Loop(ctx context.Context) {
 	for {
 		record, err := s.records.Pop(ctx)
