--- a/internal/plainservice/list.go
+++ b/internal/plainservice/list.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// splitList gives the parts of a comma-separated header value.
+// splitList returns the elements of a comma-separated header value.
 func splitList(value string) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for part := range strings.SplitSeq(value, ",") {
--- a/internal/plainservice/plainservice.go
+++ b/internal/plainservice/plainservice.go
@@ -1,10 +1,9 @@
-// Package plainservice is the adapter to plain HTTP services.
+// Package plainservice is the HTTP client for plain services.
 //
-// Calls that may be repeated share connections. A call that may not is given a
-// connection of its own that is never used again, because Go's HTTP client
-// sends a request a second time when a kept connection turns out to be closed
-// and the request looks safe to it; a body-less POST that carries an
-// Idempotency-Key does. On a fresh connection it never does so.
+// Repeatable calls use a connection pool. Every other call gets a new connection that is not reused,
+// because Go's HTTP client sends a request again if a pooled connection turns out to be closed and it
+// considers the request idempotent, such as a POST without a body that has an Idempotency-Key header. On
+// a new connection it never does so.
 package plainservice
 
 import (
@@ -22,32 +21,32 @@
 	"github.com/cometlock/cometlock/internal/selfheaders"
 )
 
-// Errors of a call.
+// Errors of Do.
 var (
-	// ErrNotSent says that no byte of the call left this process.
+	// ErrNotSent is returned if no byte of the call was sent.
 	ErrNotSent = merry.Sentinel("the plain service could not be reached")
-	// ErrNoResponse says that the call was handed over and no answer came back.
-	ErrNoResponse = merry.Sentinel("the plain service gave no answer")
+	// ErrNoResponse is returned if the call was sent, at least in part, and its outcome is unknown.
+	ErrNoResponse = merry.Sentinel("the plain service sent no response")
 )
 
-// ClientConfig sets up a Client.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
-	// OnAdvisory is told what answers say of the server at an address; it may be nil.
+	// OnAdvisory is called with the state that a server reports in its response headers; it may be nil.
 	OnAdvisory func(address string, answer advisory.Answer)
 }
 
 // Client calls the plain services of a zone.
 type Client struct {
 	repeatable http.Client
-	once       http.Client
-	advised    func(address string, answer advisory.Answer)
+	singleUse  http.Client
+	onAdvisory func(address string, answer advisory.Answer)
 }
 
 const defaultDialTimeout = time.Second
 
-// NewClient makes a client; it connects on first use.
+// NewClient creates a client. Connections are established on first use.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = defaultDialTimeout
@@ -55,11 +54,11 @@
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout}
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{
-		advised: cfg.OnAdvisory,
+		onAdvisory: cfg.OnAdvisory,
 		repeatable: http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
 			DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 		}},
-		once: http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
+		singleUse: http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
 			DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true,
 		}},
 	}
@@ -69,20 +68,20 @@
 type Request struct {
 	// Address is the IP address and port of the backend server.
 	Address string
-	// Method and Target (path and query) are as the caller sent them; Header is
-	// what ForwardHeader left of the caller's, and what was added.
+	// Method and Target (path and query) are those that the caller sent. Header is the caller's, as
+	// filtered by ForwardHeader, with the headers that the box adds.
 	Method string
 	Target string
 	Header http.Header
-	// Body streams the request body; Length is -1 when it is not known.
+	// Body streams the request body; Length is -1 if unknown.
 	Body   io.Reader
 	Length int64
-	// Repeatable says whether the call may run more than once.
+	// Repeatable is set if the call may run more than once.
 	Repeatable bool
 }
 
-// Do hands the call over, once, and gives the answer, whose body the caller of
-// Do closes. The error is ErrNotSent or ErrNoResponse.
+// Do sends the call and returns the response, whose body the caller must close. Do itself makes one
+// attempt only. The error is ErrNotSent or ErrNoResponse.
 func (c *Client) Do(ctx context.Context, call Request) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+call.Address+call.Target, call.Body)
 	if err != nil {
@@ -94,14 +93,14 @@
 		request.Body = http.NoBody
 	}
 	request.Header = call.Header
-	client := &c.once
+	client := &c.singleUse
 	if call.Repeatable {
 		client = &c.repeatable
 	}
 	sent := boottime.Now()
 	response, err := client.Do(request)
 	if err == nil {
-		c.advise(call.Address, sent, response)
+		c.reportAdvisory(call.Address, sent, response)
 		response.Header = ForwardHeader(response.Header)
 		return response, nil
 	}
@@ -111,24 +110,24 @@
 	return nil, merry.Wrap(ErrNoResponse, merry.AppendMessage(err.Error()))
 }
 
-// advise passes on what an answer says of its server.
-func (c *Client) advise(address string, sent time.Time, response *http.Response) {
-	if c.advised == nil {
+// reportAdvisory passes the state that the response headers report to OnAdvisory.
+func (c *Client) reportAdvisory(address string, sent time.Time, response *http.Response) {
+	if c.onAdvisory == nil {
 		return
 	}
-	said := selfheaders.Read(response.StatusCode, response.Header)
-	c.advised(address, advisory.Answer{Advisory: said, Sent: sent, Received: boottime.Now(), Genuine: true})
+	parsed := selfheaders.Read(response.StatusCode, response.Header)
+	c.onAdvisory(address, advisory.Answer{Advisory: parsed, Sent: sent, Received: boottime.Now(), Genuine: true})
 }
 
-// hopByHop lists the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHop lists the hop-by-hop headers, which are not forwarded (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ForwardHeader copies the headers that travel past this hop. What we add for the
-// service is added to the copy: a caller that names our headers in "Connection"
-// must not get them removed.
+// ForwardHeader returns a copy of the headers without hop-by-hop headers. The headers that the box adds
+// for the service must be added to the copy, so that a caller cannot remove them by listing them in its
+// Connection header.
 func ForwardHeader(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, names := range header.Values("Connection") {
