--- a/internal/logservice/client.go
+++ b/internal/logservice/client.go
@@ -15,30 +15,30 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// MaxRecordBytes is the largest record the log takes.
+// MaxRecordBytes is the size of the largest record that the log accepts.
 const MaxRecordBytes = 1 << 20
 
-// maxPageBytes bounds an answer, so that a broken log cannot fill the memory.
+// maxPageBytes bounds the size of a response, so that a faulty log service cannot exhaust the memory.
 const maxPageBytes = 64 << 20
 
-// ClientConfig sets up a Client.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	// Address is the IP address and port of the log service.
 	Address string
-	// Timeout bounds one call, without the time a read asks to wait.
+	// Timeout bounds one call, not counting the time that a read waits for a record.
 	Timeout time.Duration
-	// Transport replaces the HTTP transport, for TLS and for tests.
+	// Transport replaces the default HTTP transport, for TLS and for tests.
 	Transport http.RoundTripper
 }
 
-// Client speaks the log's HTTP protocol.
+// Client is a client of the log's HTTP API.
 type Client struct {
 	address string
 	timeout time.Duration
 	http    http.Client
 }
 
-// NewClient makes a client; it connects on first use.
+// NewClient creates a client. Connections are established on first use.
 func NewClient(cfg ClientConfig) *Client {
 	transport := cfg.Transport
 	if transport == nil {
@@ -51,12 +51,12 @@
 	return &Client{address: cfg.Address, timeout: timeout, http: http.Client{Transport: transport}}
 }
 
-// AppendResponse is the body of an answered append.
+// AppendResponse is the response body of an append.
 type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
-// Path gives the URL path of the records of a stream.
+// Path returns the URL path of the records of a stream.
 func Path(stream string) string { return "/v1/streams/" + url.PathEscape(stream) + "/records" }
 
 // Append implements Log.
@@ -67,7 +67,7 @@
 	if err != nil {
 		return 0, merry.Wrap(err)
 	}
-	// Without GetBody the HTTP library cannot send the record a second time.
+	// Without GetBody, the HTTP client cannot send the record a second time.
 	request.GetBody = nil
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -87,8 +87,8 @@
 	return answer.Offset, nil
 }
 
-// appendError tells the failures in which no byte left this process from all
-// others: only a connection that was never made proves that.
+// appendError returns ErrNotAppended if no connection could be established, since only this proves that no
+// byte was sent, and ErrAmbiguous for all other errors.
 func appendError(err error) error {
 	if operation, ok := errors.AsType[*net.OpError](err); ok && operation.Op == "dial" {
 		return merry.Wrap(ErrNotAppended, merry.WithCause(err))
@@ -126,19 +126,19 @@
 	return page, checkPage(page, opts.From)
 }
 
-// checkPage refuses an answer whose records are not the wanted ones in order:
-// every promise rests on that order.
+// checkPage returns an error unless the page contains the requested records in order, without gaps. All
+// guarantees of the system depend on that order.
 func checkPage(page Page, from int64) error {
 	for i, record := range page.Records {
 		if record.Offset != from+int64(i) {
-			return merry.Wrap(ErrUnavailable, merry.AppendMessagef("record %d where %d was due", record.Offset, from+int64(i)))
+			return merry.Wrap(ErrUnavailable, merry.AppendMessagef("got record %d, expected %d", record.Offset, from+int64(i)))
 		}
 	}
 	return nil
 }
 
 func closeBody(body io.ReadCloser) {
-	// Draining lets the connection be used again; its errors change nothing.
+	// A connection can be reused only after the body has been read. Errors do not matter here.
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, 4<<10))
 	_ = body.Close()
 }
--- a/internal/logservice/logservice.go
+++ b/internal/logservice/logservice.go
@@ -1,9 +1,8 @@
-// Package logservice is the adapter to the platform's append-only log.
+// Package logservice is the client of the platform's append-only log.
 //
-// The log is the only thing that agrees or lasts in cometlock. Its wire form is
-// known here alone: two HTTP calls over a stream of records with offsets. The
-// important part of the interface is the errors, because an append has three
-// ends: taken, certainly not taken, and nobody knows.
+// The log is the only component that provides consensus and durable storage to cometlock. Only this
+// package implements its protocol: two HTTP calls on a stream of records with offsets. The errors matter
+// most, because an append has three possible outcomes: appended, certainly not appended, and unknown.
 package logservice
 
 import (
@@ -16,9 +15,9 @@
 
 // Record is one entry of a stream.
 type Record struct {
-	// Offset counts the records of a stream from 0.
+	// Offset is the position of the record in its stream, starting at 0.
 	Offset int64 `json:"offset"`
-	// Time is when the log took the record, by the log's own clock.
+	// Time is when the log appended the record, by the log's clock.
 	Time time.Time `json:"time"`
 	// Data is the payload.
 	Data []byte `json:"data"`
@@ -26,56 +25,55 @@
 
 // Page is a part of a stream.
 type Page struct {
-	// Records are in offset order without gaps.
+	// Records is ordered by offset, without gaps.
 	Records []Record `json:"records"`
-	// Earliest is the lowest offset the log still holds.
+	// Earliest is the lowest offset that the log still holds.
 	Earliest int64 `json:"earliest"`
-	// Next is the offset that the next appended record will get.
+	// Next is the offset of the next record to be appended.
 	Next int64 `json:"next"`
 }
 
-// ReadOptions says which part of a stream to read.
+// ReadOptions selects the part of a stream to read.
 type ReadOptions struct {
-	// From is the first wanted offset.
+	// From is the first offset to read.
 	From int64
-	// Limit bounds the number of records; 0 leaves it to the log.
+	// Limit bounds the number of records; if it is 0, the log chooses a limit.
 	Limit int
-	// Wait is how long the log may hold the answer back for a first record.
+	// Wait is how long the log may delay the response until a first record is available.
 	Wait time.Duration
 }
 
 // Log is the platform's append-only log.
 type Log interface {
-	// Append adds a record and gives its offset. The error is ErrNotAppended when
-	// the record is certainly not in the log, and ErrAmbiguous when it may be
-	// there now or appear later.
+	// Append appends a record and returns its offset. The error is ErrNotAppended if the record is
+	// certainly not in the log, and ErrAmbiguous if it may be in the log now or appear there later.
 	Append(ctx context.Context, stream string, data []byte) (int64, error)
-	// Read gives a part of a stream. The error is an *ExpiredError when the
-	// first wanted record is no longer held.
+	// Read returns a part of a stream. The error is an *ExpiredError if the log no longer holds the
+	// first requested record.
 	Read(ctx context.Context, stream string, opts ReadOptions) (Page, error)
 }
 
-// ErrNotAppended says that an append certainly had no effect.
-var ErrNotAppended = merry.Sentinel("the log service did not take the record")
+// ErrNotAppended is returned if an append certainly had no effect.
+var ErrNotAppended = merry.Sentinel("the log service did not append the record")
 
-// ErrAmbiguous says that an append may have had an effect.
-var ErrAmbiguous = merry.Sentinel("no answer from the log service: the record may have been taken")
+// ErrAmbiguous is returned if an append may have had an effect.
+var ErrAmbiguous = merry.Sentinel("no response from the log service: the record may have been appended")
 
-// ErrUnavailable says that the log service gave no answer to a read.
+// ErrUnavailable is returned if the log service sent no valid response to a read.
 var ErrUnavailable = merry.Sentinel("the log service is not reachable")
 
-// ExpiredError says that wanted records are no longer held.
+// ExpiredError is returned if the log no longer holds the requested records.
 type ExpiredError struct {
-	// Earliest is the lowest offset that is still held.
+	// Earliest is the lowest offset that the log still holds.
 	Earliest int64
 }
 
 // Error implements the error interface.
 func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("the record has expired: the earliest held is %d", e.Earliest)
+	return fmt.Sprintf("the record has expired: the earliest available record is %d", e.Earliest)
 }
 
-// ReadAll reads a stream from an offset to its present end.
+// ReadAll reads a stream from an offset to its current end.
 func ReadAll(ctx context.Context, log Log, stream string, from int64) ([]Record, error) {
 	var records []Record
 	for {
