--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,8 +1,7 @@
-// Package eventstream cuts a server-sent event stream into whole events.
+// Package eventstream splits a stream of server-sent events into complete events.
 //
-// A box passes an event on only when all of it has come, so that a server that
-// stops in the middle of one leaves nothing behind that another server's event
-// could be joined to.
+// A box forwards an event only after receiving all of it. If a server stops in the middle of an event,
+// the caller therefore gets no fragment that the next event of another server would be appended to.
 package eventstream
 
 import (
@@ -14,33 +13,34 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// MaxEventBytes bounds one event; an engine's events are a few kilobytes.
+// MaxEventBytes bounds the size of one event. The events of an engine have a few kilobytes.
 const MaxEventBytes = 1 << 20
 
-// ErrTooLong says that an event is longer than MaxEventBytes.
+// ErrTooLong is returned if an event is longer than MaxEventBytes.
 var ErrTooLong = merry.Sentinel("an event of the stream is too long")
 
-// Event is one event as it came, with the empty line that ends it.
+// Event is one event.
 type Event struct {
-	// Raw holds the bytes; it is valid until the next call of Next.
+	// Raw holds the event's bytes as received, with the empty line that ends it. It is valid until the
+	// next call of Next.
 	Raw []byte
-	// ID is the event's id, or nothing.
+	// ID is the event ID, or empty if the event has none.
 	ID string
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	source *bufio.Reader
 	raw    []byte
 }
 
-// NewReader reads events from source.
+// NewReader creates a reader of events from source.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{source: bufio.NewReader(source)}
 }
 
-// Next gives the next whole event. It gives io.EOF when the stream ended after a
-// whole event, and io.ErrUnexpectedEOF when it ended within one.
+// Next returns the next complete event. It returns io.EOF if the stream ended after a complete event, and
+// io.ErrUnexpectedEOF if it ended within one.
 func (r *Reader) Next() (Event, error) {
 	r.raw = r.raw[:0]
 	var id string
@@ -54,7 +54,7 @@
 			continue
 		}
 		if err != nil {
-			return Event{}, r.ended(err)
+			return Event{}, r.endError(err)
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (r *Reader) ended(err error) error {
+func (r *Reader) endError(err error) error {
 	if errors.Is(err, io.EOF) && len(r.raw) > 0 {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -11,20 +11,20 @@
 	"github.com/cometlock/cometlock/internal/eventstream"
 )
 
-func TestEventsComeWholeOrNotAtAll(t *testing.T) {
+func TestReaderReturnsOnlyCompleteEvents(t *testing.T) {
 	tests := []struct {
 		name, stream string
 		ids          []string
 		end          error
 	}{
-		{"whole events", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"1", "2"}, io.EOF},
+		{"complete events", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"1", "2"}, io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", []string{"1"}, io.EOF},
 		{"a line before the id", "versions: 4\nid:7\ndata: a\n\n", []string{"7"}, io.EOF},
 		{"no id", "data: a\n\n", []string{""}, io.EOF},
-		{"ends in an event", "id: 1\ndata: a\n\nid: 2\ndata: b\n", []string{"1"}, io.ErrUnexpectedEOF},
-		{"ends in a line", "id: 1\ndata: a\n\nid: 2\nda", []string{"1"}, io.ErrUnexpectedEOF},
-		{"nothing", "", nil, io.EOF},
-		{"too long", "id: 1\ndata: " + strings.Repeat("x", eventstream.MaxEventBytes) + "\n\n", nil, eventstream.ErrTooLong},
+		{"stream ends within an event", "id: 1\ndata: a\n\nid: 2\ndata: b\n", []string{"1"}, io.ErrUnexpectedEOF},
+		{"stream ends within a line", "id: 1\ndata: a\n\nid: 2\nda", []string{"1"}, io.ErrUnexpectedEOF},
+		{"empty stream", "", nil, io.EOF},
+		{"event too long", "id: 1\ndata: " + strings.Repeat("x", eventstream.MaxEventBytes) + "\n\n", nil, eventstream.ErrTooLong},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
