--- a/internal/selfheaders/selfheaders.go
+++ b/internal/selfheaders/selfheaders.go
@@ -1,5 +1,5 @@
-// Package selfheaders reads the headers in which engines, plain services and servers of routes of the
-// product's own interface say something of themselves (package advisory).
+// Package selfheaders parses the response headers in which engines, plain services and the backend
+// servers of the product's own routes report their state (package advisory).
 package selfheaders
 
 import (
@@ -9,19 +9,19 @@
 	"github.com/cometlock/cometlock/internal/call"
 )
 
-// Headers of answers.
+// Response headers.
 const (
-	// RateLimit names the requests a second that the server takes from all boxes together, a decimal
-	// number.
+	// RateLimit is the number of requests per second that the server accepts from all boxes together, a
+	// decimal number.
 	RateLimit = "Cometlock-Rate-Limit"
-	// Draining is 1 where the server takes nothing new.
+	// Draining is 1 if the server accepts no new requests.
 	Draining = "Cometlock-Draining"
 
 	retryAfter = "Retry-After"
 	date       = "Date"
 )
 
-// Read gives what an answer says of its server.
+// Read returns the state that a response reports about its server.
 func Read(status int, header http.Header) advisory.Advisory {
 	return call.ReadAdvisory(call.AdvisoryHeaders{
 		Status: status, Limit: header.Get(RateLimit), Draining: header.Get(Draining), RetryAfter: header.Get(retryAfter), Date: header.Get(date),
