--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,7 +1,7 @@
-// Package watch looks after the runners of the zone: it asks each for its load
-// report and its cache events, and folds them into what is known of the zone.
+// Package watch polls the runners of the zone for their load reports and cache events and applies them
+// to the zone's state (zone.Knowledge).
 //
-// Each runner has a goroutine of its own, so that one that hangs delays nobody.
+// Each runner is polled by its own goroutine, so that a runner that hangs does not delay the others.
 package watch
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/cometlock/cometlock/internal/zone"
 )
 
-// Config sets up a Watcher.
+// Config is the configuration of a Watcher.
 type Config struct {
 	Engines   *engine.Client
 	Knowledge *zone.Knowledge
 	Logger    zerolog.Logger
-	// Interval is the time between two looks at a runner.
+	// Interval is the polling interval of a runner.
 	Interval time.Duration
 }
 
-// DefaultInterval is short enough for a leaving runner to be noticed well
-// within the 3 s after which it gets no new work.
+// DefaultInterval is short enough to detect the departure of a runner well within the 3 s after which a
+// runner gets no new requests.
 const DefaultInterval = 500 * time.Millisecond
 
-// Watcher looks after runners.
+// Watcher polls runners.
 type Watcher struct {
 	cfg    Config
 	mu     sync.Mutex
@@ -39,7 +39,7 @@
 	ended  sync.WaitGroup
 }
 
-// New makes a watcher that looks after no runner yet.
+// New creates a watcher; Configure starts the polling.
 func New(cfg Config) *Watcher {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
@@ -47,8 +47,8 @@
 	return &Watcher{cfg: cfg, stops: map[string]context.CancelFunc{}}
 }
 
-// Configure begins to look after the runners that are known now, and stops with
-// those that are gone. After Close it does nothing.
+// Configure starts polling runners that were added to the configuration and stops polling those that were
+// removed. After Close it does nothing.
 func (w *Watcher) Configure(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,8 +64,8 @@
 		}
 		runnerCtx, stop := context.WithCancel(ctx)
 		w.stops[key] = stop
-		look := &runnerWatch{watcher: w, runner: runner}
-		w.ended.Go(func() { look.loop(runnerCtx) })
+		poller := &runnerPoller{watcher: w, runner: runner}
+		w.ended.Go(func() { poller.loop(runnerCtx) })
 	}
 	for key, stop := range w.stops {
 		if !wanted[key] {
@@ -75,9 +75,9 @@
 	}
 }
 
-// Close stops looking after all runners and waits until their goroutines have
-// ended. A configuration may arrive while a box stops: what it would begin is not
-// begun, since a goroutine that starts beside the waiting may be missed by it.
+// Close stops polling and waits until all goroutines have ended. A configuration may arrive while a box
+// stops; it then starts no goroutine, because one that starts concurrently with the wait may be missed by
+// it.
 func (w *Watcher) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -89,18 +89,18 @@
 	w.ended.Wait()
 }
 
-// runnerWatch looks after one runner.
-type runnerWatch struct {
-	watcher *Watcher
-	runner  *config.BackendServer
-	lost    bool
+// runnerPoller polls one runner.
+type runnerPoller struct {
+	watcher     *Watcher
+	runner      *config.BackendServer
+	unreachable bool
 }
 
-func (r *runnerWatch) loop(ctx context.Context) {
+func (r *runnerPoller) loop(ctx context.Context) {
 	ticker := time.NewTicker(r.watcher.cfg.Interval)
 	defer ticker.Stop()
 	for {
-		r.look(ctx)
+		r.poll(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -109,16 +109,16 @@
 	}
 }
 
-func (r *runnerWatch) look(ctx context.Context) {
+func (r *runnerPoller) poll(ctx context.Context) {
 	cfg := r.watcher.cfg
 	status, err := cfg.Engines.Status(ctx, r.runner.Address)
 	if err != nil {
-		r.noteLost(ctx, err)
+		r.noteFailure(ctx, err)
 		return
 	}
-	if r.lost {
-		r.lost = false
-		cfg.Logger.Info().Str("server", r.runner.Name).Msg("runner_back")
+	if r.unreachable {
+		r.unreachable = false
+		cfg.Logger.Info().Str("server", r.runner.Name).Msg("runner_recovered")
 	}
 	cfg.Knowledge.Report(r.runner.Name, status)
 	if status.LastEvent == cfg.Knowledge.EventsTo(r.runner.Name) {
@@ -126,18 +126,18 @@
 	}
 	events, err := cfg.Engines.CacheEvents(ctx, r.runner.Address, cfg.Knowledge.EventsTo(r.runner.Name))
 	if err != nil {
-		return // the next look asks again from the same place
+		return // the next poll requests the same events again
 	}
 	cfg.Knowledge.Fold(r.runner.Name, events)
 }
 
-func (r *runnerWatch) noteLost(ctx context.Context, err error) {
+func (r *runnerPoller) noteFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil || errors.Is(err, context.Canceled) {
 		return
 	}
 	r.watcher.cfg.Knowledge.Failed(r.runner.Name)
-	if !r.lost {
-		r.lost = true
-		r.watcher.cfg.Logger.Warn().Str("server", r.runner.Name).Str("error", err.Error()).Msg("runner_lost")
+	if !r.unreachable {
+		r.unreachable = true
+		r.watcher.cfg.Logger.Warn().Str("server", r.runner.Name).Str("error", err.Error()).Msg("runner_unreachable")
 	}
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -15,13 +15,13 @@
 	"github.com/cometlock/cometlock/internal/zone"
 )
 
-// oneRunner gives what a zone with one runner knows, and a count of the questions
-// that the runner got.
-func oneRunner(t *testing.T) (*zone.Knowledge, *atomic.Int64) {
+// knowledgeOfOneRunner returns the state of a zone with one runner, and a counter of the requests that
+// the runner received.
+func knowledgeOfOneRunner(t *testing.T) (*zone.Knowledge, *atomic.Int64) {
 	g := NewWithT(t)
-	var asked atomic.Int64
+	var requests atomic.Int64
 	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(runner.Close)
@@ -34,37 +34,37 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	knowledge := zone.New(zone.Config{Zone: "zone-a"})
 	knowledge.Configure(snapshot)
-	return knowledge, &asked
+	return knowledge, &requests
 }
 
-func TestRunnersAreWatchedUntilTheEnd(t *testing.T) {
+func TestRunnersArePolledUntilClose(t *testing.T) {
 	cases := []struct {
 		name string
-		// closed says that the watcher was closed before the configuration came.
+		// closed is set if the watcher is closed before the configuration arrives.
 		closed bool
 	}{
-		{name: "configured before the end"},
-		// The log may bring a configuration while a box stops. A goroutine that
-		// began then raced with the waiting for the others, and could outlive it.
-		{name: "configured after the end", closed: true},
+		{name: "configured before Close"},
+		// A configuration may arrive from the log while a box stops. A goroutine that started then would
+		// race with the wait for the others, and could outlive it.
+		{name: "configured after Close", closed: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			knowledge, asked := oneRunner(t)
+			knowledge, requests := knowledgeOfOneRunner(t)
 			watcher := watch.New(watch.Config{Engines: engine.NewClient(engine.ClientConfig{}), Knowledge: knowledge})
 			if c.closed {
 				watcher.Close()
 			}
 			watcher.Configure(t.Context())
 			if c.closed {
-				g.Consistently(asked.Load, "200ms", "10ms").Should(BeZero())
+				g.Consistently(requests.Load, "200ms", "10ms").Should(BeZero())
 				return
 			}
-			g.Eventually(asked.Load, "10s", "5ms").ShouldNot(BeZero())
+			g.Eventually(requests.Load, "10s", "5ms").ShouldNot(BeZero())
 			watcher.Close()
-			known := asked.Load()
-			g.Consistently(asked.Load, "700ms", "50ms").Should(Equal(known))
+			last := requests.Load()
+			g.Consistently(requests.Load, "700ms", "50ms").Should(Equal(last))
 		})
 	}
 }
