--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -28,8 +28,10 @@
 	KindService
 )
 
-// Request is a request in the pipeline. Each field is written only by the stage that is named above it,
-// and only read by later stages.
+// Request is a request in the pipeline. Fields are grouped by the stage that writes them; later stages
+// only read them, apart from these exceptions. Authenticate sets Priority if accept has not, and the
+// initial Weights. Accept sets the Organisation of reviews. Relay may clear Repeatable. The API sets
+// Placement.Server of calls of plain services.
 type Request struct {
 	// Written by accept.
 	ID             string
