--- a/internal/routed/limit.go
+++ b/internal/routed/limit.go
@@ -27,7 +27,7 @@
 	}
 	name := organisation.Name
 	if r.inFlight[name] >= organisation.MaxInFlight {
-		return nil, apierror.Busy("organisation_limit", limitRetryAfter, "the organisation has %d calls in flight, its limit", organisation.MaxInFlight)
+		return nil, apierror.TooManyRequests("organisation_limit", limitRetryAfter, "the organisation has %d calls in flight, its limit", organisation.MaxInFlight)
 	}
 	r.inFlight[name]++
 	return func() { r.release(name) }, nil
