--- a/internal/api/models.go
+++ b/internal/api/models.go
@@ -93,7 +93,7 @@
 
 // runToSink hands a request to an engine and passes its answer on.
 func (s *Server) runToSink(request *flow.Request, sink relay.Sink) relay.Result {
-	attempt, failure := s.dispatcher.Open(request)
+	attempt, failure := s.dispatcher.Dispatch(request)
 	if failure != nil {
 		return relay.Result{Failure: failure}
 	}
@@ -102,7 +102,7 @@
 		s.dispatcher.NoteServed(request)
 	}
 	if model, ok := request.Snapshot.Model(request.Model); ok && result.Failure == nil {
-		s.keeper.Offer(request.Placement.Server, request.Chain, model.KVBytesPerToken)
+		s.keeper.OfferExport(request.Placement.Server, request.Chain, model.KVBytesPerToken)
 	}
 	return result
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -44,8 +44,8 @@
 	Claims     *claim.Service
 	Reviews    *review.Service
 	Services   *plainservice.Client
-	Zone       *zone.Knowledge
-	Keeper     *kept.Keeper
+	Zone       *zone.View
+	Keeper     *kept.Offloader
 	Budget     *retrybudget.Budget
 	// BodyTimeout is how long a caller may take to send a body; 0 means 30 s.
 	BodyTimeout time.Duration
@@ -62,8 +62,8 @@
 	claims      *claim.Service
 	reviews     *review.Service
 	services    *plainservice.Client
-	zone        *zone.Knowledge
-	keeper      *kept.Keeper
+	zone        *zone.View
+	keeper      *kept.Offloader
 	budget      *retrybudget.Budget
 	bodyTimeout time.Duration
 	turn        atomic.Int64
--- a/internal/api/services.go
+++ b/internal/api/services.go
@@ -150,7 +150,7 @@
 			call.request.Placement.Server = server
 			return response, nil
 		}
-		s.zone.Failed(server.Name)
+		s.zone.NoteFailure(server.Name)
 		if errors.Is(err, plainservice.ErrNotHanded) {
 			continue
 		}
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -166,18 +166,18 @@
 }
 
 // knowledge knows a zone with many contexts.
-func knowledge(runners, contexts int) *zone.Knowledge {
+func knowledge(runners, contexts int) *zone.View {
 	k := zone.New(zone.Config{Zone: "a"})
 	k.Configure(mustSnapshot(mustEntries(bigFile(1, runners))))
 	for i := range contexts {
 		name := fmt.Sprintf("runner-%03d", i%runners)
 		chain := benchChain(i)
-		events := engine.CacheEvents{Incarnation: "i", Last: k.EventsTo(name)}
+		events := engine.CacheEvents{Incarnation: "i", Last: k.EventCursor(name)}
 		for depth, key := range chain.Keys() {
 			events.Last++
 			events.Events = append(events.Events, engine.CacheEvent{Sequence: events.Last, Kind: engine.BlockStored, Key: key, Depth: depth + 1})
 		}
-		k.Fold(name, events)
+		k.ApplyCacheEvents(name, events)
 	}
 	return k
 }
@@ -190,8 +190,8 @@
 	return prefix.NewChain(prefix.NewSalt("o", "m", "v1"), prompt)
 }
 
-func decisionNanos(k *zone.Knowledge) float64 {
-	policy := decide.TwoHomes{Spare: decide.DefaultSpare, Factor: decide.DefaultFactor}
+func decisionNanos(k *zone.View) float64 {
+	policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 	chain := benchChain(7)
 	return nanosOf(func() {
 		if choice, ok := zone.Choose(k, policy, zone.Query{Model: "m", Weights: "v1", Chain: chain}); ok {
@@ -201,7 +201,7 @@
 }
 
 func zoneSlopes(s *capacity.Slopes) []slope {
-	var big *zone.Knowledge
+	var big *zone.View
 	memory := heapOf(func() any {
 		big = knowledge(zoneRunners, zoneContexts)
 		return big
@@ -211,8 +211,8 @@
 	index := zone.NewIndex()
 	fold := nanosOf(func() {
 		for depth, key := range chain.Keys() {
-			index.Fold(3, engine.CacheEvent{Kind: engine.BlockStored, Key: key, Depth: depth + 1})
-			index.Fold(3, engine.CacheEvent{Kind: engine.BlockRemoved, Key: key, Depth: depth + 1})
+			index.ApplyEvent(3, engine.CacheEvent{Kind: engine.BlockStored, Key: key, Depth: depth + 1})
+			index.ApplyEvent(3, engine.CacheEvent{Kind: engine.BlockRemoved, Key: key, Depth: depth + 1})
 		}
 	}) / float64(2*len(chain.Keys()))
 	report, event := wireSizes()
@@ -224,7 +224,7 @@
 	reportNanos := nanosOf(func() {
 		var read engine.Status
 		if json.Unmarshal(data, &read) == nil {
-			big.Report("runner-001", read)
+			big.ApplyStatus("runner-001", read)
 		}
 	})
 	return []slope{
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -62,11 +62,11 @@
 
 	metrics   *telemetry.Metrics
 	follower  *follow.Follower
-	exchange  *peer.Exchange
-	knowledge *zone.Knowledge
+	exchange  *peer.Gossiper
+	knowledge *zone.View
 	watcher   *watch.Watcher
-	rollout   *rollout.Rollout
-	keeper    *kept.Keeper
+	rollout   *rollout.Controller
+	keeper    *kept.Offloader
 	admit     *admit.Stage
 	pipeline  *pipeline.Pipeline
 	// dispatcher hands requests to engines.
@@ -171,7 +171,7 @@
 	d.knowledge = zone.New(zone.Config{
 		Zone: d.settings.Zone, LimitPosition: func(runner string) advisory.Position { return d.exchange.LimitPosition(runner, true) },
 	})
-	engines := engine.NewClient(engine.ClientConfig{Advised: d.knowledge.Advise})
+	engines := engine.NewClient(engine.ClientConfig{OnAdvisory: d.knowledge.ApplyAdvisory})
 	d.watcher = watch.New(watch.Config{Engines: engines, Knowledge: d.knowledge, Logger: d.logger})
 	d.follower = follow.New(follow.Config{Log: log, Logger: d.logger, OnChange: d.configure})
 	d.exchange = peer.New(d.peerConfig())
@@ -181,38 +181,38 @@
 	})
 	d.rollout = rollout.New(rollout.Config{
 		Engines: engines, Logger: d.logger, Zone: d.settings.Zone, Snapshot: d.follower.Snapshot,
-		Reports: d.knowledge.Reports, Mine: d.exchange.FirstInZone,
+		Reports: d.knowledge.Reports, IsLeader: d.exchange.FirstInZone,
 	})
 
 	// The way of a request.
 	d.budget = retrybudget.New(retrybudget.Config{})
 	d.admit = admit.New(admit.Config{Room: d.room})
 	placing := place.New(place.Config[decide.TwoHomes]{
-		Knowledge: d.knowledge,
-		Keeper:    d.keeper,
-		Policy:    decide.TwoHomes{Spare: decide.DefaultSpare, Factor: decide.DefaultFactor},
+		View:      d.knowledge,
+		Offloader: d.keeper,
+		Policy:    decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor},
 	})
 	d.pipeline = pipeline.New(pipeline.Config{
 		Capacity: d.settings.RingCapacity,
 		Stages:   []flow.Stage{authenticate.New(), d.admit, placing},
 	})
 	d.dispatcher = dispatch.New(dispatch.Config{
-		Engines: engines, Choose: placing.Choose, Failed: d.knowledge.Failed, Budget: d.budget, Life: d.knowledge.Life, Logger: d.logger,
+		Engines: engines, Choose: placing.Choose, OnFailure: d.knowledge.NoteFailure, Budget: d.budget, Incarnation: d.knowledge.Incarnation, Logger: d.logger,
 	})
-	relaying := relay.New(relay.Config{Engines: engines, Reopen: d.dispatcher.Reopen})
+	relaying := relay.New(relay.Config{Engines: engines, Reopen: d.dispatcher.Redispatch})
 	d.settle = settle.New(settle.Config{Logger: d.logger, Scope: d.metrics.Scope()})
 	d.claims = claim.New(claim.Config{Log: log, Claimer: d.incarnation, Window: d.keyWindow, Retention: d.settings.LogRetention})
 
 	// Reviews run through the server, and the server answers for them.
 	var server *api.Server
 	d.reviews = review.New(review.Config{
-		Log: log, Logger: d.logger, Box: d.settings.Box, Live: d.exchange.Live, Retention: d.settings.LogRetention,
+		Log: log, Logger: d.logger, Box: d.settings.Box, Live: d.exchange.LiveBoxes, Retention: d.settings.LogRetention,
 		KeepAnswers: d.keepAnswers, Parallel: d.parallelReviews,
 		Run: func(ctx context.Context, task review.Task) ([]byte, error) { return server.RunReview(ctx, task) },
 	})
 	server = api.New(api.Config{
 		Snapshot: d.follower.Snapshot, Keys: keys, Pipeline: d.pipeline, Dispatcher: d.dispatcher, Relay: relaying,
-		Settle: d.settle, Claims: d.claims, Reviews: d.reviews, Services: plainservice.NewClient(plainservice.ClientConfig{Advised: d.knowledge.Advise}),
+		Settle: d.settle, Claims: d.claims, Reviews: d.reviews, Services: plainservice.NewClient(plainservice.ClientConfig{Advised: d.knowledge.ApplyAdvisory}),
 		Zone: d.knowledge, Keeper: d.keeper, Budget: d.budget,
 	})
 	d.router = routed.New(routed.Config{
@@ -248,11 +248,11 @@
 func (d *Daemon) peerConfig() peer.Config {
 	cfg := peer.Config{
 		Self:    peer.Status{Box: d.settings.Box, Zone: d.settings.Zone, Incarnation: d.incarnation},
-		Address: d.PeerAddress(), Seeds: d.settings.Seeds, Boxes: boxlist.Static(nil),
-		Source: d.follower, Logger: d.logger, Listed: d.takeList, Advised: d.advised, TakeAdvised: d.takeAdvised,
+		Address: d.PeerAddress(), Seeds: d.settings.Seeds, BoxList: boxlist.Static(nil),
+		Source: d.follower, Logger: d.logger, OnBoxList: d.takeList, AdvisoryReports: d.advised, ApplyAdvisoryReports: d.takeAdvised,
 	}
 	if d.settings.BoxList != "" {
-		cfg.Boxes = boxlist.NewClient(d.settings.BoxList)
+		cfg.BoxList = boxlist.NewClient(d.settings.BoxList)
 	}
 	if d.peerTLS != nil {
 		cfg.ServerTLS, cfg.ClientTLS = d.peerTLS.Server(), d.peerTLS.Client
@@ -270,14 +270,14 @@
 // advised gives what engines and servers of routes said of themselves in answers to this box. Engines
 // go by their names, servers of routes by names that hold an address.
 func (d *Daemon) advised() map[string]*advisory.Report {
-	reports := d.knowledge.Advised()
+	reports := d.knowledge.AdvisoryReports()
 	maps.Copy(reports, d.router.Advised())
 	return reports
 }
 
 // takeAdvised takes over what another box was answered.
 func (d *Daemon) takeAdvised(reports map[string]*advisory.Report) {
-	d.knowledge.TakeAdvised(reports)
+	d.knowledge.ApplyAdvisoryReports(reports)
 	d.router.TakeAdvised(reports)
 }
 
@@ -296,7 +296,7 @@
 			Name: box.Name, Incarnation: box.Incarnation, Address: box.Address, Leaving: box.State == boxlist.Leaving,
 		})
 	}
-	d.knowledge.SetListed(leaving)
+	d.knowledge.SetListedLeaving(leaving)
 	d.router.SetListed(listed)
 }
 
@@ -316,7 +316,7 @@
 const oversubscription = 1.25
 
 // boxes counts the living entry boxes of all zones, this one included.
-func (d *Daemon) boxes() int { return len(d.exchange.Live()) }
+func (d *Daemon) boxes() int { return len(d.exchange.LiveBoxes()) }
 
 // room is this box's part of the room at the zone's runners.
 func (d *Daemon) room() int {
--- a/internal/decide/baselines.go
+++ b/internal/decide/baselines.go
@@ -32,14 +32,14 @@
 
 // Choose implements Policy.
 func (Rendezvous) Choose(query Query, runners []Runner) Decision {
-	return lowest(query, runners, func(r *Runner) float64 { return float64(r.Home) })
+	return lowest(query, runners, func(r *Runner) float64 { return float64(r.HomeRank) })
 }
 
-// BoundedRendezvous takes the first home in rank whose wait is at most Factor
+// BoundedRendezvous takes the first home in rank whose wait is at most LoadFactor
 // times the mean, or the least loaded runner when there is none.
 type BoundedRendezvous struct {
-	// Factor bounds the wait against the mean; 1.25 is customary.
-	Factor float64
+	// LoadFactor bounds the wait against the mean; 1.25 is customary.
+	LoadFactor float64
 }
 
 // Choose implements Policy.
@@ -55,12 +55,12 @@
 	if count == 0 {
 		return Decision{Runner: NoRunner}
 	}
-	limit := b.Factor * sum / float64(count)
+	limit := b.LoadFactor * sum / float64(count)
 	return lowest(query, runners, func(r *Runner) float64 {
 		if wait(r) > limit {
 			return overLimit + wait(r)
 		}
-		return float64(r.Home)
+		return float64(r.HomeRank)
 	})
 }
 
@@ -74,7 +74,7 @@
 // Choose implements Policy.
 func (GreedyPrefix) Choose(query Query, runners []Runner) Decision {
 	return lowest(query, runners, func(r *Runner) float64 {
-		return wait(r) - overLimit*float64(min(r.WarmTokens, query.Tokens))
+		return wait(r) - overLimit*float64(min(r.WarmTokens, query.PromptTokens))
 	})
 }
 
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -37,8 +37,8 @@
 	WarmTokens int
 	// Fetch is the best way to bring more of the prompt from a store box.
 	Fetch Fetch
-	// Home ranks the runners for this prompt; the lowest breaks a tie.
-	Home uint64
+	// HomeRank ranks the runners for this prompt; the lowest breaks a tie.
+	HomeRank uint64
 }
 
 // Fetch is a transfer of kept context. The zero value brings nothing.
@@ -51,8 +51,8 @@
 
 // Query is what a request asks for.
 type Query struct {
-	// Tokens is the length of the prompt.
-	Tokens int
+	// PromptTokens is the length of the prompt.
+	PromptTokens int
 	// FirstTokenWeight is the cost of a second until the first token.
 	FirstTokenWeight float64
 	// RecomputeWeight is the cost of a second of prefill for what some tier of
@@ -64,12 +64,12 @@
 type Decision struct {
 	// Runner is the index of the chosen runner, or NoRunner.
 	Runner int
-	// Fetched says whether to fetch kept context first.
-	Fetched bool
-	// FirstToken is the estimated time to first token in seconds.
-	FirstToken float64
-	// Recomputed is the prefill work, in tokens.
-	Recomputed int
+	// WithFetch says whether to fetch kept context first.
+	WithFetch bool
+	// FirstTokenSeconds is the estimated time to first token in seconds.
+	FirstTokenSeconds float64
+	// RecomputedTokens is the prefill work, in tokens.
+	RecomputedTokens int
 	// Cost is what the choice minimised.
 	Cost float64
 }
@@ -116,7 +116,7 @@
 	if math.Abs(a.Cost-b.Cost) > tie*math.Max(a.Cost, b.Cost) {
 		return a.Cost < b.Cost
 	}
-	return runners[a.Runner].Home < runners[b.Runner].Home
+	return runners[a.Runner].HomeRank < runners[b.Runner].HomeRank
 }
 
 // tie is the relative difference below which two costs are equal.
@@ -124,22 +124,22 @@
 
 // Estimate gives the expected end of running a query on a runner.
 func Estimate(query Query, runner *Runner, fetched bool) Decision {
-	present := min(runner.WarmTokens, query.Tokens)
+	present := min(runner.WarmTokens, query.PromptTokens)
 	var fetchSeconds float64
 	if fetched {
-		present = min(runner.Fetch.Tokens, query.Tokens)
+		present = min(runner.Fetch.Tokens, query.PromptTokens)
 		fetchSeconds = runner.Fetch.Seconds
 	}
-	recomputed := query.Tokens - present
+	recomputed := query.PromptTokens - present
 	prefill := float64(recomputed) / runner.PrefillRate
 	queue := runner.QueuedTokens / runner.PrefillRate
 	// The link works while the queue ahead is prefilled.
 	firstToken := math.Max(queue+slotWait(runner), fetchSeconds) + prefill
 	return Decision{
-		Fetched:    fetched,
-		FirstToken: firstToken,
-		Recomputed: recomputed,
-		Cost:       query.FirstTokenWeight*firstToken + query.RecomputeWeight*prefill,
+		WithFetch:         fetched,
+		FirstTokenSeconds: firstToken,
+		RecomputedTokens:  recomputed,
+		Cost:              query.FirstTokenWeight*firstToken + query.RecomputeWeight*prefill,
 	}
 }
 
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -15,14 +15,14 @@
 // randomZone makes a zone as a test of the decision needs it.
 func randomZone(random *rand.Rand) (decide.Query, []decide.Runner) {
 	query := decide.Query{
-		Tokens: random.IntN(100_000), FirstTokenWeight: 1 + 3*random.Float64(), RecomputeWeight: 3 * random.Float64(),
+		PromptTokens: random.IntN(100_000), FirstTokenWeight: 1 + 3*random.Float64(), RecomputeWeight: 3 * random.Float64(),
 	}
 	runners := make([]decide.Runner, 1+random.IntN(30))
 	for i := range runners {
 		runners[i] = decide.Runner{
 			Eligible: random.IntN(5) > 0, QueuedTokens: 50_000 * random.Float64(), Running: random.IntN(40), Slots: 1 + random.IntN(32),
 			PrefillRate: 2000 + 20_000*random.Float64(), RunSeconds: 10 * random.Float64(), WarmTokens: random.IntN(100_000),
-			Fetch: decide.Fetch{Tokens: random.IntN(100_000), Seconds: 5 * random.Float64()}, Home: random.Uint64(),
+			Fetch: decide.Fetch{Tokens: random.IntN(100_000), Seconds: 5 * random.Float64()}, HomeRank: random.Uint64(),
 		}
 	}
 	return query, runners
@@ -41,8 +41,8 @@
 			if fetch {
 				there, transfer = runner.Fetch.Tokens, runner.Fetch.Seconds
 			}
-			if there > query.Tokens {
-				there = query.Tokens
+			if there > query.PromptTokens {
+				there = query.PromptTokens
 			}
 			if fetch && runner.Fetch.Tokens <= runner.WarmTokens {
 				continue
@@ -55,7 +55,7 @@
 			if transfer > begin {
 				begin = transfer
 			}
-			prefill := float64(query.Tokens-there) / runner.PrefillRate
+			prefill := float64(query.PromptTokens-there) / runner.PrefillRate
 			total := query.FirstTokenWeight*(begin+prefill) + query.RecomputeWeight*prefill
 			if total < cost {
 				cost, found = total, true
@@ -90,7 +90,7 @@
 		change(&runner)
 		return runner
 	}
-	query := decide.Query{Tokens: 10_000, FirstTokenWeight: 1, RecomputeWeight: 1}
+	query := decide.Query{PromptTokens: 10_000, FirstTokenWeight: 1, RecomputeWeight: 1}
 	cases := []struct {
 		name    string
 		runners []decide.Runner
@@ -102,7 +102,7 @@
 		{"the warm one of two idle ones", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000 })}, 1, false},
 		{"the idle one when the warm one's queue is longer than the prefill", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000; r.QueuedTokens = 30_000 })}, 0, false},
 		{"the warm one when its queue is short", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000; r.QueuedTokens = 3000 })}, 1, false},
-		{"the home of equal ones", []decide.Runner{with(func(r *decide.Runner) { r.Home = 2 }), with(func(r *decide.Runner) { r.Home = 1 })}, 1, false},
+		{"the home of equal ones", []decide.Runner{with(func(r *decide.Runner) { r.HomeRank = 2 }), with(func(r *decide.Runner) { r.HomeRank = 1 })}, 1, false},
 		{"a fetch when the link is fast", []decide.Runner{with(func(r *decide.Runner) { r.Fetch = decide.Fetch{Tokens: 9000, Seconds: 1} })}, 0, true},
 		{"no fetch when the link is slow", []decide.Runner{with(func(r *decide.Runner) { r.Fetch = decide.Fetch{Tokens: 9000, Seconds: 60} })}, 0, false},
 		{"the one with a free slot", []decide.Runner{with(func(r *decide.Runner) { r.Running = 4 }), idle}, 1, false},
@@ -112,7 +112,7 @@
 			g := NewWithT(t)
 			got := decide.Cheapest{}.Choose(query, c.runners)
 			g.Expect(got.Runner).To(Equal(c.want))
-			g.Expect(got.Fetched).To(Equal(c.fetched))
+			g.Expect(got.WithFetch).To(Equal(c.fetched))
 		})
 	}
 }
@@ -121,7 +121,7 @@
 	g := NewWithT(t)
 	query, runners := randomZone(rand.New(rand.NewPCG(1, 1)))
 	g.Expect(testing.AllocsPerRun(100, func() { decide.Cheapest{}.Choose(query, runners) })).To(BeZero())
-	policy := decide.TwoHomes{Spare: 1, Factor: 4}
+	policy := decide.TwoHomes{IdleWait: 1, RecomputeFactor: 4}
 	g.Expect(testing.AllocsPerRun(100, func() { policy.Choose(query, runners) })).To(BeZero())
 }
 
@@ -136,24 +136,24 @@
 	if len(order) == 0 {
 		return 0, false
 	}
-	slices.SortFunc(order, func(a, b decide.Runner) int { return cmp.Compare(a.Home, b.Home) })
+	slices.SortFunc(order, func(a, b decide.Runner) int { return cmp.Compare(a.HomeRank, b.HomeRank) })
 	candidates := order[:min(2, len(order))]
 	candidates = slices.Clone(candidates)
-	held := func(r decide.Runner) int { return min(r.WarmTokens, query.Tokens) }
+	held := func(r decide.Runner) int { return min(r.WarmTokens, query.PromptTokens) }
 	warmest := order[0]
 	for _, runner := range order {
 		if held(runner) > held(warmest) {
 			warmest = runner
 		}
 	}
-	if 2*held(warmest) > query.Tokens {
+	if 2*held(warmest) > query.PromptTokens {
 		candidates = append(candidates, warmest)
 	}
-	factor := t.Factor * math.Max(1, query.RecomputeWeight/query.FirstTokenWeight)
+	factor := t.RecomputeFactor * math.Max(1, query.RecomputeWeight/query.FirstTokenWeight)
 	cost = math.Inf(1)
 	for i, runner := range candidates {
-		idle := decide.Estimate(decide.Query{}, &runner, false).FirstToken
-		if i > 0 && idle > t.Spare {
+		idle := decide.Estimate(decide.Query{}, &runner, false).FirstTokenSeconds
+		if i > 0 && idle > t.IdleWait {
 			continue
 		}
 		for _, fetch := range []bool{false, true} {
@@ -161,8 +161,8 @@
 				continue
 			}
 			estimate := decide.Estimate(query, &runner, fetch)
-			prefill := float64(estimate.Recomputed) / runner.PrefillRate
-			cost = math.Min(cost, estimate.FirstToken+(factor-1)*prefill)
+			prefill := float64(estimate.RecomputedTokens) / runner.PrefillRate
+			cost = math.Min(cost, estimate.FirstTokenSeconds+(factor-1)*prefill)
 		}
 	}
 	return cost, true
@@ -172,11 +172,11 @@
 	const zones, seed = 100_000, 20261202
 	t.Logf("seed %d", seed)
 	random := rand.New(rand.NewPCG(seed, 0))
-	policy := decide.TwoHomes{Spare: decide.DefaultSpare, Factor: decide.DefaultFactor}
+	policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 	moved := 0
 	for range zones {
 		query, runners := randomZone(random)
-		query.Tokens += 1025
+		query.PromptTokens += 1025
 		if random.IntN(2) == 0 { // a zone with idle runners
 			for i := range runners {
 				runners[i].QueuedTokens *= float64(random.IntN(2))
@@ -200,15 +200,15 @@
 
 func TestTwoHomesNeverMovesToABusyRunner(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	policy := decide.TwoHomes{Spare: decide.DefaultSpare, Factor: decide.DefaultFactor}
+	policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 	for range 10_000 {
 		query, runners := randomZone(random)
-		query.Tokens += 1025
+		query.PromptTokens += 1025
 		got := policy.Choose(query, runners)
 		if got.Runner == decide.NoRunner || got.Runner == (decide.Rendezvous{}).Choose(query, runners).Runner {
 			continue
 		}
-		if idle := decide.Estimate(decide.Query{}, &runners[got.Runner], false).FirstToken; idle > policy.Spare {
+		if idle := decide.Estimate(decide.Query{}, &runners[got.Runner], false).FirstTokenSeconds; idle > policy.IdleWait {
 			t.Fatalf("moved to a runner with a wait of %v s", idle)
 		}
 	}
--- a/internal/decide/twohomes.go
+++ b/internal/decide/twohomes.go
@@ -14,17 +14,17 @@
 // copies are few; and a request moves only to a runner whose wait is below Spare,
 // so when nothing is idle nobody moves, and overload adds no work.
 type TwoHomes struct {
-	// Spare is the wait in seconds below which a runner counts as idle.
-	Spare float64
-	// Factor is how many seconds of waiting one second of recomputing is worth,
+	// IdleWait is the wait in seconds below which a runner counts as idle.
+	IdleWait float64
+	// RecomputeFactor is how many seconds of waiting one second of recomputing is worth,
 	// for a deployment that weighs both alike.
-	Factor float64
+	RecomputeFactor float64
 }
 
 // Defaults of TwoHomes, from the policy bench.
 const (
-	DefaultSpare  = 1.0
-	DefaultFactor = 4.0
+	DefaultIdleWait        = 1.0
+	DefaultRecomputeFactor = 4.0
 )
 
 // shortTokens is the length up to which a prompt is not worth keeping together
@@ -40,9 +40,9 @@
 		return Decision{Runner: NoRunner}
 	}
 	best := t.weigh(query, runners, first)
-	short := query.Tokens <= shortTokens
+	short := query.PromptTokens <= shortTokens
 	for _, other := range [...]int{second, warmest} {
-		if other == NoRunner || other == first || (!short && wait(&runners[other]) > t.Spare) {
+		if other == NoRunner || other == first || (!short && wait(&runners[other]) > t.IdleWait) {
 			continue
 		}
 		if candidate := t.weigh(query, runners, other); candidate.Cost < best.Cost {
@@ -59,20 +59,20 @@
 // to go anywhere; it would draw an organisation's new contexts to one runner.
 func homes(query Query, runners []Runner) (first, second, warmest int) {
 	first, second, warmest = NoRunner, NoRunner, NoRunner
-	most := query.Tokens / 2
+	most := query.PromptTokens / 2
 	for i := range runners {
 		runner := &runners[i]
 		if !runner.Eligible {
 			continue
 		}
 		switch {
-		case first == NoRunner || runner.Home < runners[first].Home:
+		case first == NoRunner || runner.HomeRank < runners[first].HomeRank:
 			first, second = i, first
-		case second == NoRunner || runner.Home < runners[second].Home:
+		case second == NoRunner || runner.HomeRank < runners[second].HomeRank:
 			second = i
 		}
-		held := min(runner.WarmTokens, query.Tokens)
-		if held > most || (held == most && warmest != NoRunner && runner.Home < runners[warmest].Home) {
+		held := min(runner.WarmTokens, query.PromptTokens)
+		if held > most || (held == most && warmest != NoRunner && runner.HomeRank < runners[warmest].HomeRank) {
 			warmest, most = i, held
 		}
 	}
@@ -95,8 +95,8 @@
 
 func (t TwoHomes) cost(query Query, runner *Runner, fetched bool) Decision {
 	decision := Estimate(query, runner, fetched)
-	factor := t.Factor * math.Max(1, query.RecomputeWeight/query.FirstTokenWeight)
-	prefill := float64(decision.Recomputed) / runner.PrefillRate
-	decision.Cost = decision.FirstToken - prefill + factor*prefill
+	factor := t.RecomputeFactor * math.Max(1, query.RecomputeWeight/query.FirstTokenWeight)
+	prefill := float64(decision.RecomputedTokens) / runner.PrefillRate
+	decision.Cost = decision.FirstTokenSeconds - prefill + factor*prefill
 	return decision
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -32,13 +32,13 @@
 	Engines *engine.Client
 	// Choose places a request anew, on none of the excluded servers.
 	Choose func(request *flow.Request, exclude []string) *apierror.Error
-	// Failed is told of servers that could not be reached.
-	Failed func(server string)
-	Budget *retrybudget.Budget
-	// Life gives the life of a server that is there now, and whether it is to end; nil where
+	// OnFailure is told of servers that could not be reached.
+	OnFailure func(server string)
+	Budget    *retrybudget.Budget
+	// Incarnation gives the life of a server that is there now, and whether it is to end; nil where
 	// nothing is known of either.
-	Life   func(server string) (life string, leaving bool)
-	Logger zerolog.Logger
+	Incarnation func(server string) (life string, leaving bool)
+	Logger      zerolog.Logger
 }
 
 // Dispatcher hands requests to engines.
@@ -52,7 +52,7 @@
 
 // New makes a dispatcher.
 func New(cfg Config) *Dispatcher {
-	return &Dispatcher{engines: cfg.Engines, choose: cfg.Choose, failed: cfg.Failed, budget: cfg.Budget, endings: newEndings(cfg)}
+	return &Dispatcher{engines: cfg.Engines, choose: cfg.Choose, failed: cfg.OnFailure, budget: cfg.Budget, endings: newEndings(cfg)}
 }
 
 // Loop finds out later which servers ended, until ctx ends.
@@ -70,17 +70,17 @@
 	tried []string
 }
 
-// Open hands the request to the server of its placement, or to others as far
+// Dispatch hands the request to the server of its placement, or to others as far
 // as that is allowed. It counts as a first try.
-func (d *Dispatcher) Open(request *flow.Request) (*Attempt, *apierror.Error) {
+func (d *Dispatcher) Dispatch(request *flow.Request) (*Attempt, *apierror.Error) {
 	d.budget.Deposit()
 	request.Fingerprint = identify(request)
 	return d.open(request, nil, false)
 }
 
-// Reopen runs a request on another server after its run was lost. The caller
+// Redispatch runs a request on another server after its run was lost. The caller
 // vouches that nothing of the answer was passed on.
-func (d *Dispatcher) Reopen(request *flow.Request, lost *Attempt) (*Attempt, *apierror.Error) {
+func (d *Dispatcher) Redispatch(request *flow.Request, lost *Attempt) (*Attempt, *apierror.Error) {
 	request.Placement.Handle.Done(false)
 	if !request.Repeatable {
 		return nil, apierror.Failed("run_lost", apierror.Unknown, "the run was lost and may not be repeated")
@@ -116,7 +116,7 @@
 		request.Placement.Handle.Done(false)
 		mayHaveRun = mayHaveRun || !provesNotRun(err)
 		failure := d.judge(request, server.Name, err)
-		if errors.Is(err, engine.ErrNoAnswer) && d.endings.endsServers(request, server) && failure == nil {
+		if errors.Is(err, engine.ErrNoResponse) && d.endings.endsServers(request, server) && failure == nil {
 			failure = d.endings.refusal(request)
 		}
 		if failure != nil {
@@ -139,10 +139,10 @@
 // the run all the same; asking it for the run by name is no second run.
 func (d *Dispatcher) start(ctx context.Context, attempt *Attempt) (*engine.Stream, error) {
 	stream, err := d.engines.Start(ctx, attempt.Server.Address, attempt.Run)
-	if !errors.Is(err, engine.ErrNoAnswer) || ctx.Err() != nil {
+	if !errors.Is(err, engine.ErrNoResponse) || ctx.Err() != nil {
 		return stream, err
 	}
-	resumed, resumeErr := d.engines.ResumeSoon(ctx, attempt.Server.Address, attempt.Run, -1)
+	resumed, resumeErr := d.engines.ResumeWithRetry(ctx, attempt.Server.Address, attempt.Run, -1)
 	if resumeErr != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 		return passRefusal(refused)
 	}
 	d.failed(server)
-	if errors.Is(err, engine.ErrNotHanded) || request.Repeatable {
+	if errors.Is(err, engine.ErrNotSent) || request.Repeatable {
 		return nil
 	}
 	outcome := apierror.Unknown
@@ -189,7 +189,7 @@
 // itself refused, or no connection was made.
 func provesNotRun(err error) bool {
 	_, refused := errors.AsType[*engine.RefusedError](err)
-	return refused || errors.Is(err, engine.ErrNotHanded)
+	return refused || errors.Is(err, engine.ErrNotSent)
 }
 
 // honest takes "not run" back from a failure when an earlier try may have run.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -79,9 +79,9 @@
 			}
 			g.Expect(choose(request, nil)).To(BeNil())
 			d := dispatch.New(dispatch.Config{
-				Engines: engine.NewClient(engine.ClientConfig{}), Choose: choose, Failed: func(string) {}, Budget: retrybudget.New(retrybudget.Config{}),
+				Engines: engine.NewClient(engine.ClientConfig{}), Choose: choose, OnFailure: func(string) {}, Budget: retrybudget.New(retrybudget.Config{}),
 			})
-			_, failure := d.Open(request)
+			_, failure := d.Dispatch(request)
 			g.Expect(failure).NotTo(BeNil())
 			g.Expect(failure.Outcome).To(Equal(c.want))
 		})
@@ -98,10 +98,10 @@
 	request.Placement.Server = serverThat(t, drops)
 	budget := retrybudget.New(retrybudget.Config{})
 	d := dispatch.New(dispatch.Config{
-		Engines: engine.NewClient(engine.ClientConfig{}), Failed: func(string) {}, Budget: budget,
+		Engines: engine.NewClient(engine.ClientConfig{}), OnFailure: func(string) {}, Budget: budget,
 		Choose: func(*flow.Request, []string) *apierror.Error { return apierror.NotReady("none", 0, "no more") },
 	})
-	_, failure := d.Open(request)
+	_, failure := d.Dispatch(request)
 	g.Expect(failure).NotTo(BeNil())
 	g.Expect(budget.State().Balance).To(BeEquivalentTo(retrybudget.DefaultBurst))
 }
--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -29,7 +29,7 @@
 }
 
 func newEndings(cfg Config) *endings {
-	e := &endings{life: cfg.Life}
+	e := &endings{life: cfg.Incarnation}
 	if e.life == nil {
 		e.life = func(string) (string, bool) { return "", false }
 	}
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	d := dispatch.New(dispatch.Config{
-		Engines: engine.NewClient(engine.ClientConfig{}), Choose: choose, Failed: func(string) {}, Budget: retrybudget.New(retrybudget.Config{}),
+		Engines: engine.NewClient(engine.ClientConfig{}), Choose: choose, OnFailure: func(string) {}, Budget: retrybudget.New(retrybudget.Config{}),
 	})
 	var last *apierror.Error
 	for range 6 {
@@ -47,7 +47,7 @@
 		request.Path = "/v1/completions"
 		request.OnEncode(func() []byte { return []byte(`{"prompt":"the same"}`) })
 		request.Placement.Server = endsUnder(t, fmt.Sprint("placed-", ended))
-		_, last = d.Open(request)
+		_, last = d.Dispatch(request)
 		g.Expect(last).NotTo(BeNil())
 		if last.Outcome != apierror.NotRun {
 			ended++ // the server of its placement
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -33,10 +33,10 @@
 	DialTimeout time.Duration
 	// ControlTimeout bounds a control call.
 	ControlTimeout time.Duration
-	// MaxAnswerBytes bounds an answer that is not streamed.
-	MaxAnswerBytes int64
-	// Advised is told what answers say of the engine at an address; it may be nil.
-	Advised func(address string, answer advisory.Answer)
+	// MaxResponseBytes bounds an answer that is not streamed.
+	MaxResponseBytes int64
+	// OnAdvisory is told what answers say of the engine at an address; it may be nil.
+	OnAdvisory func(address string, answer advisory.Answer)
 }
 
 // Client speaks to all engines of a zone.
@@ -49,9 +49,9 @@
 
 // Defaults of ClientConfig.
 const (
-	DefaultDialTimeout    = time.Second
-	DefaultControlTimeout = 2 * time.Second
-	DefaultMaxAnswerBytes = 32 << 20
+	DefaultDialTimeout      = time.Second
+	DefaultControlTimeout   = 2 * time.Second
+	DefaultMaxResponseBytes = 32 << 20
 )
 
 // NewClient makes a client; it connects on first use.
@@ -62,14 +62,14 @@
 	if cfg.ControlTimeout == 0 {
 		cfg.ControlTimeout = DefaultControlTimeout
 	}
-	if cfg.MaxAnswerBytes == 0 {
-		cfg.MaxAnswerBytes = DefaultMaxAnswerBytes
+	if cfg.MaxResponseBytes == 0 {
+		cfg.MaxResponseBytes = DefaultMaxResponseBytes
 	}
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout}
 	return &Client{
 		controlTimeout: cfg.ControlTimeout,
-		maxAnswerBytes: cfg.MaxAnswerBytes,
-		advised:        cfg.Advised,
+		maxAnswerBytes: cfg.MaxResponseBytes,
+		advised:        cfg.OnAdvisory,
 		http: http.Client{Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			MaxIdleConnsPerHost: 64,
@@ -96,13 +96,13 @@
 }
 
 // Start hands a run to an engine, once, and gives its stream. The error is
-// ErrNotHanded, ErrNoAnswer, ErrWrongWeights, ErrRubbish or a *RefusedError.
+// ErrNotSent, ErrNoResponse, ErrWrongWeights, ErrProtocol or a *RefusedError.
 func (c *Client) Start(ctx context.Context, address string, run Run) (*Stream, error) {
 	// A reader that the HTTP library does not know comes without GetBody, so it
 	// cannot hand the run over a second time.
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+run.Path, &onceReader{rest: run.Body})
 	if err != nil {
-		return nil, merry.Wrap(ErrNotHanded, merry.WithCause(err))
+		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
 	request.ContentLength = int64(len(run.Body))
 	request.Header.Set("Content-Type", "application/json")
@@ -151,7 +151,7 @@
 	target := runURL(address, run.ID) + "?starting_after=" + strconv.Itoa(after) + "&stream=" + strconv.FormatBool(run.Stream)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return nil, merry.Wrap(ErrNotHanded, merry.WithCause(err))
+		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
 	response, err := c.do(request)
 	if err != nil {
@@ -193,9 +193,9 @@
 // was never made proves that none did.
 func handoverError(err error) error {
 	if operation, ok := errors.AsType[*net.OpError](err); ok && operation.Op == "dial" {
-		return merry.Wrap(ErrNotHanded, merry.WithCause(err))
+		return merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
-	return merry.Wrap(ErrNoAnswer, merry.WithCause(err))
+	return merry.Wrap(ErrNoResponse, merry.WithCause(err))
 }
 
 // Status asks an engine for its load report.
@@ -219,15 +219,15 @@
 }
 
 // Import asks an engine to fetch kept context from a store box.
-func (c *Client) Import(ctx context.Context, address string, transfer Transfer) (TransferAnswer, error) {
-	var answer TransferAnswer
+func (c *Client) Import(ctx context.Context, address string, transfer Transfer) (TransferResult, error) {
+	var answer TransferResult
 	err := c.control(ctx, http.MethodPost, "http://"+address+"/control/kv/import", transfer, &answer)
 	return answer, err
 }
 
 // Export asks an engine to put kept context into a store box.
-func (c *Client) Export(ctx context.Context, address string, transfer Transfer) (TransferAnswer, error) {
-	var answer TransferAnswer
+func (c *Client) Export(ctx context.Context, address string, transfer Transfer) (TransferResult, error) {
+	var answer TransferResult
 	err := c.control(ctx, http.MethodPost, "http://"+address+"/control/kv/export", transfer, &answer)
 	return answer, err
 }
@@ -261,7 +261,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxControlBytes)).Decode(answer); err != nil {
-		return merry.Wrap(ErrRubbish, merry.WithCause(err))
+		return merry.Wrap(ErrProtocol, merry.WithCause(err))
 	}
 	return nil
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -34,7 +34,7 @@
 	}))
 	defer served.Close()
 	var said []advisory.Answer
-	client := NewClient(ClientConfig{Advised: func(address string, answer advisory.Answer) {
+	client := NewClient(ClientConfig{OnAdvisory: func(address string, answer advisory.Answer) {
 		g.Expect(address).To(Equal(served.Listener.Addr().String()))
 		said = append(said, answer)
 	}})
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -116,8 +116,8 @@
 	Keys  []prefix.Key `json:"keys"`
 }
 
-// TransferAnswer says what a transfer moved.
-type TransferAnswer struct {
+// TransferResult says what a transfer moved.
+type TransferResult struct {
 	Blocks int   `json:"blocks"`
 	Bytes  int64 `json:"bytes"`
 	// Full says that the store box had no room for the rest.
@@ -126,16 +126,16 @@
 
 // Errors of a run.
 var (
-	// ErrNotHanded says that no byte of the request left this process.
-	ErrNotHanded = merry.Sentinel("the engine could not be reached")
-	// ErrNoAnswer says that the request was handed over and nothing came back.
-	ErrNoAnswer = merry.Sentinel("the engine gave no answer")
-	// ErrBroken says that the stream ended before the answer was whole.
-	ErrBroken = merry.Sentinel("the engine's stream broke off")
-	// ErrGap says that the next chunk is missing from the stream.
-	ErrGap = merry.Sentinel("the engine's stream has a gap")
-	// ErrRubbish says that the engine sent what is not its protocol.
-	ErrRubbish = merry.Sentinel("the engine sent something that is not an answer")
+	// ErrNotSent says that no byte of the request left this process.
+	ErrNotSent = merry.Sentinel("the engine could not be reached")
+	// ErrNoResponse says that the request was handed over and nothing came back.
+	ErrNoResponse = merry.Sentinel("the engine gave no answer")
+	// ErrStreamBroken says that the stream ended before the answer was whole.
+	ErrStreamBroken = merry.Sentinel("the engine's stream broke off")
+	// ErrMissingChunk says that the next chunk is missing from the stream.
+	ErrMissingChunk = merry.Sentinel("the engine's stream has a gap")
+	// ErrProtocol says that the engine sent what is not its protocol.
+	ErrProtocol = merry.Sentinel("the engine sent something that is not an answer")
 	// ErrWrongWeights says that another weight version than the wanted answers.
 	ErrWrongWeights = merry.Sentinel("the engine answers with another weight version")
 	// ErrUnknownRun says that the engine does not know the run.
--- a/internal/engine/resume.go
+++ b/internal/engine/resume.go
@@ -10,15 +10,15 @@
 
 // Pace of taking a run up again.
 const (
-	// MaxResumes bounds the tries in a row that bring nothing.
-	MaxResumes  = 6
-	firstResume = 20 * time.Millisecond
-	maxResume   = 500 * time.Millisecond
+	// MaxResumeAttempts bounds the tries in a row that bring nothing.
+	MaxResumeAttempts = 6
+	firstResume       = 20 * time.Millisecond
+	maxResume         = 500 * time.Millisecond
 )
 
-// ResumeSoon takes a run up after a chunk, trying for a second or two. It gives
+// ResumeWithRetry takes a run up after a chunk, trying for a second or two. It gives
 // up at once when the engine says that the run is not there.
-func (c *Client) ResumeSoon(ctx context.Context, address string, run Run, after int) (*Stream, error) {
+func (c *Client) ResumeWithRetry(ctx context.Context, address string, run Run, after int) (*Stream, error) {
 	waits := backoff.NewExponentialBackOff()
 	waits.InitialInterval = firstResume
 	waits.MaxInterval = maxResume
@@ -28,5 +28,5 @@
 			return nil, backoff.Permanent(err)
 		}
 		return stream, err
-	}, backoff.WithBackOff(waits), backoff.WithMaxTries(MaxResumes))
+	}, backoff.WithBackOff(waits), backoff.WithMaxTries(MaxResumeAttempts))
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -77,7 +77,7 @@
 func (s *Stream) NextIndex() int { return s.next }
 
 // Next gives the next chunk. The error is io.EOF after the last chunk,
-// ErrBroken, ErrGap, or ErrRubbish.
+// ErrStreamBroken, ErrMissingChunk, or ErrProtocol.
 //
 // Chunks that came before are dropped, and ones that come early wait for those
 // before them, since engines repeat and reorder some after a hiccup: of indexes
@@ -102,7 +102,7 @@
 			return s.give(s.data)
 		}
 		if index > s.next && !s.keep(index) {
-			return Chunk{}, ErrGap
+			return Chunk{}, ErrMissingChunk
 		}
 	}
 }
@@ -125,7 +125,7 @@
 func (s *Stream) give(data []byte) (Chunk, error) {
 	s.last = bytes.Equal(data, doneData)
 	if !s.last && !json.Valid(data) {
-		return Chunk{}, merry.Wrap(ErrRubbish, merry.AppendMessage("a chunk that is not JSON"))
+		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("a chunk that is not JSON"))
 	}
 	index := s.next
 	s.next++
@@ -135,13 +135,13 @@
 func (s *Stream) readWhole() (Chunk, error) {
 	data, err := io.ReadAll(io.LimitReader(s.reader, s.maxBytes+1))
 	if err != nil {
-		return Chunk{}, merry.Wrap(ErrBroken, merry.AppendMessage(err.Error()))
+		return Chunk{}, merry.Wrap(ErrStreamBroken, merry.AppendMessage(err.Error()))
 	}
 	if int64(len(data)) > s.maxBytes {
-		return Chunk{}, merry.Wrap(ErrRubbish, merry.AppendMessage("the answer is too large"))
+		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("the answer is too large"))
 	}
 	if !json.Valid(data) {
-		return Chunk{}, merry.Wrap(ErrRubbish, merry.AppendMessage("the answer is not JSON"))
+		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("the answer is not JSON"))
 	}
 	s.last = true
 	s.next = 1
@@ -162,7 +162,7 @@
 				continue // comments and keep-alives make no event
 			}
 			if index < 0 {
-				return 0, merry.Wrap(ErrRubbish, merry.AppendMessage("an event without an index"))
+				return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("an event without an index"))
 			}
 			return index, nil
 		}
@@ -180,10 +180,10 @@
 			}
 		case "", "event", "retry":
 		default:
-			return 0, merry.Wrap(ErrRubbish, merry.AppendMessage("a line that is no field of an event"))
+			return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("a line that is no field of an event"))
 		}
 		if len(s.data) > maxLineBytes {
-			return 0, merry.Wrap(ErrRubbish, merry.AppendMessage("an event that is too large"))
+			return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("an event that is too large"))
 		}
 	}
 }
@@ -191,7 +191,7 @@
 func parseIndex(value []byte) (int, error) {
 	index, err := strconv.ParseUint(string(value), 10, 31)
 	if err != nil {
-		return 0, merry.Wrap(ErrRubbish, merry.AppendMessage("an index that is no number"))
+		return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("an index that is no number"))
 	}
 	return int(index), nil
 }
@@ -202,11 +202,11 @@
 	if errors.Is(err, bufio.ErrBufferFull) {
 		line, err = s.readLongLine(line)
 	}
-	if errors.Is(err, ErrRubbish) {
+	if errors.Is(err, ErrProtocol) {
 		return nil, err
 	}
 	if err != nil {
-		return nil, merry.Wrap(ErrBroken, merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(ErrStreamBroken, merry.AppendMessage(err.Error()))
 	}
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
@@ -217,7 +217,7 @@
 		part, err := s.reader.ReadSlice('\n')
 		s.long = append(s.long, part...)
 		if len(s.long) > maxLineBytes {
-			return nil, merry.Wrap(ErrRubbish, merry.AppendMessage("a line that is too long"))
+			return nil, merry.Wrap(ErrProtocol, merry.AppendMessage("a line that is too long"))
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return s.long, err
@@ -228,10 +228,10 @@
 // eventEnd is the end of an event's last line and the blank line after it.
 var eventEnd = []byte("\n\n")
 
-// Buffered reports whether the next chunk is here already, so that a relay can
+// HasBuffered reports whether the next chunk is here already, so that a relay can
 // write several chunks before it flushes. Part of an event does not count: the
 // rest may be long in coming.
-func (s *Stream) Buffered() bool {
+func (s *Stream) HasBuffered() bool {
 	if _, ok := s.early[s.next]; ok {
 		return true
 	}
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -45,19 +45,19 @@
 		{"older ones first", "id: 0\ndata: 1\n\nid: 1\ndata: 2\n\nid: 2\ndata: [DONE]\n\n", 1, "2 [DONE]", nil},
 		{"reordered", "id: 1\ndata: 2\n\nid: 0\ndata: 1\n\nid: 2\ndata: [DONE]\n\n", 0, "1 2 [DONE]", nil},
 		{"reordered at the end", "id: 1\ndata: [DONE]\n\nid: 0\ndata: 1\n\n", 0, "1 [DONE]", nil},
-		{"missing until the end", "id: 0\ndata: 1\n\nid: 2\ndata: 3\n\n", 0, "1", ErrBroken},
-		{"missing for long", "id: 0\ndata: 1\n\n" + manyEvents(2, 30), 0, "1", ErrGap},
-		{"broken off between chunks", "id: 0\ndata: 1\n\n", 0, "1", ErrBroken},
-		{"broken off in a chunk", "id: 0\ndata: 1\n\nid: 1\nda", 0, "1", ErrBroken},
-		{"broken off before the blank line", "id: 0\ndata: 1\n", 0, "", ErrBroken},
-		{"empty", "", 0, "", ErrBroken},
+		{"missing until the end", "id: 0\ndata: 1\n\nid: 2\ndata: 3\n\n", 0, "1", ErrStreamBroken},
+		{"missing for long", "id: 0\ndata: 1\n\n" + manyEvents(2, 30), 0, "1", ErrMissingChunk},
+		{"broken off between chunks", "id: 0\ndata: 1\n\n", 0, "1", ErrStreamBroken},
+		{"broken off in a chunk", "id: 0\ndata: 1\n\nid: 1\nda", 0, "1", ErrStreamBroken},
+		{"broken off before the blank line", "id: 0\ndata: 1\n", 0, "", ErrStreamBroken},
+		{"empty", "", 0, "", ErrStreamBroken},
 		{"several data lines", "id: 0\ndata: [1,\ndata: 2]\n\nid: 1\ndata: [DONE]\n\n", 0, "[1,\n2] [DONE]", nil},
 		{"a line longer than the buffer", "id: 0\ndata: " + long + "\n\nid: 1\ndata: [DONE]\n\n", 0, long + " [DONE]", nil},
-		{"no index", "data: 1\n\n", 0, "", ErrRubbish},
-		{"an index that is none", "id: one\ndata: 1\n\n", 0, "", ErrRubbish},
-		{"a negative index", "id: -1\ndata: 1\n\n", 0, "", ErrRubbish},
-		{"no event stream", "<html>\n\n", 0, "", ErrRubbish},
-		{"no JSON", "id: 0\ndata: {\n\n", 0, "", ErrRubbish},
+		{"no index", "data: 1\n\n", 0, "", ErrProtocol},
+		{"an index that is none", "id: one\ndata: 1\n\n", 0, "", ErrProtocol},
+		{"a negative index", "id: -1\ndata: 1\n\n", 0, "", ErrProtocol},
+		{"no event stream", "<html>\n\n", 0, "", ErrProtocol},
+		{"no JSON", "id: 0\ndata: {\n\n", 0, "", ErrProtocol},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 func TestStreamRefusesLinesWithoutEnd(t *testing.T) {
 	g := NewWithT(t)
 	_, err := read(open("id: 0\ndata: "+strings.Repeat("x", 2*maxLineBytes), 0))
-	g.Expect(errors.Is(err, ErrRubbish)).To(BeTrue(), "got %v", err)
+	g.Expect(errors.Is(err, ErrProtocol)).To(BeTrue(), "got %v", err)
 }
 
 func TestRelayingAChunkAllocatesNothing(t *testing.T) {
--- a/internal/fakeengine/transfer.go
+++ b/internal/fakeengine/transfer.go
@@ -26,7 +26,7 @@
 	e.serveTransfer(w, r, e.exportBlocks)
 }
 
-func (e *Engine) serveTransfer(w http.ResponseWriter, r *http.Request, move func(context.Context, engine.Transfer) engine.TransferAnswer) {
+func (e *Engine) serveTransfer(w http.ResponseWriter, r *http.Request, move func(context.Context, engine.Transfer) engine.TransferResult) {
 	var transfer engine.Transfer
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&transfer); err != nil {
 		refuse(w, http.StatusBadRequest, "the body is not a transfer")
@@ -37,8 +37,8 @@
 
 // importBlocks fetches blocks in order, up to the first miss: a block without
 // those before it serves nobody.
-func (e *Engine) importBlocks(ctx context.Context, transfer engine.Transfer) engine.TransferAnswer {
-	var answer engine.TransferAnswer
+func (e *Engine) importBlocks(ctx context.Context, transfer engine.Transfer) engine.TransferResult {
+	var answer engine.TransferResult
 	for _, key := range transfer.Keys {
 		data, err := e.stores.Get(ctx, transfer.Store, key)
 		if err != nil {
@@ -59,8 +59,8 @@
 
 // exportBlocks writes the blocks that the cache holds, up to the first that
 // finds no room.
-func (e *Engine) exportBlocks(ctx context.Context, transfer engine.Transfer) engine.TransferAnswer {
-	var answer engine.TransferAnswer
+func (e *Engine) exportBlocks(ctx context.Context, transfer engine.Transfer) engine.TransferResult {
+	var answer engine.TransferResult
 	for _, key := range e.cache.holds(transfer.Keys) {
 		data := blockData(key)
 		if err := e.stores.Put(ctx, transfer.Store, key, data); err != nil {
--- a/internal/kept/export.go
+++ b/internal/kept/export.go
@@ -13,7 +13,7 @@
 // that is made for them.
 
 // Loop exports contexts until ctx ends.
-func (k *Keeper) Loop(ctx context.Context) {
+func (k *Offloader) Loop(ctx context.Context) {
 	for {
 		next, err := k.exports.Pop(ctx)
 		if err != nil {
@@ -26,7 +26,7 @@
 // export has a runner put a context into the store box of its home. Blocks that
 // are there already, such as a beginning that several contexts share, are kept
 // once: they have the same names.
-func (k *Keeper) export(ctx context.Context, offered export) {
+func (k *Offloader) export(ctx context.Context, offered export) {
 	to := k.home(offered.keys[len(offered.keys)-1])
 	if to == nil || !to.awaitBudget(ctx, offered.bytes) {
 		k.drop()
@@ -65,7 +65,7 @@
 }
 
 // home gives the store box of a context, by rendezvous hashing.
-func (k *Keeper) home(last prefix.Key) *store {
+func (k *Offloader) home(last prefix.Key) *store {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -93,7 +93,7 @@
 // makeRoom frees what was looked up least lately in a full store box. The box
 // itself tells what that is: blocks of contexts that this entry box never knew,
 // because another one had them put there and was replaced, must go too.
-func (k *Keeper) makeRoom(ctx context.Context, in *store) {
+func (k *Offloader) makeRoom(ctx context.Context, in *store) {
 	keys, err := k.cfg.Stores.LeastRecent(ctx, in.server.Address, maxFreed)
 	if err != nil {
 		return
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -50,8 +50,8 @@
 // exportPart is the part of a link's budget that exports may take.
 const exportPart = 0.3
 
-// Keeper looks after kept contexts.
-type Keeper struct {
+// Offloader looks after kept contexts.
+type Offloader struct {
 	cfg     Config
 	exports *ring.Ring[export]
 
@@ -97,21 +97,21 @@
 }
 
 // New makes a keeper that knows no store boxes.
-func New(cfg Config) *Keeper {
+func New(cfg Config) *Offloader {
 	if cfg.MinTokens == 0 {
 		cfg.MinTokens = DefaultMinTokens
 	}
 	if cfg.MaxContexts == 0 {
 		cfg.MaxContexts = DefaultMaxContexts
 	}
-	return &Keeper{
+	return &Offloader{
 		cfg: cfg, exports: ring.New[export](ring.Config{Name: "exports", Capacity: exportsCapacity}),
 		stores: map[string]*store{}, held: map[prefix.Key]*list.Element{}, recent: list.New(),
 	}
 }
 
 // Configure takes over the store boxes that have a link to this zone.
-func (k *Keeper) Configure(snapshot *config.Snapshot) {
+func (k *Offloader) Configure(snapshot *config.Snapshot) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	known := k.stores
@@ -142,8 +142,8 @@
 	return s.failedAt.IsZero() || now.Sub(s.failedAt) > storePause
 }
 
-// Option is a way to fetch kept context.
-type Option struct {
+// FetchOption is a way to fetch kept context.
+type FetchOption struct {
 	Fetch decide.Fetch
 	// Store is where from, Keys the blocks in prompt order, Bytes their size.
 	Store string
@@ -151,9 +151,9 @@
 	Bytes int64
 }
 
-// Find gives the best way to fetch a prompt's context: the longest part that is
+// BestFetch gives the best way to fetch a prompt's context: the longest part that is
 // kept, and how long the link takes for it.
-func (k *Keeper) Find(chain prefix.Chain, bytesPerToken int) (Option, bool) {
+func (k *Offloader) BestFetch(chain prefix.Chain, bytesPerToken int) (FetchOption, bool) {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -174,16 +174,16 @@
 		k.recent.MoveToFront(element)
 		size := int64(depth) * prefix.BlockTokens * int64(bytesPerToken)
 		wait := max(0, from.busyUntil.Sub(now)).Seconds()
-		return Option{
+		return FetchOption{
 			Fetch: decide.Fetch{Tokens: depth * prefix.BlockTokens, Seconds: wait + float64(size)/from.bytesPerSecond},
 			Store: found.store, Keys: keys[:depth], Bytes: size,
 		}, true
 	}
-	return Option{}, false
+	return FetchOption{}, false
 }
 
 // reserve takes a transfer from a link's budget.
-func (k *Keeper) reserve(name string, size int64) (address string, ok bool) {
+func (k *Offloader) reserve(name string, size int64) (address string, ok bool) {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -207,7 +207,7 @@
 
 // Fetch has a runner fetch kept context. A failure is a miss: the runner computes
 // what did not come.
-func (k *Keeper) Fetch(ctx context.Context, server *config.BackendServer, option Option) {
+func (k *Offloader) Fetch(ctx context.Context, server *config.BackendServer, option FetchOption) {
 	address, ok := k.reserve(option.Store, option.Bytes)
 	if !ok {
 		return
@@ -231,15 +231,15 @@
 }
 
 // forget drops a context. The caller holds mu.
-func (k *Keeper) forget(last prefix.Key) {
+func (k *Offloader) forget(last prefix.Key) {
 	if element, ok := k.held[last]; ok {
 		k.recent.Remove(element)
 		delete(k.held, last)
 	}
 }
 
-// Offer hands over a context that a runner has just computed. It never waits.
-func (k *Keeper) Offer(server *config.BackendServer, chain prefix.Chain, bytesPerToken int) {
+// OfferExport hands over a context that a runner has just computed. It never waits.
+func (k *Offloader) OfferExport(server *config.BackendServer, chain prefix.Chain, bytesPerToken int) {
 	keys := chain.Keys()
 	if len(keys)*prefix.BlockTokens < k.cfg.MinTokens || k.knows(keys[len(keys)-1]) {
 		return
@@ -250,14 +250,14 @@
 	}
 }
 
-func (k *Keeper) knows(last prefix.Key) bool {
+func (k *Offloader) knows(last prefix.Key) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, ok := k.held[last]
 	return ok || len(k.stores) == 0
 }
 
-func (k *Keeper) drop() {
+func (k *Offloader) drop() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.counts.ExportsDropped++
@@ -272,7 +272,7 @@
 }
 
 // State describes what is kept, as far as this box knows.
-func (k *Keeper) State() State {
+func (k *Offloader) State() State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	state := State{Counts: k.counts, Contexts: len(k.held), Stores: []string{}, Queue: k.exports.State()}
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -18,7 +18,7 @@
 
 // call sends a message to a peer and gives its answer. A failed connection is
 // made anew the next time; messages may be repeated without harm.
-func (x *Exchange) call(ctx context.Context, address string, message Message) (Message, error) {
+func (x *Gossiper) call(ctx context.Context, address string, message Message) (Message, error) {
 	c := x.connectionTo(address)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	return answer, err
 }
 
-func (x *Exchange) callOn(c *connection, message Message) (Message, error) {
+func (x *Gossiper) callOn(c *connection, message Message) (Message, error) {
 	if err := c.conn.SetDeadline(time.Now().Add(ioTimeout)); err != nil {
 		return Message{}, err
 	}
@@ -49,7 +49,7 @@
 	return readMessage(c.reader)
 }
 
-func (x *Exchange) connectionTo(address string) *connection {
+func (x *Gossiper) connectionTo(address string) *connection {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	c, ok := x.connections[address]
@@ -60,7 +60,7 @@
 	return c
 }
 
-func (x *Exchange) dial(ctx context.Context, address string) (net.Conn, error) {
+func (x *Gossiper) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: ioTimeout}
 	if x.cfg.ClientTLS == nil {
 		return dialer.DialContext(ctx, "tcp", address)
@@ -69,7 +69,7 @@
 	return secured.DialContext(ctx, "tcp", address)
 }
 
-func (x *Exchange) closeConnections() {
+func (x *Gossiper) closeConnections() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, c := range x.connections {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -26,15 +26,15 @@
 	Version int64 `msgpack:"v" json:"version"`
 	// Leaving says that the box is about to stop.
 	Leaving bool `msgpack:"l" json:"leaving"`
-	// Advised is what backend servers said of themselves in answers to the box, by server.
-	Advised map[string]*advisory.Report `msgpack:"a,omitempty" json:"advised,omitempty"`
+	// AdvisoryReports is what backend servers said of themselves in answers to the box, by server.
+	AdvisoryReports map[string]*advisory.Report `msgpack:"a,omitempty" json:"advised,omitempty"`
 }
 
 // Message is one message in either direction.
 type Message struct {
 	Status Status `msgpack:"s"`
-	// Want asks for what leads on from the sender's version.
-	Want bool `msgpack:"w,omitempty"`
+	// WantsConfig asks for what leads on from the sender's version.
+	WantsConfig bool `msgpack:"w,omitempty"`
 	// Changes lead on from the receiver's version, when they are all known.
 	Changes []follow.Change `msgpack:"c,omitempty"`
 	// State is the whole configuration, where changes do not do.
--- a/internal/peer/message_test.go
+++ b/internal/peer/message_test.go
@@ -19,7 +19,7 @@
 		name    string
 		message Message
 	}{
-		{"status", Message{Status: Status{Box: "b", Zone: "z", Incarnation: "i", Version: 7, Leaving: true}, Want: true}},
+		{"status", Message{Status: Status{Box: "b", Zone: "z", Incarnation: "i", Version: 7, Leaving: true}, WantsConfig: true}},
 		{"state", Message{State: &state}},
 		{"changes", Message{Changes: []follow.Change{{Offset: 3, Record: configlog.Record{Kind: configlog.KindChange, ApplyID: "x", Base: 1, Digest: entries.Digest()}}}}},
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -16,8 +16,8 @@
 	"github.com/cometlock/cometlock/internal/follow"
 )
 
-// Source is what peers are told about: the configuration in force.
-type Source interface {
+// ConfigSource is what peers are told about: the configuration in force.
+type ConfigSource interface {
 	// State gives the configuration in force.
 	State() configlog.State
 	// Since gives the changes that lead on from a version.
@@ -37,17 +37,17 @@
 	Address string
 	// Seeds are addresses of peers from the settings.
 	Seeds []string
-	// Boxes is the platform's list.
-	Boxes boxlist.List
-	// Listed is told of each reading of the list.
-	Listed func([]boxlist.Box)
+	// BoxList is the platform's list.
+	BoxList boxlist.List
+	// OnBoxList is told of each reading of the list.
+	OnBoxList func([]boxlist.Box)
 	// Source is the configuration in force.
-	Source Source
-	// Advised gives what backend servers said of themselves in answers to this box, and TakeAdvised
+	Source ConfigSource
+	// AdvisoryReports gives what backend servers said of themselves in answers to this box, and ApplyAdvisoryReports
 	// takes over what they said to another one; both may be nil.
-	Advised     func() map[string]*advisory.Report
-	TakeAdvised func(map[string]*advisory.Report)
-	Logger      zerolog.Logger
+	AdvisoryReports      func() map[string]*advisory.Report
+	ApplyAdvisoryReports func(map[string]*advisory.Report)
+	Logger               zerolog.Logger
 	// Interval is the time between two rounds; Fanout the peers of a round.
 	Interval time.Duration
 	Fanout   int
@@ -76,8 +76,8 @@
 	listEvery = 5 * time.Second
 )
 
-// Exchange talks to the other entry boxes.
-type Exchange struct {
+// Gossiper talks to the other entry boxes.
+type Gossiper struct {
 	cfg Config
 
 	mu          sync.Mutex
@@ -96,28 +96,28 @@
 }
 
 // New makes an exchange that knows no peers.
-func New(cfg Config) *Exchange {
+func New(cfg Config) *Gossiper {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
 	}
 	if cfg.Fanout == 0 {
 		cfg.Fanout = DefaultFanout
 	}
-	return &Exchange{cfg: cfg, peers: map[string]*known{}, connections: map[string]*connection{}}
+	return &Gossiper{cfg: cfg, peers: map[string]*known{}, connections: map[string]*connection{}}
 }
 
 // SetLeaving tells peers from now on that this box is about to stop.
-func (x *Exchange) SetLeaving() {
+func (x *Gossiper) SetLeaving() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.leaving = true
 }
 
-func (x *Exchange) self() Status {
+func (x *Gossiper) self() Status {
 	status := x.cfg.Self
 	status.Version = x.cfg.Source.State().Version
-	if x.cfg.Advised != nil {
-		status.Advised = x.cfg.Advised()
+	if x.cfg.AdvisoryReports != nil {
+		status.AdvisoryReports = x.cfg.AdvisoryReports()
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -126,7 +126,7 @@
 }
 
 // Loop exchanges with peers until ctx ends.
-func (x *Exchange) Loop(ctx context.Context) {
+func (x *Gossiper) Loop(ctx context.Context) {
 	ticker := time.NewTicker(x.cfg.Interval)
 	defer ticker.Stop()
 	var lookedAt time.Time
@@ -147,21 +147,21 @@
 
 // alone reports whether no peer has been heard of yet. The list lags, so a box
 // that starts into an empty one looks again in every round.
-func (x *Exchange) alone() bool {
+func (x *Gossiper) alone() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.peers) == 0
 }
 
 // look reads the platform's list. A list that cannot be read leaves the last.
-func (x *Exchange) look(ctx context.Context) {
-	boxes, err := x.cfg.Boxes.Boxes(ctx)
+func (x *Gossiper) look(ctx context.Context) {
+	boxes, err := x.cfg.BoxList.Boxes(ctx)
 	if err != nil {
 		x.cfg.Logger.Warn().Str("error", err.Error()).Msg("box_list_lost")
 		return
 	}
-	if x.cfg.Listed != nil {
-		x.cfg.Listed(boxes)
+	if x.cfg.OnBoxList != nil {
+		x.cfg.OnBoxList(boxes)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -175,7 +175,7 @@
 
 // dropGone forgets peers that are long gone, and connections to addresses that
 // nobody names any more. The caller holds mu.
-func (x *Exchange) dropGone(now time.Time) {
+func (x *Gossiper) dropGone(now time.Time) {
 	for name, peer := range x.peers {
 		if now.Sub(peer.heardAt) > dropAfter {
 			delete(x.peers, name)
@@ -194,7 +194,7 @@
 
 // round exchanges with a few peers, chosen anew each time, so that what one box
 // knows reaches all within a few rounds whatever is cut off.
-func (x *Exchange) round(ctx context.Context) {
+func (x *Gossiper) round(ctx context.Context) {
 	var ended sync.WaitGroup
 	for _, address := range x.choose() {
 		ended.Go(func() { x.exchange(ctx, address) })
@@ -202,14 +202,14 @@
 	ended.Wait()
 }
 
-func (x *Exchange) choose() []string {
+func (x *Gossiper) choose() []string {
 	candidates := x.addresses()
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	return candidates[:min(x.cfg.Fanout, len(candidates))]
 }
 
 // addresses lists where peers may be: the platform's list and the seeds.
-func (x *Exchange) addresses() []string {
+func (x *Gossiper) addresses() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var addresses []string
@@ -227,14 +227,14 @@
 }
 
 // exchange tells one peer this box's status and takes over what it knows.
-func (x *Exchange) exchange(ctx context.Context, address string) {
-	answer, err := x.call(ctx, address, Message{Status: x.self(), Want: x.wants()})
+func (x *Gossiper) exchange(ctx context.Context, address string) {
+	answer, err := x.call(ctx, address, Message{Status: x.self(), WantsConfig: x.wants()})
 	if err != nil {
 		return // the peer may be gone; another round asks others
 	}
 	x.heard(answer.Status)
 	x.takeContent(answer)
-	if answer.Want {
+	if answer.WantsConfig {
 		// The peer is behind and wants what leads on from its version.
 		message := Message{Status: x.self()}
 		x.addContent(&message, answer.Status.Version)
@@ -244,7 +244,7 @@
 
 // wants reports whether this box should ask for content: it has no log, or has
 // been behind for longer than the log takes.
-func (x *Exchange) wants() bool {
+func (x *Gossiper) wants() bool {
 	if !x.cfg.Source.LogReachable() {
 		return true
 	}
@@ -253,9 +253,9 @@
 	return !x.behindSince.IsZero() && time.Since(x.behindSince) >= patience
 }
 
-func (x *Exchange) heard(status Status) {
-	if x.cfg.TakeAdvised != nil && status.Box != x.cfg.Self.Box {
-		x.cfg.TakeAdvised(status.Advised)
+func (x *Gossiper) heard(status Status) {
+	if x.cfg.ApplyAdvisoryReports != nil && status.Box != x.cfg.Self.Box {
+		x.cfg.ApplyAdvisoryReports(status.AdvisoryReports)
 	}
 	version := x.cfg.Source.State().Version
 	x.mu.Lock()
@@ -274,7 +274,7 @@
 	}
 }
 
-func (x *Exchange) anyAhead(version int64) bool {
+func (x *Gossiper) anyAhead(version int64) bool {
 	for _, peer := range x.peers {
 		if peer.status.Version > version {
 			return true
@@ -285,7 +285,7 @@
 
 // addContent adds what leads on from a version: the changes when all are known,
 // or else everything.
-func (x *Exchange) addContent(message *Message, version int64) {
+func (x *Gossiper) addContent(message *Message, version int64) {
 	state := x.cfg.Source.State()
 	if state.Version <= version {
 		return
@@ -297,7 +297,7 @@
 	message.State = &state
 }
 
-func (x *Exchange) takeContent(message Message) {
+func (x *Gossiper) takeContent(message Message) {
 	if len(message.Changes) > 0 && x.cfg.Source.OfferChanges(message.Changes) {
 		return
 	}
@@ -306,7 +306,7 @@
 	}
 }
 
-func (x *Exchange) countSent(n int) {
+func (x *Gossiper) countSent(n int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.sentBytes += int64(n)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -30,7 +30,7 @@
 		g := NewWithT(t)
 		x := New(Config{
 			Self: Status{Box: "me", Zone: "a"}, Seeds: []string{"127.0.0.1:7"}, Source: quietSource{}, Logger: zerolog.Nop(),
-			Boxes: boxlist.Static{{Name: "stays", Zone: "a", Peer: "127.0.0.1:8"}},
+			BoxList: boxlist.Static{{Name: "stays", Zone: "a", Peer: "127.0.0.1:8"}},
 		})
 		x.heard(Status{Box: "gone", Zone: "a"})
 		for _, address := range []string{"127.0.0.1:7", "127.0.0.1:8", "127.0.0.1:9"} {
@@ -55,12 +55,12 @@
 	boxes := []string{"one", "two", "three"}
 	said := map[string]*advisory.Report{"server": {LimitKnown: true, PerSecond: 2}}
 	var taken map[string]*advisory.Report
-	exchanges := make([]*Exchange, len(boxes))
+	exchanges := make([]*Gossiper, len(boxes))
 	for i, box := range boxes {
 		exchanges[i] = New(Config{
 			Self: Status{Box: box, Zone: "a"}, Source: quietSource{}, Logger: zerolog.Nop(),
-			Advised:     func() map[string]*advisory.Report { return said },
-			TakeAdvised: func(reports map[string]*advisory.Report) { taken = reports },
+			AdvisoryReports:      func() map[string]*advisory.Report { return said },
+			ApplyAdvisoryReports: func(reports map[string]*advisory.Report) { taken = reports },
 		})
 	}
 	ranks := map[int]bool{}
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -11,19 +11,19 @@
 )
 
 // answer gives the answer to a peer's message.
-func (x *Exchange) answer(message Message) Message {
+func (x *Gossiper) answer(message Message) Message {
 	x.heard(message.Status)
 	x.takeContent(message)
 	own := x.self()
-	answer := Message{Status: own, Want: message.Status.Version > own.Version && x.wants()}
-	if message.Want {
+	answer := Message{Status: own, WantsConfig: message.Status.Version > own.Version && x.wants()}
+	if message.WantsConfig {
 		x.addContent(&answer, message.Status.Version)
 	}
 	return answer
 }
 
 // Serve answers peers on a listener until ctx ends.
-func (x *Exchange) Serve(ctx context.Context, listener net.Listener) {
+func (x *Gossiper) Serve(ctx context.Context, listener net.Listener) {
 	if x.cfg.ServerTLS != nil {
 		listener = tls.NewListener(listener, x.cfg.ServerTLS)
 	}
@@ -41,7 +41,7 @@
 
 // serving is one connection that a peer opened.
 type serving struct {
-	exchange *Exchange
+	exchange *Gossiper
 	conn     net.Conn
 }
 
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -8,34 +8,34 @@
 	"github.com/cometlock/cometlock/internal/advisory"
 )
 
-// Neighbor is the part of a state dump that describes one peer.
-type Neighbor struct {
+// BoxState is the part of a state dump that describes one peer.
+type BoxState struct {
 	Status
-	HeardAgo string `json:"heard_ago"`
+	StatusAge string `json:"heard_ago"`
 }
 
 // State is the part of a state dump that describes the exchange.
 type State struct {
 	Listed    int        `json:"listed_boxes"`
-	Peers     []Neighbor `json:"peers"`
+	Peers     []BoxState `json:"peers"`
 	SentBytes int64      `json:"sent_bytes"`
 }
 
 // State describes what is known of the peers.
-func (x *Exchange) State() State {
+func (x *Gossiper) State() State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	state := State{Listed: len(x.listed), SentBytes: x.sentBytes}
 	for _, peer := range x.peers {
-		state.Peers = append(state.Peers, Neighbor{Status: peer.status, HeardAgo: time.Since(peer.heardAt).Round(time.Millisecond).String()})
+		state.Peers = append(state.Peers, BoxState{Status: peer.status, StatusAge: time.Since(peer.heardAt).Round(time.Millisecond).String()})
 	}
-	slices.SortFunc(state.Peers, func(a, b Neighbor) int { return cmp.Compare(a.Box, b.Box) })
+	slices.SortFunc(state.Peers, func(a, b BoxState) int { return cmp.Compare(a.Box, b.Box) })
 	return state
 }
 
 // BoxesInZone counts the entry boxes of this box's zone that were heard of
 // lately, this one included.
-func (x *Exchange) BoxesInZone() int {
+func (x *Gossiper) BoxesInZone() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	count := 1
@@ -47,9 +47,9 @@
 	return count
 }
 
-// Live lists the boxes that were heard of lately and do not leave, this one
+// LiveBoxes lists the boxes that were heard of lately and do not leave, this one
 // included, in name order.
-func (x *Exchange) Live() []string {
+func (x *Gossiper) LiveBoxes() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	live := []string{}
@@ -67,7 +67,7 @@
 
 // LimitPosition says where this box stands among those that share the rate limit of a server: those of
 // this box's zone, or all.
-func (x *Exchange) LimitPosition(server string, inZone bool) advisory.Position {
+func (x *Gossiper) LimitPosition(server string, inZone bool) advisory.Position {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var others []string
@@ -92,7 +92,7 @@
 
 // FirstInZone reports whether this box is the first by name of the boxes of its
 // zone that are believed to be live. Two boxes may both believe it for a while.
-func (x *Exchange) FirstInZone() bool {
+func (x *Gossiper) FirstInZone() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.leaving {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -19,24 +19,24 @@
 
 // Config sets up a Stage.
 type Config[P decide.Policy] struct {
-	// Knowledge is what is known of the zone.
-	Knowledge *zone.Knowledge
+	// View is what is known of the zone.
+	View *zone.View
 	// Policy chooses among the runners.
 	Policy P
-	// Keeper knows what is kept in store boxes; nil where there are none.
-	Keeper *kept.Keeper
+	// Offloader knows what is kept in store boxes; nil where there are none.
+	Offloader *kept.Offloader
 }
 
 // Stage places requests by a policy.
 type Stage[P decide.Policy] struct {
-	knowledge *zone.Knowledge
+	knowledge *zone.View
 	policy    P
-	keeper    *kept.Keeper
+	keeper    *kept.Offloader
 }
 
 // New makes the stage.
 func New[P decide.Policy](cfg Config[P]) *Stage[P] {
-	return &Stage[P]{knowledge: cfg.Knowledge, policy: cfg.Policy, keeper: cfg.Keeper}
+	return &Stage[P]{knowledge: cfg.View, policy: cfg.Policy, keeper: cfg.Offloader}
 }
 
 // Name implements flow.Stage.
@@ -80,7 +80,7 @@
 			return nil
 		}
 	}
-	return apierror.NotReady("no_runner", max(time.Second, s.knowledge.Wait(request.Model)), "no runner of the availability zone can serve %q now", request.Model)
+	return apierror.NotReady("no_runner", max(time.Second, s.knowledge.UnavailableFor(request.Model)), "no runner of the availability zone can serve %q now", request.Model)
 }
 
 // setWeights seeds the request's chain anew when its version changes.
@@ -97,16 +97,16 @@
 	option, _ := s.find(request, model)
 	choice, ok := zone.Choose(s.knowledge, s.policy, zone.Query{
 		Model: request.Model, Weights: request.Weights, Chain: request.Chain, Exclude: exclude, Fetch: option.Fetch,
-		Instant: request.Priority == config.PriorityInstant, Spread: xxhash.Sum64String(request.ID),
+		Instant: request.Priority == config.PriorityInstant, RequestHash: xxhash.Sum64String(request.ID),
 	})
 	if !ok {
 		return false
 	}
 	request.Placement = flow.Placement{
-		Server: choice.Server, WarmTokens: choice.Warm, Handle: choice.Handle,
-		FirstToken: time.Duration(choice.Decision.FirstToken * float64(time.Second)),
+		Server: choice.Server, WarmTokens: choice.WarmTokens, Handle: choice.Handle,
+		FirstToken: time.Duration(choice.Decision.FirstTokenSeconds * float64(time.Second)),
 	}
-	if choice.Decision.Fetched {
+	if choice.Decision.WithFetch {
 		server := choice.Server
 		request.Placement.Prepare = func(ctx context.Context) { s.keeper.Fetch(ctx, server, option) }
 	}
@@ -114,11 +114,11 @@
 }
 
 // find gives the best way to fetch the request's context from a store box.
-func (s *Stage[P]) find(request *flow.Request, model *config.Model) (kept.Option, bool) {
+func (s *Stage[P]) find(request *flow.Request, model *config.Model) (kept.FetchOption, bool) {
 	if s.keeper == nil {
-		return kept.Option{}, false
+		return kept.FetchOption{}, false
 	}
-	return s.keeper.Find(request.Chain, model.KVBytesPerToken)
+	return s.keeper.BestFetch(request.Chain, model.KVBytesPerToken)
 }
 
 // refuseLate refuses a request whose first token would come after its deadline:
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -83,10 +83,12 @@
 		{"round robin", func() decide.Policy { return &decide.RoundRobin{} }},
 		{"least loaded", func() decide.Policy { return decide.LeastLoaded{} }},
 		{"rendezvous", func() decide.Policy { return decide.Rendezvous{} }},
-		{"bounded rendezvous", func() decide.Policy { return decide.BoundedRendezvous{Factor: 1.25} }},
+		{"bounded rendezvous", func() decide.Policy { return decide.BoundedRendezvous{LoadFactor: 1.25} }},
 		{"greedy prefix", func() decide.Policy { return decide.GreedyPrefix{} }},
 		{"cheapest", func() decide.Policy { return decide.Cheapest{} }},
-		{chosen, func() decide.Policy { return decide.TwoHomes{Spare: decide.DefaultSpare, Factor: decide.DefaultFactor} }},
+		{chosen, func() decide.Policy {
+			return decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
+		}},
 	}
 }
 
--- a/internal/policybench/simulate.go
+++ b/internal/policybench/simulate.go
@@ -209,7 +209,7 @@
 			Running:      max(b.running[i], r.reportedRunning),
 			RunSeconds:   float64(s.load.OutputTokens[0]+s.load.OutputTokens[1]) / 2 / s.load.DecodeRate,
 			WarmTokens:   r.cache.warm(req.segments),
-			Home:         mix(req.home ^ mix(uint64(i)+1)),
+			HomeRank:     mix(req.home ^ mix(uint64(i)+1)),
 		}
 	}
 	return s.scratch
@@ -229,17 +229,17 @@
 	s.offered[req.organisation]++
 	s.result.total += req.tokens()
 	decision := s.policy.Choose(decide.Query{
-		Tokens: req.tokens(), FirstTokenWeight: s.load.FirstTokenWeight, RecomputeWeight: s.load.RecomputeWeight,
+		PromptTokens: req.tokens(), FirstTokenWeight: s.load.FirstTokenWeight, RecomputeWeight: s.load.RecomputeWeight,
 	}, s.describe(req, b))
-	if decision.FirstToken > deadline(req) {
+	if decision.FirstTokenSeconds > deadline(req) {
 		s.result.Refused++
 		s.result.total -= req.tokens()
 		return
 	}
 	chosen := decision.Runner
-	b.sent[chosen][classOf(req)] += decision.Recomputed
+	b.sent[chosen][classOf(req)] += decision.RecomputedTokens
 	b.running[chosen]++
-	s.runners[chosen].add(&job{request: req, box: at, expected: decision.Recomputed, arrived: s.now})
+	s.runners[chosen].add(&job{request: req, box: at, expected: decision.RecomputedTokens, arrived: s.now})
 	s.advance(chosen)
 }
 
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -111,12 +111,12 @@
 // Tokens estimates the length of the whole prompt in tokens.
 func (c Chain) Tokens() int { return c.tokens }
 
-// Landmark reports whether the key after so many blocks is kept in indexes. Two
+// IsIndexedDepth reports whether the key after so many blocks is kept in indexes. Two
 // depths an octave are enough to tell how much of a prompt is warm to within a
 // third, at a small part of the memory:
 //
 //	1 2 3 4 6 8 12 16 24 32 48 64 96 128 …
-func Landmark(depth int) bool {
+func IsIndexedDepth(depth int) bool {
 	if depth <= 0 {
 		return false
 	}
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -39,7 +39,7 @@
 	g := NewWithT(t)
 	var depths []int
 	for depth := range 130 {
-		if prefix.Landmark(depth) {
+		if prefix.IsIndexedDepth(depth) {
 			depths = append(depths, depth)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -79,8 +79,8 @@
 			result.Failure = callerGone(result.Chunks)
 			return result
 		}
-		stream, resumeErr := r.engines.ResumeSoon(request.Context(), attempt.Server.Address, attempt.Run, next-1)
-		if resumeErr == nil && barren >= engine.MaxResumes {
+		stream, resumeErr := r.engines.ResumeWithRetry(request.Context(), attempt.Server.Address, attempt.Run, next-1)
+		if resumeErr == nil && barren >= engine.MaxResumeAttempts {
 			_ = stream.Close() // the engine answers, but never with a chunk
 			resumeErr = err
 		}
@@ -124,7 +124,7 @@
 			attempt.Run.Body = nil
 			sink.Begin(attempt.Server, attempt.Run)
 		}
-		if err := sink.Write(chunk, attempt.Stream.Buffered()); err != nil {
+		if err := sink.Write(chunk, attempt.Stream.HasBuffered()); err != nil {
 			return errSink
 		}
 		result.Chunks++
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -42,8 +42,8 @@
 	Snapshot func() *config.Snapshot
 	// Reports gives the last load report of each runner of the zone.
 	Reports func() []Report
-	// Mine reports whether this box gives the zone's orders.
-	Mine func() bool
+	// IsLeader reports whether this box gives the zone's orders.
+	IsLeader func() bool
 	// Turn is how long one turn lasts; Interval the time between two looks.
 	Turn     time.Duration
 	Interval time.Duration
@@ -63,8 +63,8 @@
 	Leaving bool
 }
 
-// Rollout gives the orders of a zone.
-type Rollout struct {
+// Controller gives the orders of a zone.
+type Controller struct {
 	cfg Config
 	// ordered is when each runner was last given an order, and last when any was.
 	ordered map[string]time.Time
@@ -72,18 +72,18 @@
 }
 
 // New makes a rollout.
-func New(cfg Config) *Rollout {
+func New(cfg Config) *Controller {
 	if cfg.Turn == 0 {
 		cfg.Turn = DefaultTurn
 	}
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
 	}
-	return &Rollout{cfg: cfg, ordered: map[string]time.Time{}}
+	return &Controller{cfg: cfg, ordered: map[string]time.Time{}}
 }
 
 // Loop looks at the runners until ctx ends.
-func (r *Rollout) Loop(ctx context.Context) {
+func (r *Controller) Loop(ctx context.Context) {
 	ticker := time.NewTicker(r.cfg.Interval)
 	defer ticker.Stop()
 	for {
@@ -100,18 +100,18 @@
 const settle = 1200 * time.Millisecond
 
 // look gives one order, if one is due and allowed.
-func (r *Rollout) look(ctx context.Context) {
+func (r *Controller) look(ctx context.Context) {
 	snapshot := r.cfg.Snapshot()
-	if snapshot == nil || !r.cfg.Mine() || time.Since(r.last) < settle {
+	if snapshot == nil || !r.cfg.IsLeader() || time.Since(r.last) < settle {
 		return
 	}
-	next, ok := Next(snapshot, r.cfg.Reports(), r.ordered)
+	next, ok := NextRunner(snapshot, r.cfg.Reports(), r.ordered)
 	if !ok || !r.allowed(snapshot, time.Now()) || time.Since(r.ordered[next.Server.Name]) < r.cfg.Turn {
 		return
 	}
 	r.last = time.Now()
 	r.ordered[next.Server.Name] = r.last
-	order := engine.Order{Fence: snapshot.Version(), Weights: Wanted(snapshot, next.Server)}
+	order := engine.Order{Fence: snapshot.Version(), Weights: TargetWeights(snapshot, next.Server)}
 	event := r.cfg.Logger.Info()
 	if err := r.cfg.Engines.Order(ctx, next.Server.Address, order); err != nil {
 		event = r.cfg.Logger.Warn().Str("error", err.Error())
@@ -119,18 +119,18 @@
 	event.Str("server", next.Server.Name).Int64("fence", order.Fence).Msg("weights_ordered")
 }
 
-func (r *Rollout) allowed(snapshot *config.Snapshot, now time.Time) bool {
+func (r *Controller) allowed(snapshot *config.Snapshot, now time.Time) bool {
 	file := snapshot.File()
 	names := make([]string, len(file.Zones))
 	for i, zone := range file.Zones {
 		names[i] = zone.Name
 	}
 	slices.Sort(names)
-	return Allowed(names, r.cfg.Zone, file.WeightStore.ParallelLoads, r.cfg.Turn, now)
+	return MayLoad(names, r.cfg.Zone, file.WeightStore.ParallelLoads, r.cfg.Turn, now)
 }
 
-// Wanted gives the whole state that the configuration wants a runner to be in.
-func Wanted(snapshot *config.Snapshot, server *config.BackendServer) []engine.LoadedWeights {
+// TargetWeights gives the whole state that the configuration wants a runner to be in.
+func TargetWeights(snapshot *config.Snapshot, server *config.BackendServer) []engine.LoadedWeights {
 	var wanted []engine.LoadedWeights
 	for _, name := range server.Models {
 		if model, ok := snapshot.Model(name); ok {
@@ -140,11 +140,11 @@
 	return wanted
 }
 
-// Next gives the runner that is to load next: none while one of the zone is
+// NextRunner gives the runner that is to load next: none while one of the zone is
 // loading, so that a zone has one load under way and most of its runners serve.
 // Of those that are behind it takes the one that was ordered longest ago, so that
 // a runner which never gets there does not keep the others from it.
-func Next(snapshot *config.Snapshot, reports []Report, ordered map[string]time.Time) (Report, bool) {
+func NextRunner(snapshot *config.Snapshot, reports []Report, ordered map[string]time.Time) (Report, bool) {
 	found := false
 	var next Report
 	for _, report := range reports {
@@ -167,7 +167,7 @@
 
 // behind reports whether a runner holds another version than the wanted one.
 func behind(snapshot *config.Snapshot, report Report) bool {
-	for _, wanted := range Wanted(snapshot, report.Server) {
+	for _, wanted := range TargetWeights(snapshot, report.Server) {
 		held := slices.ContainsFunc(report.Weights, func(w engine.LoadedWeights) bool {
 			return w.Model == wanted.Model && w.Version == wanted.Version
 		})
@@ -178,10 +178,10 @@
 	return false
 }
 
-// Allowed reports whether a zone may begin a load now. With at least as many
+// MayLoad reports whether a zone may begin a load now. With at least as many
 // loads as zones every zone always may; otherwise each pauses in its turns, and
 // all only begin in the first half of a turn, so that a load ends within it.
-func Allowed(zones []string, zone string, parallel int, turn time.Duration, now time.Time) bool {
+func MayLoad(zones []string, zone string, parallel int, turn time.Duration, now time.Time) bool {
 	at := slices.Index(zones, zone)
 	if at < 0 {
 		return false
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -26,7 +26,7 @@
 				now := time.Unix(0, 0).Add(time.Duration(number) * turn)
 				allowed := 0
 				for _, zone := range zones {
-					if rollout.Allowed(zones, zone, c.parallel, turn, now) {
+					if rollout.MayLoad(zones, zone, c.parallel, turn, now) {
 						allowed++
 						turns[zone]++
 					}
@@ -37,8 +37,8 @@
 				g.Expect(turns[zone]).To(BeNumerically(">=", 2), "every zone has its turns")
 			}
 			late := time.Unix(0, 0).Add(turn * 3 / 4)
-			g.Expect(rollout.Allowed(zones, zones[0], c.parallel, turn, late)).To(Equal(c.parallel >= c.zones))
-			g.Expect(rollout.Allowed(zones, "elsewhere", c.parallel, turn, late)).To(BeFalse())
+			g.Expect(rollout.MayLoad(zones, zones[0], c.parallel, turn, late)).To(Equal(c.parallel >= c.zones))
+			g.Expect(rollout.MayLoad(zones, "elsewhere", c.parallel, turn, late)).To(BeFalse())
 		})
 	}
 }
@@ -67,7 +67,7 @@
 		{"none while one loads", []rollout.Report{report("a", "v1", "v2", false), report("b", "v1", "", false)}, ""},
 		{"not one that leaves", []rollout.Report{report("a", "v1", "", true), report("b", "v1", "", false)}, "b"},
 	} {
-		next, ok := rollout.Next(snapshot, c.reports, nil)
+		next, ok := rollout.NextRunner(snapshot, c.reports, nil)
 		g.Expect(ok).To(Equal(c.want != ""), c.name)
 		if ok {
 			g.Expect(next.Server.Name).To(Equal(c.want), c.name)
@@ -76,6 +76,6 @@
 
 	// A runner that never gets there must not keep the others from it.
 	stuck := []rollout.Report{report("a", "v1", "", false), report("b", "v1", "", false)}
-	next, _ := rollout.Next(snapshot, stuck, map[string]time.Time{"a": time.Unix(5, 0)})
+	next, _ := rollout.NextRunner(snapshot, stuck, map[string]time.Time{"a": time.Unix(5, 0)})
 	g.Expect(next.Server.Name).To(Equal("b"))
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -20,7 +20,7 @@
 // Config sets up a Watcher.
 type Config struct {
 	Engines   *engine.Client
-	Knowledge *zone.Knowledge
+	Knowledge *zone.View
 	Logger    zerolog.Logger
 	// Interval is the time between two looks at a runner.
 	Interval time.Duration
@@ -120,22 +120,22 @@
 		r.lost = false
 		cfg.Logger.Info().Str("server", r.runner.Name).Msg("runner_back")
 	}
-	cfg.Knowledge.Report(r.runner.Name, status)
-	if status.LastEvent == cfg.Knowledge.EventsTo(r.runner.Name) {
+	cfg.Knowledge.ApplyStatus(r.runner.Name, status)
+	if status.LastEvent == cfg.Knowledge.EventCursor(r.runner.Name) {
 		return
 	}
-	events, err := cfg.Engines.CacheEvents(ctx, r.runner.Address, cfg.Knowledge.EventsTo(r.runner.Name))
+	events, err := cfg.Engines.CacheEvents(ctx, r.runner.Address, cfg.Knowledge.EventCursor(r.runner.Name))
 	if err != nil {
 		return // the next look asks again from the same place
 	}
-	cfg.Knowledge.Fold(r.runner.Name, events)
+	cfg.Knowledge.ApplyCacheEvents(r.runner.Name, events)
 }
 
 func (r *runnerWatch) noteLost(ctx context.Context, err error) {
 	if ctx.Err() != nil || errors.Is(err, context.Canceled) {
 		return
 	}
-	r.watcher.cfg.Knowledge.Failed(r.runner.Name)
+	r.watcher.cfg.Knowledge.NoteFailure(r.runner.Name)
 	if !r.lost {
 		r.lost = true
 		r.watcher.cfg.Logger.Warn().Str("server", r.runner.Name).Str("error", err.Error()).Msg("runner_lost")
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -17,7 +17,7 @@
 
 // oneRunner gives what a zone with one runner knows, and a count of the questions
 // that the runner got.
-func oneRunner(t *testing.T) (*zone.Knowledge, *atomic.Int64) {
+func oneRunner(t *testing.T) (*zone.View, *atomic.Int64) {
 	g := NewWithT(t)
 	var asked atomic.Int64
 	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/zone/advise.go
+++ b/internal/zone/advise.go
@@ -8,8 +8,8 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// Advise takes over what an answer says of the engine at an address.
-func (k *Knowledge) Advise(address string, answer advisory.Answer) {
+// ApplyAdvisory takes over what an answer says of the engine at an address.
+func (k *View) ApplyAdvisory(address string, answer advisory.Answer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, known := range k.servers {
@@ -19,8 +19,8 @@
 	}
 }
 
-// Advised gives what runners said of themselves in answers to this box, by name.
-func (k *Knowledge) Advised() map[string]*advisory.Report {
+// AdvisoryReports gives what runners said of themselves in answers to this box, by name.
+func (k *View) AdvisoryReports() map[string]*advisory.Report {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := boottime.Now()
@@ -33,8 +33,8 @@
 	return reports
 }
 
-// TakeAdvised takes over what another box reports, by name.
-func (k *Knowledge) TakeAdvised(reports map[string]*advisory.Report) {
+// ApplyAdvisoryReports takes over what another box reports, by name.
+func (k *View) ApplyAdvisoryReports(reports map[string]*advisory.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := boottime.Now()
@@ -46,7 +46,7 @@
 }
 
 // position gives where this box stands among those that share a runner's rate limit. The caller holds mu.
-func (k *Knowledge) position(known *server, now time.Time) advisory.Position {
+func (k *View) position(known *server, now time.Time) advisory.Position {
 	if _, _, limited := known.advised.Limit(now); !limited || k.limitPosition == nil {
 		return advisory.Position{}
 	}
@@ -55,18 +55,18 @@
 
 // takesRun reports whether a runner takes a run of this box now by what it says of itself. The caller
 // holds mu.
-func (k *Knowledge) takesRun(known *server, now time.Time) bool {
+func (k *View) takesRun(known *server, now time.Time) bool {
 	return known.advised.PausedFor(now) == 0 && known.advised.HasRoom(now, k.position(known, now))
 }
 
 // noteRun counts a run of this box against a runner's rate limit. The caller holds mu.
-func (k *Knowledge) noteRun(known *server, now time.Time) {
+func (k *View) noteRun(known *server, now time.Time) {
 	known.advised.NoteSent(now, k.position(known, now))
 }
 
-// Wait is how long no runner of the zone takes a run of this box by what it says of itself; zero while
+// UnavailableFor is how long no runner of the zone takes a run of this box by what it says of itself; zero while
 // one does, or where that is not known.
-func (k *Knowledge) Wait(model string) time.Duration {
+func (k *View) UnavailableFor(model string) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := boottime.Now()
--- a/internal/zone/choose.go
+++ b/internal/zone/choose.go
@@ -14,7 +14,7 @@
 
 // Handle is a request's hold on a server; Done gives it back.
 type Handle struct {
-	knowledge *Knowledge
+	knowledge *View
 	server    *server
 	model     string
 	// tokens is the prompt work that the decision expected; counted says that
@@ -31,10 +31,10 @@
 
 // Choice is a decision about servers instead of indexes.
 type Choice struct {
-	Server   *config.BackendServer
-	Decision decide.Decision
-	Warm     int
-	Handle   *Handle
+	Server     *config.BackendServer
+	Decision   decide.Decision
+	WarmTokens int
+	Handle     *Handle
 }
 
 // Query is a request for a runner.
@@ -44,9 +44,9 @@
 	Chain   prefix.Chain
 	// Instant says that the request goes before those that are not.
 	Instant bool
-	// Spread gives a prompt without a whole block its homes; it differs from
+	// RequestHash gives a prompt without a whole block its homes; it differs from
 	// request to request.
-	Spread uint64
+	RequestHash uint64
 	// Fetch is the best way to bring kept context to any runner of the zone.
 	Fetch decide.Fetch
 	// Exclude names servers that were tried already.
@@ -55,7 +55,7 @@
 
 // Choose decides by a policy where a request runs, and counts it there. It
 // reports false when no runner can take it.
-func Choose[P decide.Policy](k *Knowledge, policy P, query Query) (Choice, bool) {
+func Choose[P decide.Policy](k *View, policy P, query Query) (Choice, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.snapshot == nil {
@@ -64,7 +64,7 @@
 	k.fill(query)
 	objectives := k.snapshot.File().Objectives
 	decision := policy.Choose(decide.Query{
-		Tokens:           query.Chain.Tokens(),
+		PromptTokens:     query.Chain.Tokens(),
 		FirstTokenWeight: objectives.FirstTokenWeight,
 		RecomputeWeight:  objectives.RecomputeWeight,
 	}, k.runners)
@@ -73,25 +73,25 @@
 	}
 	chosen := k.servers[decision.Runner]
 	handle := &Handle{
-		knowledge: k, server: chosen, model: query.Model, tokens: decision.Recomputed, class: classOf(query.Instant), counted: true,
-		idle: k.runners[decision.Runner].QueuedTokens == 0 && !decision.Fetched, since: boottime.Now(),
+		knowledge: k, server: chosen, model: query.Model, tokens: decision.RecomputedTokens, class: classOf(query.Instant), counted: true,
+		idle: k.runners[decision.Runner].QueuedTokens == 0 && !decision.WithFetch, since: boottime.Now(),
 	}
 	k.noteRun(chosen, boottime.Now())
 	chosen.sent++
-	chosen.sentTokens[handle.class] += decision.Recomputed
-	k.index.Expect(chosen.place, query.Chain)
-	return Choice{Server: chosen.config, Decision: decision, Warm: k.warm[decision.Runner], Handle: handle}, true
+	chosen.sentTokens[handle.class] += decision.RecomputedTokens
+	k.index.AddExpected(chosen.place, query.Chain)
+	return Choice{Server: chosen.config, Decision: decision, WarmTokens: k.warm[decision.Runner], Handle: handle}, true
 }
 
 // fill writes what is known of each server for one query into the scratch space.
-func (k *Knowledge) fill(query Query) {
+func (k *View) fill(query Query) {
 	if cap(k.runners) < len(k.servers) {
 		k.runners = make([]decide.Runner, MaxRunners)
 		k.warm = make([]int, MaxRunners)
 	}
 	k.runners = k.runners[:len(k.servers)]
 	k.warm = k.warm[:len(k.servers)]
-	k.index.Warm(query.Chain, k.warm)
+	k.index.WarmTokens(query.Chain, k.warm)
 	home := homeOf(query)
 	now := boottime.Now()
 	for place, known := range k.servers {
@@ -111,7 +111,7 @@
 func homeOf(query Query) uint64 {
 	keys := query.Chain.Keys()
 	if len(keys) == 0 {
-		return query.Spread
+		return query.RequestHash
 	}
 	return keys[min(homeDepth, len(keys))-1].Short()
 }
@@ -155,7 +155,7 @@
 
 // rate gives the prefill rate of a model on a server: what was learnt, or the
 // operators' first guess.
-func (k *Knowledge) rate(known *server, model string) float64 {
+func (k *View) rate(known *server, model string) float64 {
 	if rate := known.rates[model]; rate > 0 {
 		return rate
 	}
@@ -181,7 +181,7 @@
 		Eligible: true, QueuedTokens: queued, Running: running, Slots: s.config.Slots,
 		PrefillRate: rate, RunSeconds: s.runSeconds, WarmTokens: warm,
 		// Rendezvous hashing: every pair of prompt and server has a rank.
-		Home: mix(home ^ s.hash),
+		HomeRank: mix(home ^ s.hash),
 	}
 }
 
--- a/internal/zone/index.go
+++ b/internal/zone/index.go
@@ -33,9 +33,9 @@
 // Len is the number of blocks in the index.
 func (x *Index) Len() int { return len(x.blocks) }
 
-// Fold takes over one cache event of a runner.
-func (x *Index) Fold(runner int, event engine.CacheEvent) {
-	if !prefix.Landmark(event.Depth) {
+// ApplyEvent takes over one cache event of a runner.
+func (x *Index) ApplyEvent(runner int, event engine.CacheEvent) {
+	if !prefix.IsIndexedDepth(event.Depth) {
 		return
 	}
 	switch event.Kind {
@@ -48,11 +48,11 @@
 	}
 }
 
-// Expect records what a runner will hold once it has prefilled a chain, ahead
+// AddExpected records what a runner will hold once it has prefilled a chain, ahead
 // of its events.
-func (x *Index) Expect(runner int, chain prefix.Chain) {
+func (x *Index) AddExpected(runner int, chain prefix.Chain) {
 	for i, key := range chain.Keys() {
-		if prefix.Landmark(i + 1) {
+		if prefix.IsIndexedDepth(i + 1) {
 			x.add(runner, key.Short())
 		}
 	}
@@ -92,15 +92,15 @@
 	}
 }
 
-// Warm writes into tokens, for each runner, how many tokens of the chain it is
+// WarmTokens writes into tokens, for each runner, how many tokens of the chain it is
 // thought to hold. It looks at the deepest landmarks first, since a runner that
 // holds a block holds all before it.
-func (x *Index) Warm(chain prefix.Chain, tokens []int) {
+func (x *Index) WarmTokens(chain prefix.Chain, tokens []int) {
 	clear(tokens)
 	keys := chain.Keys()
 	missing := len(tokens)
 	for depth := len(keys); depth > 0 && missing > 0; depth-- {
-		if !prefix.Landmark(depth) {
+		if !prefix.IsIndexedDepth(depth) {
 			continue
 		}
 		set, ok := x.blocks[keys[depth-1].Short()]
--- a/internal/zone/state.go
+++ b/internal/zone/state.go
@@ -21,7 +21,7 @@
 	Running      int         `json:"running"`
 	Waiting      int         `json:"waiting"`
 	QueuedTokens int         `json:"queued_tokens"`
-	EventsTo     int64       `json:"events_to"`
+	EventCursor  int64       `json:"events_to"`
 	RunSeconds   float64     `json:"run_seconds"`
 }
 
@@ -35,7 +35,7 @@
 }
 
 // State describes what is known now.
-func (k *Knowledge) State() State {
+func (k *View) State() State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	state := State{Zone: k.zone, Blocks: k.index.Len(), Gaps: k.gaps, Resyncs: k.resyncs}
@@ -48,7 +48,7 @@
 			Name: known.config.Name, Role: known.config.Role, Address: known.config.Address,
 			Leaving: known.leaves(), Failed: known.coolingDown(now), Sent: known.sent, SentTokens: known.sentTokens.ahead(classOther),
 			Running: known.status.Running, Waiting: known.status.Waiting, QueuedTokens: known.status.QueuedTokens,
-			EventsTo: known.eventsTo, RunSeconds: known.runSeconds,
+			EventCursor: known.eventsTo, RunSeconds: known.runSeconds,
 		}
 		if !known.reportedAt.IsZero() {
 			entry.ReportAge = now.Sub(known.reportedAt).Round(time.Millisecond).String()
@@ -59,7 +59,7 @@
 }
 
 // Runners lists the runners of the zone with their addresses, for the watchers.
-func (k *Knowledge) Runners() []*config.BackendServer {
+func (k *View) Runners() []*config.BackendServer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var runners []*config.BackendServer
@@ -73,7 +73,7 @@
 
 // Reports gives the last load report of each runner that answers. One that has
 // failed is left out: its last report may say for ever that it is loading.
-func (k *Knowledge) Reports() []rollout.Report {
+func (k *View) Reports() []rollout.Report {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := boottime.Now()
@@ -87,7 +87,7 @@
 }
 
 // Slots sums the batch slots of the runners that may get new work.
-func (k *Knowledge) Slots() int {
+func (k *View) Slots() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	slots := 0
@@ -100,8 +100,8 @@
 	return slots
 }
 
-// Life gives the life of a server by its last report, and whether it is to end.
-func (k *Knowledge) Life(name string) (life string, leaving bool) {
+// Incarnation gives the life of a server by its last report, and whether it is to end.
+func (k *View) Incarnation(name string) (life string, leaving bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	known, ok := k.byName[name]
@@ -112,7 +112,7 @@
 }
 
 // Available reports whether a plain service's server may get new work.
-func (k *Knowledge) Available(name string) bool {
+func (k *View) Available(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	known, ok := k.byName[name]
@@ -120,7 +120,7 @@
 }
 
 // NoteCall counts a call of a plain service against its server's rate limit.
-func (k *Knowledge) NoteCall(name string) {
+func (k *View) NoteCall(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if known := k.byName[name]; known != nil {
--- a/internal/zone/suspended_test.go
+++ b/internal/zone/suspended_test.go
@@ -18,7 +18,7 @@
 		g := NewWithT(t)
 		machine := suspendtest.New(t)
 		k := newKnowledge(1)
-		k.Advise("0", answerWith(advisory.Advisory{Pause: 3 * time.Second}))
+		k.ApplyAdvisory("0", answerWith(advisory.Advisory{Pause: 3 * time.Second}))
 		g.Expect(placedIn(k, 100*time.Millisecond)).To(BeEmpty())
 		machine.Suspend(3 * time.Second)
 		g.Expect(placedIn(k, 100*time.Millisecond)).To(HaveLen(1))
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -35,7 +35,7 @@
 	firstRunSeconds = 1.0
 )
 
-// Config sets up a Knowledge.
+// Config sets up a View.
 type Config struct {
 	// Zone is the availability zone of this entry box.
 	Zone string
@@ -44,8 +44,8 @@
 	LimitPosition func(runner string) advisory.Position
 }
 
-// Knowledge is what is known of the zone. It is safe for concurrent use.
-type Knowledge struct {
+// View is what is known of the zone. It is safe for concurrent use.
+type View struct {
 	zone          string
 	limitPosition func(runner string) advisory.Position
 
@@ -123,16 +123,16 @@
 }
 
 // New makes a knowledge of nothing.
-func New(cfg Config) *Knowledge {
-	return &Knowledge{zone: cfg.Zone, limitPosition: cfg.LimitPosition, byName: map[string]*server{}, index: NewIndex()}
+func New(cfg Config) *View {
+	return &View{zone: cfg.Zone, limitPosition: cfg.LimitPosition, byName: map[string]*server{}, index: NewIndex()}
 }
 
 // Zone names the availability zone.
-func (k *Knowledge) Zone() string { return k.zone }
+func (k *View) Zone() string { return k.zone }
 
 // Configure takes over the servers of a new configuration. What is known of
 // servers that stay is kept.
-func (k *Knowledge) Configure(snapshot *config.Snapshot) {
+func (k *View) Configure(snapshot *config.Snapshot) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.snapshot = snapshot
@@ -154,7 +154,7 @@
 	}
 }
 
-func (k *Knowledge) put(entry *config.BackendServer) {
+func (k *View) put(entry *config.BackendServer) {
 	if known, ok := k.byName[entry.Name]; ok && known.config.Address == entry.Address {
 		known.config = entry
 		return
@@ -173,7 +173,7 @@
 	k.byName[entry.Name] = added
 }
 
-func (k *Knowledge) freePlace() int {
+func (k *View) freePlace() int {
 	for place, known := range k.servers {
 		if known == nil {
 			return place
@@ -182,14 +182,14 @@
 	return len(k.servers)
 }
 
-func (k *Knowledge) remove(known *server) {
+func (k *View) remove(known *server) {
 	k.index.Clear(known.place)
 	k.servers[known.place] = nil
 	delete(k.byName, known.config.Name)
 }
 
-// Report takes over a load report.
-func (k *Knowledge) Report(name string, status engine.Status) {
+// ApplyStatus takes over a load report.
+func (k *View) ApplyStatus(name string, status engine.Status) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	known, ok := k.byName[name]
@@ -214,8 +214,8 @@
 	known.sentAtReport = known.sentTokens
 }
 
-// Failed notes that a server was not to be reached.
-func (k *Knowledge) Failed(name string) {
+// NoteFailure notes that a server was not to be reached.
+func (k *View) NoteFailure(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if known, ok := k.byName[name]; ok {
@@ -223,10 +223,10 @@
 	}
 }
 
-// SetListed takes over which servers the platform lists as leaving. The list may
+// SetListedLeaving takes over which servers the platform lists as leaving. The list may
 // only take servers out: one that says itself that it leaves stays out, whatever
 // the list says, and one that the list calls live gets nothing for that.
-func (k *Knowledge) SetListed(leaving []string) {
+func (k *View) SetListedLeaving(leaving []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, known := range k.servers {
@@ -236,8 +236,8 @@
 	}
 }
 
-// EventsTo gives the sequence number after which cache events are wanted.
-func (k *Knowledge) EventsTo(name string) int64 {
+// EventCursor gives the sequence number after which cache events are wanted.
+func (k *View) EventCursor(name string) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	known, ok := k.byName[name]
@@ -255,9 +255,9 @@
 // is never reported as removed.
 const resyncEvery = 10 * time.Minute
 
-// Fold takes over cache events. Where events are missing in between, it asks for
+// ApplyCacheEvents takes over cache events. Where events are missing in between, it asks for
 // a snapshot the next time, since nobody knows which blocks went in the gap.
-func (k *Knowledge) Fold(name string, events engine.CacheEvents) {
+func (k *View) ApplyCacheEvents(name string, events engine.CacheEvents) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	known, ok := k.byName[name]
@@ -275,7 +275,7 @@
 			return
 		}
 		next++
-		k.index.Fold(known.place, event)
+		k.index.ApplyEvent(known.place, event)
 	}
 	if !events.Snapshot && next != events.Last+1 {
 		k.gap(known)
@@ -291,7 +291,7 @@
 // snapshotWanted is a sequence number that no engine holds events after.
 const snapshotWanted = -1
 
-func (k *Knowledge) gap(known *server) {
+func (k *View) gap(known *server) {
 	k.gaps++
 	known.eventsTo = snapshotWanted
 }
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -16,7 +16,7 @@
 )
 
 // newKnowledge knows a zone with so many runners of one model.
-func newKnowledge(runners int) *Knowledge {
+func newKnowledge(runners int) *View {
 	k := New(Config{Zone: "a"})
 	k.Configure(snapshotOf(runners, false))
 	return k
@@ -49,7 +49,7 @@
 	g := NewWithT(t)
 	k := newKnowledge(2)
 	placed := func() bool {
-		policy := decide.TwoHomes{Spare: decide.DefaultSpare, Factor: decide.DefaultFactor}
+		policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 		_, ok := Choose(k, policy, Query{Model: "m", Weights: "v1", Chain: chainOf("rulebook", 4)})
 		return ok
 	}
@@ -66,8 +66,8 @@
 	return prefix.NewChain(prefix.NewSalt("o", "m", "v1"), prompt)
 }
 
-func choose(k *Knowledge, chain prefix.Chain) Choice {
-	policy := decide.TwoHomes{Spare: decide.DefaultSpare, Factor: decide.DefaultFactor}
+func choose(k *View, chain prefix.Chain) Choice {
+	policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 	choice, ok := Choose(k, policy, Query{Model: "m", Weights: "v1", Chain: chain})
 	if !ok {
 		panic("no runner")
@@ -89,32 +89,32 @@
 	k := newKnowledge(8)
 	chain := chainOf("rulebook", 100)
 	first := choose(k, chain)
-	g.Expect(first.Decision.Recomputed).To(Equal(chain.Tokens()))
+	g.Expect(first.Decision.RecomputedTokens).To(Equal(chain.Tokens()))
 	first.Handle.FirstToken()
 	first.Handle.Done(true)
 	again := choose(k, chain)
 	g.Expect(again.Server.Name).To(Equal(first.Server.Name))
-	g.Expect(again.Warm).To(Equal(96*prefix.BlockTokens), "the deepest landmark within 100 blocks")
+	g.Expect(again.WarmTokens).To(Equal(96*prefix.BlockTokens), "the deepest landmark within 100 blocks")
 }
 
 func TestGapsInTheEventsLeadToASnapshot(t *testing.T) {
 	g := NewWithT(t)
 	k := newKnowledge(2)
 	chain := chainOf("a", 8)
-	k.Report("r000", engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
+	k.ApplyStatus("r000", engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
 	events := stored(chain, 0)
-	k.Fold("r000", events)
-	g.Expect(k.EventsTo("r000")).To(Equal(int64(8)))
+	k.ApplyCacheEvents("r000", events)
+	g.Expect(k.EventCursor("r000")).To(Equal(int64(8)))
 	lost := engine.CacheEvents{Incarnation: "i", Last: 12, Events: []engine.CacheEvent{{Sequence: 9, Kind: engine.BlockRemoved, Key: chain.Keys()[7], Depth: 8}, {Sequence: 11, Kind: engine.BlockStored, Depth: 1}}}
-	k.Fold("r000", lost)
-	g.Expect(k.EventsTo("r000")).To(Equal(int64(snapshotWanted)))
+	k.ApplyCacheEvents("r000", lost)
+	g.Expect(k.EventCursor("r000")).To(Equal(int64(snapshotWanted)))
 	g.Expect(k.State().Gaps).To(Equal(uint64(1)))
 	snapshot := stored(chainOf("b", 4), 0)
 	snapshot.Snapshot, snapshot.Last = true, 40
-	k.Fold("r000", snapshot)
-	g.Expect(k.EventsTo("r000")).To(Equal(int64(40)))
+	k.ApplyCacheEvents("r000", snapshot)
+	g.Expect(k.EventCursor("r000")).To(Equal(int64(40)))
 	warm := make([]int, 2)
-	k.index.Warm(chain, warm)
+	k.index.WarmTokens(chain, warm)
 	g.Expect(warm).To(Equal([]int{0, 0}), "what was known before the gap is forgotten")
 }
 
@@ -122,10 +122,10 @@
 	g := NewWithT(t)
 	k := newKnowledge(1)
 	chain := chainOf("a", 8)
-	k.Fold("r000", stored(chain, 0))
-	k.Report("r000", engine.Status{Incarnation: "another"})
+	k.ApplyCacheEvents("r000", stored(chain, 0))
+	k.ApplyStatus("r000", engine.Status{Incarnation: "another"})
 	g.Expect(k.State().Blocks).To(BeZero())
-	g.Expect(k.EventsTo("r000")).To(BeZero())
+	g.Expect(k.EventCursor("r000")).To(BeZero())
 }
 
 func TestServersThatLeaveFailOrHoldOtherWeightsGetNothing(t *testing.T) {
@@ -135,11 +135,11 @@
 		loaded := func(version string) engine.Status {
 			return engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: version}}}
 		}
-		k.Report("r000", engine.Status{Incarnation: "i", Leaving: true, Weights: loaded("v1").Weights})
-		k.Report("r001", loaded("v2"))
-		k.Report("r002", loaded("v1"))
-		k.Report("r003", loaded("v1"))
-		k.Failed("r002")
+		k.ApplyStatus("r000", engine.Status{Incarnation: "i", Leaving: true, Weights: loaded("v1").Weights})
+		k.ApplyStatus("r001", loaded("v2"))
+		k.ApplyStatus("r002", loaded("v1"))
+		k.ApplyStatus("r003", loaded("v1"))
+		k.NoteFailure("r002")
 		for range 20 {
 			g.Expect(choose(k, chainOf("x", 1)).Server.Name).To(Equal("r003"))
 		}
@@ -158,8 +158,8 @@
 	status := engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}}
 	leaving := status
 	leaving.Leaving = true
-	k.Report("r000", status)
-	k.Report("r001", leaving)
+	k.ApplyStatus("r000", status)
+	k.ApplyStatus("r001", leaving)
 	only := func() string {
 		names := map[string]bool{}
 		for range 10 {
@@ -170,11 +170,11 @@
 		return fmt.Sprint(names)
 	}
 	g.Expect(only()).To(Equal("map[r000:true]"))
-	k.SetListed([]string{"r000"})
+	k.SetListedLeaving([]string{"r000"})
 	g.Expect(only()).To(Equal("map[]"), "a list that calls r001 live does not bring it back")
-	k.Report("r000", status)
+	k.ApplyStatus("r000", status)
 	g.Expect(only()).To(Equal("map[]"), "nor does a report bring back what the list takes out")
-	k.SetListed(nil)
+	k.SetListedLeaving(nil)
 	g.Expect(only()).To(Equal("map[r000:true]"))
 }
 
@@ -182,10 +182,10 @@
 	g := NewWithT(t)
 	k := newKnowledge(2)
 	loading := engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1", Loading: "v2"}}}
-	k.Report("r000", loading)
-	k.Report("r001", loading)
+	k.ApplyStatus("r000", loading)
+	k.ApplyStatus("r001", loading)
 	g.Expect(k.Reports()).To(HaveLen(2))
-	k.Failed("r000")
+	k.NoteFailure("r000")
 	g.Expect(k.Reports()).To(HaveLen(1))
 }
 
@@ -195,17 +195,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		k := newKnowledge(1)
-		k.Fold("r000", engine.CacheEvents{Incarnation: "i", Snapshot: true, Last: 7})
-		g.Expect(k.EventsTo("r000")).To(Equal(int64(7)))
+		k.ApplyCacheEvents("r000", engine.CacheEvents{Incarnation: "i", Snapshot: true, Last: 7})
+		g.Expect(k.EventCursor("r000")).To(Equal(int64(7)))
 		for i := range 100 {
 			choose(k, chainOf(fmt.Sprint("lost ", i), 8)).Handle.Done(false)
 		}
 		g.Expect(k.State().Blocks).To(BeNumerically(">", 100))
 		time.Sleep(resyncEvery + time.Second)
-		g.Expect(k.EventsTo("r000")).To(Equal(int64(snapshotWanted)))
-		k.Fold("r000", engine.CacheEvents{Incarnation: "i", Snapshot: true, Last: 7})
+		g.Expect(k.EventCursor("r000")).To(Equal(int64(snapshotWanted)))
+		k.ApplyCacheEvents("r000", engine.CacheEvents{Incarnation: "i", Snapshot: true, Last: 7})
 		g.Expect(k.State().Blocks).To(BeZero())
-		g.Expect(k.EventsTo("r000")).To(Equal(int64(7)))
+		g.Expect(k.EventCursor("r000")).To(Equal(int64(7)))
 	})
 }
 
@@ -220,7 +220,7 @@
 			if i == 3 {
 				status.QueuedTokens = 0 // was idle a while ago
 			}
-			k.Report(fmt.Sprintf("r%03d", i), status)
+			k.ApplyStatus(fmt.Sprintf("r%03d", i), status)
 		}
 		sent := map[string]int{}
 		for i := range 200 {
@@ -239,8 +239,8 @@
 	g := NewWithT(t)
 	k := newKnowledge(1)
 	choice := choose(k, chainOf("a", 40))
-	tokens := choice.Decision.Recomputed
-	k.Report("r000", engine.Status{Incarnation: "i", QueuedTokens: tokens, Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
+	tokens := choice.Decision.RecomputedTokens
+	k.ApplyStatus("r000", engine.Status{Incarnation: "i", QueuedTokens: tokens, Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
 	k.fill(Query{Model: "m", Weights: "v1"})
 	g.Expect(k.runners[0].QueuedTokens).To(Equal(float64(tokens)))
 	choice.Handle.FirstToken()
@@ -270,12 +270,12 @@
 			kind = engine.BlockRemoved
 		}
 		for i, key := range chain.Keys() {
-			index.Fold(runner, engine.CacheEvent{Kind: kind, Key: key, Depth: i + 1})
+			index.ApplyEvent(runner, engine.CacheEvent{Kind: kind, Key: key, Depth: i + 1})
 			naive[runner][key] = kind == engine.BlockStored
 		}
 		query := chains[random.IntN(len(chains))]
 		warm := make([]int, MaxRunners)
-		index.Warm(query, warm)
+		index.WarmTokens(query, warm)
 		for r := range warm {
 			if want := naiveWarm(naive[r], query); warm[r] != want {
 				t.Fatalf("seed %d: runner %d has %d warm tokens, want %d", seed, r, warm[r], want)
@@ -286,7 +286,7 @@
 
 func naiveWarm(blocks map[prefix.Key]bool, chain prefix.Chain) int {
 	for depth := len(chain.Keys()); depth > 0; depth-- {
-		if prefix.Landmark(depth) && blocks[chain.Keys()[depth-1]] {
+		if prefix.IsIndexedDepth(depth) && blocks[chain.Keys()[depth-1]] {
 			return depth * prefix.BlockTokens
 		}
 	}
