--- a/internal/decide/baselines.go
+++ b/internal/decide/baselines.go
@@ -13,7 +13,7 @@
 	for range runners {
 		r.next = (r.next + 1) % len(runners)
 		if runners[r.next].Eligible {
-			return on(query, runners, r.next)
+			return estimateFor(query, runners, r.next)
 		}
 	}
 	return Decision{Runner: NoRunner}
@@ -24,7 +24,7 @@
 
 // Choose implements Policy.
 func (LeastLoaded) Choose(query Query, runners []Runner) Decision {
-	return lowest(query, runners, func(r *Runner) float64 { return wait(r) })
+	return lowestRank(query, runners, func(r *Runner) float64 { return queueWait(r) })
 }
 
 // Rendezvous takes the home of the prompt, whatever its load.
@@ -32,7 +32,7 @@
 
 // Choose implements Policy.
 func (Rendezvous) Choose(query Query, runners []Runner) Decision {
-	return lowest(query, runners, func(r *Runner) float64 { return float64(r.HomeRank) })
+	return lowestRank(query, runners, func(r *Runner) float64 { return float64(r.HomeRank) })
 }
 
 // BoundedRendezvous takes the first home in rank whose wait is at most LoadFactor
@@ -48,7 +48,7 @@
 	var count int
 	for i := range runners {
 		if runners[i].Eligible {
-			sum += wait(&runners[i])
+			sum += queueWait(&runners[i])
 			count++
 		}
 	}
@@ -56,9 +56,9 @@
 		return Decision{Runner: NoRunner}
 	}
 	limit := b.LoadFactor * sum / float64(count)
-	return lowest(query, runners, func(r *Runner) float64 {
-		if wait(r) > limit {
-			return overLimit + wait(r)
+	return lowestRank(query, runners, func(r *Runner) float64 {
+		if queueWait(r) > limit {
+			return overLimit + queueWait(r)
 		}
 		return float64(r.HomeRank)
 	})
@@ -73,15 +73,15 @@
 
 // Choose implements Policy.
 func (GreedyPrefix) Choose(query Query, runners []Runner) Decision {
-	return lowest(query, runners, func(r *Runner) float64 {
-		return wait(r) - overLimit*float64(min(r.WarmTokens, query.PromptTokens))
+	return lowestRank(query, runners, func(r *Runner) float64 {
+		return queueWait(r) - overLimit*float64(min(r.WarmTokens, query.PromptTokens))
 	})
 }
 
 // wait is the time in seconds that a runner's work takes before a new request.
-func wait(r *Runner) float64 { return r.QueuedTokens/r.PrefillRate + slotWait(r) }
+func queueWait(r *Runner) float64 { return r.QueuedTokens/r.PrefillRate + slotWait(r) }
 
-func lowest(query Query, runners []Runner, rank func(*Runner) float64) Decision {
+func lowestRank(query Query, runners []Runner, rank func(*Runner) float64) Decision {
 	best, bestRank := NoRunner, 0.0
 	for i := range runners {
 		if !runners[i].Eligible {
@@ -94,10 +94,10 @@
 	if best == NoRunner {
 		return Decision{Runner: NoRunner}
 	}
-	return on(query, runners, best)
+	return estimateFor(query, runners, best)
 }
 
-func on(query Query, runners []Runner, runner int) Decision {
+func estimateFor(query Query, runners []Runner, runner int) Decision {
 	decision := Estimate(query, &runners[runner], false)
 	decision.Runner = runner
 	return decision
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -100,7 +100,7 @@
 			}
 		}
 		candidate.Runner = i
-		if better(candidate, best, runners) {
+		if isBetter(candidate, best, runners) {
 			best = candidate
 		}
 	}
@@ -109,24 +109,24 @@
 
 // better orders decisions by cost, and equal ones by home. Costs within a
 // thousandth count as equal, since the estimates are no better than that.
-func better(a, b Decision, runners []Runner) bool {
+func isBetter(a, b Decision, runners []Runner) bool {
 	if b.Runner == NoRunner {
 		return true
 	}
-	if math.Abs(a.Cost-b.Cost) > tie*math.Max(a.Cost, b.Cost) {
+	if math.Abs(a.Cost-b.Cost) > costTolerance*math.Max(a.Cost, b.Cost) {
 		return a.Cost < b.Cost
 	}
 	return runners[a.Runner].HomeRank < runners[b.Runner].HomeRank
 }
 
 // tie is the relative difference below which two costs are equal.
-const tie = 1e-3
+const costTolerance = 1e-3
 
 // Estimate gives the expected end of running a query on a runner.
-func Estimate(query Query, runner *Runner, fetched bool) Decision {
+func Estimate(query Query, runner *Runner, withFetch bool) Decision {
 	present := min(runner.WarmTokens, query.PromptTokens)
 	var fetchSeconds float64
-	if fetched {
+	if withFetch {
 		present = min(runner.Fetch.Tokens, query.PromptTokens)
 		fetchSeconds = runner.Fetch.Seconds
 	}
@@ -136,7 +136,7 @@
 	// The link works while the queue ahead is prefilled.
 	firstToken := math.Max(queue+slotWait(runner), fetchSeconds) + prefill
 	return Decision{
-		WithFetch:         fetched,
+		WithFetch:         withFetch,
 		FirstTokenSeconds: firstToken,
 		RecomputedTokens:  recomputed,
 		Cost:              query.FirstTokenWeight*firstToken + query.RecomputeWeight*prefill,
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -30,7 +30,7 @@
 
 // naive tries every choice and works the cost out from the words of the package
 // comment, one step at a time.
-func naive(query decide.Query, runners []decide.Runner) (cost float64, found bool) {
+func bruteForce(query decide.Query, runners []decide.Runner) (cost float64, found bool) {
 	cost = math.Inf(1)
 	for _, runner := range runners {
 		if !runner.Eligible {
@@ -65,14 +65,14 @@
 	return cost, found
 }
 
-func TestTheChoiceCostsWhatTheBestOfAllCosts(t *testing.T) {
+func TestCheapestMatchesBruteForce(t *testing.T) {
 	const zones, seed = 100_000, 20261202
 	t.Logf("seed %d", seed)
 	random := rand.New(rand.NewPCG(seed, 0))
 	for range zones {
 		query, runners := randomZone(random)
 		got := decide.Cheapest{}.Choose(query, runners)
-		want, found := naive(query, runners)
+		want, found := bruteForce(query, runners)
 		if found != (got.Runner != decide.NoRunner) {
 			t.Fatalf("found %v, chose %d", found, got.Runner)
 		}
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestChoices(t *testing.T) {
+func TestCheapestChoices(t *testing.T) {
 	idle := decide.Runner{Eligible: true, PrefillRate: 1000, Slots: 4, RunSeconds: 2}
 	with := func(change func(*decide.Runner)) decide.Runner {
 		runner := idle
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestTheDecisionAllocatesNothing(t *testing.T) {
+func TestChooseDoesNotAllocate(t *testing.T) {
 	g := NewWithT(t)
 	query, runners := randomZone(rand.New(rand.NewPCG(1, 1)))
 	g.Expect(testing.AllocsPerRun(100, func() { decide.Cheapest{}.Choose(query, runners) })).To(BeZero())
@@ -126,7 +126,7 @@
 }
 
 // naiveTwoHomes sorts all runners by home and tries the ones that may be taken.
-func naiveTwoHomes(t decide.TwoHomes, query decide.Query, runners []decide.Runner) (cost float64, found bool) {
+func bruteForceTwoHomes(t decide.TwoHomes, query decide.Query, runners []decide.Runner) (cost float64, found bool) {
 	var order []decide.Runner
 	for _, runner := range runners {
 		if runner.Eligible {
@@ -168,7 +168,7 @@
 	return cost, true
 }
 
-func TestTwoHomesCostsWhatTheBestOfItsPlacesCosts(t *testing.T) {
+func TestTwoHomesMatchesBruteForce(t *testing.T) {
 	const zones, seed = 100_000, 20261202
 	t.Logf("seed %d", seed)
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -184,7 +184,7 @@
 			}
 		}
 		got := policy.Choose(query, runners)
-		want, found := naiveTwoHomes(policy, query, runners)
+		want, found := bruteForceTwoHomes(policy, query, runners)
 		if found != (got.Runner != decide.NoRunner) {
 			t.Fatalf("found %v, chose %d", found, got.Runner)
 		}
--- a/internal/decide/twohomes.go
+++ b/internal/decide/twohomes.go
@@ -31,21 +31,21 @@
 // with others: it takes the better of its two places, idle or not. It does not
 // take the best of all, since load reports are the same for every entry box and
 // lag: all boxes would send to the runner that was idle when it reported.
-const shortTokens = 1024
+const maxShortTokens = 1024
 
 // Choose implements Policy.
 func (t TwoHomes) Choose(query Query, runners []Runner) Decision {
-	first, second, warmest := homes(query, runners)
+	first, second, warmest := findCandidates(query, runners)
 	if first == NoRunner {
 		return Decision{Runner: NoRunner}
 	}
-	best := t.weigh(query, runners, first)
-	short := query.PromptTokens <= shortTokens
+	best := t.bestOn(query, runners, first)
+	short := query.PromptTokens <= maxShortTokens
 	for _, other := range [...]int{second, warmest} {
-		if other == NoRunner || other == first || (!short && wait(&runners[other]) > t.IdleWait) {
+		if other == NoRunner || other == first || (!short && queueWait(&runners[other]) > t.IdleWait) {
 			continue
 		}
-		if candidate := t.weigh(query, runners, other); candidate.Cost < best.Cost {
+		if candidate := t.bestOn(query, runners, other); candidate.Cost < best.Cost {
 			best = candidate
 		}
 	}
@@ -57,9 +57,9 @@
 // gone or come, context may be warm where its home no longer is. A smaller part,
 // such as the beginning that all contexts of an organisation share, is no reason
 // to go anywhere; it would draw an organisation's new contexts to one runner.
-func homes(query Query, runners []Runner) (first, second, warmest int) {
+func findCandidates(query Query, runners []Runner) (first, second, warmest int) {
 	first, second, warmest = NoRunner, NoRunner, NoRunner
-	most := query.PromptTokens / 2
+	warmestTokens := query.PromptTokens / 2
 	for i := range runners {
 		runner := &runners[i]
 		if !runner.Eligible {
@@ -72,8 +72,8 @@
 			second = i
 		}
 		held := min(runner.WarmTokens, query.PromptTokens)
-		if held > most || (held == most && warmest != NoRunner && runner.HomeRank < runners[warmest].HomeRank) {
-			warmest, most = i, held
+		if held > warmestTokens || (held == warmestTokens && warmest != NoRunner && runner.HomeRank < runners[warmest].HomeRank) {
+			warmest, warmestTokens = i, held
 		}
 	}
 	return first, second, warmest
@@ -81,20 +81,20 @@
 
 // weigh gives the better of running a query on a runner with and without a
 // fetch, by a cost in seconds of waiting.
-func (t TwoHomes) weigh(query Query, runners []Runner, at int) Decision {
-	runner := &runners[at]
-	best := t.cost(query, runner, false)
+func (t TwoHomes) bestOn(query Query, runners []Runner, index int) Decision {
+	runner := &runners[index]
+	best := t.estimateCost(query, runner, false)
 	if runner.Fetch.Tokens > runner.WarmTokens {
-		if fetched := t.cost(query, runner, true); fetched.Cost < best.Cost {
+		if fetched := t.estimateCost(query, runner, true); fetched.Cost < best.Cost {
 			best = fetched
 		}
 	}
-	best.Runner = at
+	best.Runner = index
 	return best
 }
 
-func (t TwoHomes) cost(query Query, runner *Runner, fetched bool) Decision {
-	decision := Estimate(query, runner, fetched)
+func (t TwoHomes) estimateCost(query Query, runner *Runner, withFetch bool) Decision {
+	decision := Estimate(query, runner, withFetch)
 	factor := t.RecomputeFactor * math.Max(1, query.RecomputeWeight/query.FirstTokenWeight)
 	prefill := float64(decision.RecomputedTokens) / runner.PrefillRate
 	decision.Cost = decision.FirstTokenSeconds - prefill + factor*prefill
--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/crashes.go
@@ -19,30 +19,30 @@
 )
 
 // codeEndsServers is why a request is refused that ends servers.
-const codeEndsServers = "ends_servers"
+const codeCrashesServers = "ends_servers"
 
 // endings knows which requests end servers.
-type endings struct {
-	known   *quarantine.Set
-	crashes *crash.Detector
-	life    func(server string) (string, bool)
+type crashTracker struct {
+	quarantined *quarantine.Set
+	detector    *crash.Detector
+	incarnation func(server string) (string, bool)
 }
 
-func newEndings(cfg Config) *endings {
-	e := &endings{life: cfg.Incarnation}
-	if e.life == nil {
-		e.life = func(string) (string, bool) { return "", false }
+func newCrashTracker(cfg Config) *crashTracker {
+	e := &crashTracker{incarnation: cfg.Incarnation}
+	if e.incarnation == nil {
+		e.incarnation = func(string) (string, bool) { return "", false }
 	}
-	e.known = quarantine.New(quarantine.Config{
+	e.quarantined = quarantine.New(quarantine.Config{
 		// Boxes of this program do not tell each other, so each tries for itself.
 		MayRetry: func(quarantine.Request) bool { return true },
-		OnChange: func(change quarantine.Change) { tellChange(cfg.Logger, change) },
+		OnChange: func(change quarantine.Change) { logChange(cfg.Logger, change) },
 	})
-	e.crashes = crash.New(crash.Config{Logger: cfg.Logger, Connect: crash.Connect, Fate: e.fate, OnCrash: e.noteEnd})
+	e.detector = crash.New(crash.Config{Logger: cfg.Logger, Connect: crash.Connect, Fate: e.registryStatus, OnCrash: e.noteCrash})
 	return e
 }
 
-func tellChange(logger zerolog.Logger, change quarantine.Change) {
+func logChange(logger zerolog.Logger, change quarantine.Change) {
 	switch {
 	case change.Held:
 		logger.Warn().Stringer("fingerprint", change.Request).Int("ends", change.Crashes).Msg("request_held")
@@ -52,7 +52,7 @@
 }
 
 // identify names the request.
-func identify(request *flow.Request) fingerprint.Fingerprint {
+func fingerprintOf(request *flow.Request) fingerprint.Fingerprint {
 	caller := ""
 	if request.Organisation != nil {
 		caller = request.Organisation.Name
@@ -61,48 +61,48 @@
 }
 
 // fate says what is known of a server by its name.
-func (e *endings) fate(server string) fleet.RegistryStatus {
-	if _, leaving := e.life(server); leaving {
+func (e *crashTracker) registryStatus(server string) fleet.RegistryStatus {
+	if _, leaving := e.incarnation(server); leaving {
 		return fleet.StatusLeft
 	}
 	return fleet.StatusListed
 }
 
-func (e *endings) noteEnd(loss crash.BrokenCall) {
-	life, _ := e.life(loss.Server.Incarnation)
-	e.known.NoteCrash(quarantine.Crash{Request: loss.Request, Caller: loss.Caller, Incarnation: xxhash.Sum64String(loss.Server.Incarnation + "@" + life)})
+func (e *crashTracker) noteCrash(loss crash.BrokenCall) {
+	life, _ := e.incarnation(loss.Server.Incarnation)
+	e.quarantined.NoteCrash(quarantine.Crash{Request: loss.Request, Caller: loss.Caller, Incarnation: xxhash.Sum64String(loss.Server.Incarnation + "@" + life)})
 }
 
 // admit gives the refusal of a request that is held.
-func (e *endings) admit(request *flow.Request) *apierror.Error {
-	if _, admitted := e.known.Admit(request.Fingerprint); admitted {
+func (e *crashTracker) admit(request *flow.Request) *apierror.Error {
+	if _, admitted := e.quarantined.Admit(request.Fingerprint); admitted {
 		return nil
 	}
 	return e.refusal(request)
 }
 
 // leastPause is the time to come back where none is known.
-const leastPause = time.Second
+const minRetryAfter = time.Second
 
 // refusal is what is said of a request that ends servers.
-func (e *endings) refusal(request *flow.Request) *apierror.Error {
-	left, _ := e.known.HeldFor(request.Fingerprint)
-	return apierror.NotReady(codeEndsServers, max(left, leastPause), "servers end when they run this request")
+func (e *crashTracker) refusal(request *flow.Request) *apierror.Error {
+	left, _ := e.quarantined.HeldFor(request.Fingerprint)
+	return apierror.NotReady(codeCrashesServers, max(left, minRetryAfter), "servers end when they run this request")
 }
 
 // endsServers finds out whether a server that gave no answer has ended, and reports whether the
 // request is to be handed to no other one for that: it was not the first.
-func (e *endings) endsServers(request *flow.Request, server *config.BackendServer) bool {
+func (e *crashTracker) crashesServers(request *flow.Request, server *config.BackendServer) bool {
 	loss := crash.BrokenCall{
 		Server: fleet.Server{Incarnation: server.Name, Address: server.Address}, Request: request.Fingerprint,
 	}
 	if request.Organisation != nil {
 		loss.Caller = xxhash.Sum64String(request.Organisation.Name)
 	}
-	return e.crashes.Check(request.Context(), loss) && e.known.Crashes(request.Fingerprint) > 1
+	return e.detector.Check(request.Context(), loss) && e.quarantined.Crashes(request.Fingerprint) > 1
 }
 
 // NoteServed notes that a request was answered whole.
 func (d *Dispatcher) NoteServed(request *flow.Request) {
-	d.endings.known.NoteServed(request.Fingerprint)
+	d.crashes.quarantined.NoteServed(request.Fingerprint)
 }
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -17,7 +17,7 @@
 )
 
 // endsUnder starts an engine that ends, with its listener, as soon as it was handed a run.
-func endsUnder(t *testing.T, name string) *config.BackendServer {
+func newCrashingServer(t *testing.T, name string) *config.BackendServer {
 	t.Helper()
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -30,12 +30,12 @@
 
 // A request that may be repeated ended as many engines as it had tries, each time it was sent. A
 // review, which is run again for as long as it waits, ended three each thirty seconds for ever.
-func TestARequestThatEndsEnginesIsHandedToNoMore(t *testing.T) {
+func TestARequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	g := NewWithT(t)
 	ended := 0
 	choose := func(request *flow.Request, _ []string) *apierror.Error {
 		ended++
-		request.Placement.Server = endsUnder(t, fmt.Sprint("engine-", ended))
+		request.Placement.Server = newCrashingServer(t, fmt.Sprint("engine-", ended))
 		return nil
 	}
 	d := dispatch.New(dispatch.Config{
@@ -46,7 +46,7 @@
 		request := flow.NewRequest(t.Context())
 		request.Path = "/v1/completions"
 		request.OnEncode(func() []byte { return []byte(`{"prompt":"the same"}`) })
-		request.Placement.Server = endsUnder(t, fmt.Sprint("placed-", ended))
+		request.Placement.Server = newCrashingServer(t, fmt.Sprint("placed-", ended))
 		_, last = d.Dispatch(request)
 		g.Expect(last).NotTo(BeNil())
 		if last.Outcome != apierror.NotRun {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -25,7 +25,7 @@
 )
 
 // maxTries bounds the servers that one request is handed to.
-const maxTries = 3
+const maxAttempts = 3
 
 // Config sets up a Dispatcher.
 type Config struct {
@@ -43,20 +43,20 @@
 
 // Dispatcher hands requests to engines.
 type Dispatcher struct {
-	engines *engine.Client
-	choose  func(request *flow.Request, exclude []string) *apierror.Error
-	failed  func(server string)
-	budget  *retrybudget.Budget
-	endings *endings
+	engines   *engine.Client
+	choose    func(request *flow.Request, exclude []string) *apierror.Error
+	onFailure func(server string)
+	budget    *retrybudget.Budget
+	crashes   *crashTracker
 }
 
 // New makes a dispatcher.
 func New(cfg Config) *Dispatcher {
-	return &Dispatcher{engines: cfg.Engines, choose: cfg.Choose, failed: cfg.OnFailure, budget: cfg.Budget, endings: newEndings(cfg)}
+	return &Dispatcher{engines: cfg.Engines, choose: cfg.Choose, onFailure: cfg.OnFailure, budget: cfg.Budget, crashes: newCrashTracker(cfg)}
 }
 
 // Loop finds out later which servers ended, until ctx ends.
-func (d *Dispatcher) Loop(ctx context.Context) { d.endings.crashes.Loop(ctx) }
+func (d *Dispatcher) Loop(ctx context.Context) { d.crashes.detector.Loop(ctx) }
 
 // Attempt is a run that an engine has taken.
 type Attempt struct {
@@ -74,7 +74,7 @@
 // as that is allowed. It counts as a first try.
 func (d *Dispatcher) Dispatch(request *flow.Request) (*Attempt, *apierror.Error) {
 	d.budget.Deposit()
-	request.Fingerprint = identify(request)
+	request.Fingerprint = fingerprintOf(request)
 	return d.open(request, nil, false)
 }
 
@@ -85,11 +85,11 @@
 	if !request.Repeatable {
 		return nil, apierror.Failed("run_lost", apierror.Unknown, "the run was lost and may not be repeated")
 	}
-	if d.endings.endsServers(request, lost.Server) {
-		return nil, honest(d.endings.refusal(request), true)
+	if d.crashes.crashesServers(request, lost.Server) {
+		return nil, correctOutcome(d.crashes.refusal(request), true)
 	}
-	if !d.moveOn(request, lost.tried) {
-		return nil, exhausted(true)
+	if !d.placeElsewhere(request, lost.tried) {
+		return nil, noServerLeft(true)
 	}
 	return d.open(request, lost.tried, true)
 }
@@ -98,9 +98,9 @@
 // that an earlier try may have run; then no later refusal makes it "not run".
 func (d *Dispatcher) open(request *flow.Request, tried []string, mayHaveRun bool) (*Attempt, *apierror.Error) {
 	for {
-		if refusal := d.endings.admit(request); refusal != nil {
+		if refusal := d.crashes.admit(request); refusal != nil {
 			request.Placement.Handle.Done(false)
-			return nil, honest(refusal, mayHaveRun)
+			return nil, correctOutcome(refusal, mayHaveRun)
 		}
 		server := request.Placement.Server
 		tried = append(tried, server.Name)
@@ -115,15 +115,15 @@
 		}
 		request.Placement.Handle.Done(false)
 		mayHaveRun = mayHaveRun || !provesNotRun(err)
-		failure := d.judge(request, server.Name, err)
-		if errors.Is(err, engine.ErrNoResponse) && d.endings.endsServers(request, server) && failure == nil {
-			failure = d.endings.refusal(request)
+		failure := d.failureOf(request, server.Name, err)
+		if errors.Is(err, engine.ErrNoResponse) && d.crashes.crashesServers(request, server) && failure == nil {
+			failure = d.crashes.refusal(request)
 		}
 		if failure != nil {
-			return nil, honest(failure, mayHaveRun)
+			return nil, correctOutcome(failure, mayHaveRun)
 		}
-		if !d.moveOn(request, tried) {
-			return nil, exhausted(mayHaveRun)
+		if !d.placeElsewhere(request, tried) {
+			return nil, noServerLeft(mayHaveRun)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 
 // judge decides whether a request that failed on a server may go to another:
 // nil says that it may.
-func (d *Dispatcher) judge(request *flow.Request, server string, err error) *apierror.Error {
+func (d *Dispatcher) failureOf(request *flow.Request, server string, err error) *apierror.Error {
 	if request.Gone() {
 		return flow.CallerGone()
 	}
@@ -159,9 +159,9 @@
 		if refused.Busy() {
 			return nil
 		}
-		return passRefusal(refused)
+		return engineRefusal(refused)
 	}
-	d.failed(server)
+	d.onFailure(server)
 	if errors.Is(err, engine.ErrNotSent) || request.Repeatable {
 		return nil
 	}
@@ -174,8 +174,8 @@
 
 // moveOn places the request on a server that was not tried, and reports whether
 // there is one and the budget allows it.
-func (d *Dispatcher) moveOn(request *flow.Request, tried []string) bool {
-	if len(tried) >= maxTries || !d.budget.TryWithdraw() {
+func (d *Dispatcher) placeElsewhere(request *flow.Request, tried []string) bool {
+	if len(tried) >= maxAttempts || !d.budget.TryWithdraw() {
 		return false
 	}
 	if d.choose(request, tried) != nil {
@@ -193,7 +193,7 @@
 }
 
 // honest takes "not run" back from a failure when an earlier try may have run.
-func honest(failure *apierror.Error, mayHaveRun bool) *apierror.Error {
+func correctOutcome(failure *apierror.Error, mayHaveRun bool) *apierror.Error {
 	if mayHaveRun && failure.Outcome == apierror.NotRun {
 		failure.Outcome = apierror.Unknown
 	}
@@ -201,7 +201,7 @@
 }
 
 // exhausted is the answer when no further server is to be tried.
-func exhausted(mayHaveRun bool) *apierror.Error {
+func noServerLeft(mayHaveRun bool) *apierror.Error {
 	if mayHaveRun {
 		return apierror.Failed("engine_failed", apierror.Unknown, "the engine failed and no other took the request")
 	}
@@ -210,7 +210,7 @@
 
 // passRefusal gives the caller the engine's own refusal, which is about the
 // request itself.
-func passRefusal(refused *engine.RefusedError) *apierror.Error {
+func engineRefusal(refused *engine.RefusedError) *apierror.Error {
 	var body apierror.Body
 	message := "the engine refused the request"
 	if err := json.Unmarshal(refused.Body, &body); err == nil && body.Error.Message != "" {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -23,14 +23,14 @@
 	drops   = "drops"   // takes the run and closes the connection
 )
 
-func serverThat(t *testing.T, way string) *config.BackendServer {
+func newServer(t *testing.T, behaviour string) *config.BackendServer {
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodGet:
 			w.WriteHeader(http.StatusNotFound) // it knows no run by name
-		case way == refuses:
+		case behaviour == refuses:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case way == rejects:
+		case behaviour == rejects:
 			w.WriteHeader(http.StatusBadRequest)
 		default:
 			panic(http.ErrAbortHandler)
@@ -38,15 +38,15 @@
 	}
 	server := httptest.NewServer(http.HandlerFunc(handler))
 	t.Cleanup(server.Close)
-	if way == gone {
+	if behaviour == gone {
 		server.Close()
 	}
-	return &config.BackendServer{Name: way, Address: server.Listener.Addr().String()}
+	return &config.BackendServer{Name: behaviour, Address: server.Listener.Addr().String()}
 }
 
 // What a caller is told when no engine takes the request hangs on all tries, not
 // on the last one alone.
-func TestWhatIsSaidOfARequestThatNoEngineAnswers(t *testing.T) {
+func TestTheOutcomeDependsOnAllAttempts(t *testing.T) {
 	cases := []struct {
 		name       string
 		ways       []string
@@ -73,7 +73,7 @@
 				if tried == len(c.ways) {
 					return apierror.NotReady("none", 0, "no more")
 				}
-				request.Placement.Server = serverThat(t, c.ways[tried])
+				request.Placement.Server = newServer(t, c.ways[tried])
 				tried++
 				return nil
 			}
@@ -90,12 +90,12 @@
 
 // A request whose engine dropped it took a retry from the budget, and then there was no other
 // engine: the retry was gone, and requests that would have found one a moment later had none.
-func TestARetryThatFindsNoEngineIsGivenBack(t *testing.T) {
+func TestARetryWithoutAnEngineIsRefunded(t *testing.T) {
 	g := NewWithT(t)
 	request := flow.NewRequest(t.Context())
 	request.Path, request.Repeatable = "/v1/completions", true
 	request.OnEncode(func() []byte { return []byte("{}") })
-	request.Placement.Server = serverThat(t, drops)
+	request.Placement.Server = newServer(t, drops)
 	budget := retrybudget.New(retrybudget.Config{})
 	d := dispatch.New(dispatch.Config{
 		Engines: engine.NewClient(engine.ClientConfig{}), OnFailure: func(string) {}, Budget: budget,
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -41,10 +41,10 @@
 
 // Client speaks to all engines of a zone.
 type Client struct {
-	http           http.Client
-	controlTimeout time.Duration
-	maxAnswerBytes int64
-	advised        func(address string, answer advisory.Answer)
+	http             http.Client
+	controlTimeout   time.Duration
+	maxResponseBytes int64
+	onAdvisory       func(address string, answer advisory.Answer)
 }
 
 // Defaults of ClientConfig.
@@ -67,9 +67,9 @@
 	}
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout}
 	return &Client{
-		controlTimeout: cfg.ControlTimeout,
-		maxAnswerBytes: cfg.MaxResponseBytes,
-		advised:        cfg.OnAdvisory,
+		controlTimeout:   cfg.ControlTimeout,
+		maxResponseBytes: cfg.MaxResponseBytes,
+		onAdvisory:       cfg.OnAdvisory,
 		http: http.Client{Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			MaxIdleConnsPerHost: 64,
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.open(response, run.Weights, run.Stream, 0)
+	return c.openStream(response, run.Weights, run.Stream, 0)
 }
 
 // do sends a request of a run, and passes on what the answer says of the engine.
@@ -120,11 +120,11 @@
 	sent := boottime.Now()
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, handoverError(err)
+		return nil, sendError(err)
 	}
-	if c.advised != nil {
+	if c.onAdvisory != nil {
 		said := selfheaders.Read(response.StatusCode, response.Header)
-		c.advised(request.URL.Host, advisory.Answer{Advisory: said, Sent: sent, Received: boottime.Now(), Genuine: true})
+		c.onAdvisory(request.URL.Host, advisory.Answer{Advisory: said, Sent: sent, Received: boottime.Now(), Genuine: true})
 	}
 	return response, nil
 }
@@ -161,7 +161,7 @@
 		closeBody(response.Body)
 		return nil, ErrUnknownRun
 	}
-	return c.open(response, run.Weights, run.Stream, after+1)
+	return c.openStream(response, run.Weights, run.Stream, after+1)
 }
 
 // Cancel tells an engine that nobody waits for a run any more.
@@ -173,7 +173,7 @@
 	return "http://" + address + "/v1/runs/" + url.PathEscape(runID)
 }
 
-func (c *Client) open(response *http.Response, weights string, stream bool, next int) (*Stream, error) {
+func (c *Client) openStream(response *http.Response, weights string, stream bool, next int) (*Stream, error) {
 	if response.StatusCode != http.StatusOK {
 		defer closeBody(response.Body)
 		body, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
@@ -186,12 +186,12 @@
 		_ = response.Body.Close()
 		return nil, merry.Wrap(ErrWrongWeights, merry.AppendMessagef("wanted %q, got %q", weights, got))
 	}
-	return newStream(response.Body, streamConfig{streamed: stream, next: next, maxBytes: c.maxAnswerBytes}), nil
+	return newStream(response.Body, streamConfig{streamed: stream, next: next, maxBytes: c.maxResponseBytes}), nil
 }
 
 // handoverError tells whether any byte can have left: only a connection that
 // was never made proves that none did.
-func handoverError(err error) error {
+func sendError(err error) error {
 	if operation, ok := errors.AsType[*net.OpError](err); ok && operation.Op == "dial" {
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
@@ -251,7 +251,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return handoverError(err)
+		return sendError(err)
 	}
 	defer closeBody(response.Body)
 	if response.StatusCode/100 != 2 {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/cometlock/cometlock/internal/selfheaders"
 )
 
-func TestABodyIsReadOnceAndLetGo(t *testing.T) {
+func TestABodyIsReadOnceAndReleased(t *testing.T) {
 	g := NewWithT(t)
 	for _, text := range []string{"", "x", "a longer body"} {
 		body := &onceReader{rest: []byte(text)}
@@ -25,7 +25,7 @@
 }
 
 // What an engine says of itself stands in the heads of all answers, of refusals too.
-func TestAnswersSayWhatTheEngineTakes(t *testing.T) {
+func TestAdvisoryHeadersAreReported(t *testing.T) {
 	g := NewWithT(t)
 	status := http.StatusServiceUnavailable
 	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -45,11 +45,11 @@
 	// data collects the data lines of the event that is being read.
 	data []byte
 	// long collects a line that is larger than the reader's buffer.
-	long []byte
+	longLine []byte
 	// early holds chunks that came before their turn, by index.
-	early map[int][]byte
+	earlyChunks map[int][]byte
 	// last is set once the answer is whole.
-	last bool
+	complete bool
 }
 
 // readers holds line buffers, so that an open stream costs no new ones.
@@ -83,56 +83,56 @@
 // before them, since engines repeat and reorder some after a hiccup: of indexes
 // 0 2 1 1 3, the caller sees 0 1 2 3.
 func (s *Stream) Next() (Chunk, error) {
-	if s.last {
+	if s.complete {
 		return Chunk{}, io.EOF
 	}
 	if !s.streamed {
-		return s.readWhole()
+		return s.readUnstreamed()
 	}
 	for {
-		if data, ok := s.early[s.next]; ok {
-			delete(s.early, s.next)
-			return s.give(data)
+		if data, ok := s.earlyChunks[s.next]; ok {
+			delete(s.earlyChunks, s.next)
+			return s.emit(data)
 		}
 		index, err := s.readEvent()
 		if err != nil {
 			return Chunk{}, err
 		}
 		if index == s.next {
-			return s.give(s.data)
+			return s.emit(s.data)
 		}
-		if index > s.next && !s.keep(index) {
+		if index > s.next && !s.holdEarly(index) {
 			return Chunk{}, ErrMissingChunk
 		}
 	}
 }
 
 // maxEarly bounds the chunks that wait for an earlier one.
-const maxEarly = 16
+const maxEarlyChunks = 16
 
 // keep holds an early chunk, and reports whether there was room.
-func (s *Stream) keep(index int) bool {
-	if len(s.early) >= maxEarly {
+func (s *Stream) holdEarly(index int) bool {
+	if len(s.earlyChunks) >= maxEarlyChunks {
 		return false
 	}
-	if s.early == nil {
-		s.early = map[int][]byte{}
+	if s.earlyChunks == nil {
+		s.earlyChunks = map[int][]byte{}
 	}
-	s.early[index] = bytes.Clone(s.data)
+	s.earlyChunks[index] = bytes.Clone(s.data)
 	return true
 }
 
-func (s *Stream) give(data []byte) (Chunk, error) {
-	s.last = bytes.Equal(data, doneData)
-	if !s.last && !json.Valid(data) {
+func (s *Stream) emit(data []byte) (Chunk, error) {
+	s.complete = bytes.Equal(data, doneData)
+	if !s.complete && !json.Valid(data) {
 		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("a chunk that is not JSON"))
 	}
 	index := s.next
 	s.next++
-	return Chunk{Index: index, Data: data, Last: s.last}, nil
+	return Chunk{Index: index, Data: data, Last: s.complete}, nil
 }
 
-func (s *Stream) readWhole() (Chunk, error) {
+func (s *Stream) readUnstreamed() (Chunk, error) {
 	data, err := io.ReadAll(io.LimitReader(s.reader, s.maxBytes+1))
 	if err != nil {
 		return Chunk{}, merry.Wrap(ErrStreamBroken, merry.AppendMessage(err.Error()))
@@ -143,7 +143,7 @@
 	if !json.Valid(data) {
 		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("the answer is not JSON"))
 	}
-	s.last = true
+	s.complete = true
 	s.next = 1
 	return Chunk{Data: data, Last: true}, nil
 }
@@ -212,15 +212,15 @@
 }
 
 func (s *Stream) readLongLine(begin []byte) ([]byte, error) {
-	s.long = append(s.long[:0], begin...)
+	s.longLine = append(s.longLine[:0], begin...)
 	for {
 		part, err := s.reader.ReadSlice('\n')
-		s.long = append(s.long, part...)
-		if len(s.long) > maxLineBytes {
+		s.longLine = append(s.longLine, part...)
+		if len(s.longLine) > maxLineBytes {
 			return nil, merry.Wrap(ErrProtocol, merry.AppendMessage("a line that is too long"))
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return s.long, err
+			return s.longLine, err
 		}
 	}
 }
@@ -232,7 +232,7 @@
 // write several chunks before it flushes. Part of an event does not count: the
 // rest may be long in coming.
 func (s *Stream) HasBuffered() bool {
-	if _, ok := s.early[s.next]; ok {
+	if _, ok := s.earlyChunks[s.next]; ok {
 		return true
 	}
 	waiting, err := s.reader.Peek(s.reader.Buffered())
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestStreamGivesEachChunkOnceAndInOrder(t *testing.T) {
+func TestStreamReturnsEachChunkOnceAndInOrder(t *testing.T) {
 	long := `"` + strings.Repeat("x", 3*connectionBufferBytes) + `"`
 	cases := []struct {
 		name  string
@@ -82,13 +82,13 @@
 	return text.String()
 }
 
-func TestStreamRefusesLinesWithoutEnd(t *testing.T) {
+func TestStreamRejectsOverlongLines(t *testing.T) {
 	g := NewWithT(t)
 	_, err := read(open("id: 0\ndata: "+strings.Repeat("x", 2*maxLineBytes), 0))
 	g.Expect(errors.Is(err, ErrProtocol)).To(BeTrue(), "got %v", err)
 }
 
-func TestRelayingAChunkAllocatesNothing(t *testing.T) {
+func TestReadingAChunkDoesNotAllocate(t *testing.T) {
 	g := NewWithT(t)
 	const chunks = 1000
 	var text strings.Builder
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -23,10 +23,10 @@
 type Fingerprint [size]byte
 
 // shownBytes is how much of a fingerprint stands in logs.
-const shownBytes = 8
+const loggedBytes = 8
 
 // String gives enough of it to find its lines in logs.
-func (f Fingerprint) String() string { return hex.EncodeToString(f[:shownBytes]) }
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:loggedBytes]) }
 
 // Request is what makes a request the same as another.
 type Request struct {
@@ -43,14 +43,14 @@
 func Of(request Request) Fingerprint {
 	mac := hmac.New(sha256.New, []byte(request.Caller))
 	for _, text := range []string{request.Method, request.Host, request.Target} {
-		add(mac, []byte(text))
+		writeField(mac, []byte(text))
 	}
-	add(mac, request.Body)
+	writeField(mac, request.Body)
 	return Fingerprint(mac.Sum(nil)[:size])
 }
 
 // add adds a field with its length, so that no two requests run together to the same bytes.
-func add(mac hash.Hash, field []byte) {
+func writeField(mac hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 	for _, part := range [][]byte{length[:], field} {
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -18,7 +18,7 @@
 	g.Expect(fingerprint.Of(request())).To(Equal(fingerprint.Of(request())))
 }
 
-func TestOtherRequestsHaveOtherFingerprints(t *testing.T) {
+func TestDifferentRequestsHaveDifferentFingerprints(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*fingerprint.Request)
--- a/internal/kept/export.go
+++ b/internal/kept/export.go
@@ -13,44 +13,44 @@
 // that is made for them.
 
 // Loop exports contexts until ctx ends.
-func (k *Offloader) Loop(ctx context.Context) {
+func (o *Offloader) Loop(ctx context.Context) {
 	for {
-		next, err := k.exports.Pop(ctx)
+		next, err := o.exports.Pop(ctx)
 		if err != nil {
 			return
 		}
-		k.export(ctx, next)
+		o.export(ctx, next)
 	}
 }
 
 // export has a runner put a context into the store box of its home. Blocks that
 // are there already, such as a beginning that several contexts share, are kept
 // once: they have the same names.
-func (k *Offloader) export(ctx context.Context, offered export) {
-	to := k.home(offered.keys[len(offered.keys)-1])
-	if to == nil || !to.awaitBudget(ctx, offered.bytes) {
-		k.drop()
+func (o *Offloader) export(ctx context.Context, job exportJob) {
+	to := o.storeFor(job.keys[len(job.keys)-1])
+	if to == nil || !to.waitForBudget(ctx, job.bytes) {
+		o.countDropped()
 		return
 	}
-	answer, err := k.cfg.Engines.Export(ctx, offered.server.Address, engine.Transfer{Store: to.server.Address, Keys: offered.keys})
-	whole := err == nil && answer.Blocks == len(offered.keys)
+	answer, err := o.cfg.Engines.Export(ctx, job.server.Address, engine.Transfer{Store: to.server.Address, Keys: job.keys})
+	whole := err == nil && answer.Blocks == len(job.keys)
 	if answer.Full {
-		k.makeRoom(ctx, to)
+		o.makeRoom(ctx, to)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.counts.Exports++
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.counts.Exports++
 	if !whole {
-		k.counts.ExportsDropped++
+		o.counts.ExportsDropped++
 		return
 	}
-	for len(k.held) >= k.cfg.MaxContexts {
-		if oldest, ok := k.recent.Back().Value.(keptContext); ok {
-			k.forget(oldest.last)
+	for len(o.contexts) >= o.cfg.MaxContexts {
+		if oldest, ok := o.lru.Back().Value.(storedContext); ok {
+			o.removeContext(oldest.last)
 		}
 	}
-	kept := keptContext{last: offered.keys[len(offered.keys)-1], keys: offered.keys, store: to.server.Name}
-	k.held[kept.last] = k.recent.PushFront(kept)
+	stored := storedContext{last: job.keys[len(job.keys)-1], keys: job.keys, store: to.server.Name}
+	o.contexts[stored.last] = o.lru.PushFront(stored)
 }
 
 // maxExportWait is how long an export may wait for its link. Meanwhile others
@@ -58,24 +58,24 @@
 const maxExportWait = 5 * time.Second
 
 // awaitBudget waits until the link has room for an export.
-func (s *store) awaitBudget(ctx context.Context, size int64) bool {
+func (s *storeBox) waitForBudget(ctx context.Context, size int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, maxExportWait)
 	defer cancel()
 	return s.exports.WaitN(ctx, int(size)) == nil
 }
 
 // home gives the store box of a context, by rendezvous hashing.
-func (k *Offloader) home(last prefix.Key) *store {
+func (o *Offloader) storeFor(last prefix.Key) *storeBox {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	var best *store
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	var best *storeBox
 	var highest uint64
-	for name, candidate := range k.stores {
+	for name, candidate := range o.stores {
 		if !candidate.usable(now) {
 			continue
 		}
-		if rank := rankOf(name, last); best == nil || rank > highest {
+		if rank := rendezvousRank(name, last); best == nil || rank > highest {
 			best, highest = candidate, rank
 		}
 	}
@@ -83,27 +83,27 @@
 }
 
 // rankOf ranks a store box for a context.
-func rankOf(name string, last prefix.Key) uint64 {
+func rendezvousRank(name string, last prefix.Key) uint64 {
 	return xxhash.Sum64String(name + last.String())
 }
 
 // maxFreed is how many blocks make room at once, about one long context.
-const maxFreed = 64
+const maxFreedBlocks = 64
 
 // makeRoom frees what was looked up least lately in a full store box. The box
 // itself tells what that is: blocks of contexts that this entry box never knew,
 // because another one had them put there and was replaced, must go too.
-func (k *Offloader) makeRoom(ctx context.Context, in *store) {
-	keys, err := k.cfg.Stores.LeastRecent(ctx, in.server.Address, maxFreed)
+func (o *Offloader) makeRoom(ctx context.Context, in *storeBox) {
+	keys, err := o.cfg.Stores.LeastRecent(ctx, in.server.Address, maxFreedBlocks)
 	if err != nil {
 		return
 	}
 	for _, key := range keys {
-		if err := k.cfg.Stores.Free(ctx, in.server.Address, key); err != nil {
+		if err := o.cfg.Stores.Free(ctx, in.server.Address, key); err != nil {
 			return
 		}
-		k.mu.Lock()
-		k.forget(key)
-		k.mu.Unlock()
+		o.mu.Lock()
+		o.removeContext(key)
+		o.mu.Unlock()
 	}
 }
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -48,22 +48,22 @@
 )
 
 // exportPart is the part of a link's budget that exports may take.
-const exportPart = 0.3
+const exportFraction = 0.3
 
 // Offloader looks after kept contexts.
 type Offloader struct {
 	cfg     Config
-	exports *ring.Ring[export]
+	exports *ring.Ring[exportJob]
 
-	mu     sync.Mutex
-	stores map[string]*store
-	held   map[prefix.Key]*list.Element // the last block of each kept context
-	recent *list.List                   // of context, most recently used first
-	counts Counts
+	mu       sync.Mutex
+	stores   map[string]*storeBox
+	contexts map[prefix.Key]*list.Element // the last block of each kept context
+	lru      *list.List                   // of context, most recently used first
+	counts   Counts
 }
 
 // store is a store box with the link to it.
-type store struct {
+type storeBox struct {
 	server *config.BackendServer
 	// bytesPerSecond is the link's budget; busyUntil is when all that was
 	// taken from it has gone through.
@@ -74,14 +74,14 @@
 }
 
 // keptContext is a context in a store box: where it is, and which blocks it has.
-type keptContext struct {
+type storedContext struct {
 	last  prefix.Key
 	keys  []prefix.Key
 	store string
 }
 
 // export is a context that a runner is to put into a store box.
-type export struct {
+type exportJob struct {
 	server *config.BackendServer
 	keys   []prefix.Key
 	bytes  int64
@@ -105,41 +105,41 @@
 		cfg.MaxContexts = DefaultMaxContexts
 	}
 	return &Offloader{
-		cfg: cfg, exports: ring.New[export](ring.Config{Name: "exports", Capacity: exportsCapacity}),
-		stores: map[string]*store{}, held: map[prefix.Key]*list.Element{}, recent: list.New(),
+		cfg: cfg, exports: ring.New[exportJob](ring.Config{Name: "exports", Capacity: exportsCapacity}),
+		stores: map[string]*storeBox{}, contexts: map[prefix.Key]*list.Element{}, lru: list.New(),
 	}
 }
 
 // Configure takes over the store boxes that have a link to this zone.
-func (k *Offloader) Configure(snapshot *config.Snapshot) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	known := k.stores
-	k.stores = map[string]*store{}
+func (o *Offloader) Configure(snapshot *config.Snapshot) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	previous := o.stores
+	o.stores = map[string]*storeBox{}
 	for _, link := range snapshot.File().Links {
 		server, ok := snapshot.Server(link.From)
-		if !ok || server.Role != config.RoleStoreBox || link.To != k.cfg.Zone {
+		if !ok || server.Role != config.RoleStoreBox || link.To != o.cfg.Zone {
 			continue
 		}
-		kept, ok := known[server.Name]
-		if !ok || kept.bytesPerSecond != float64(link.BytesPerSecond) {
-			kept = newStore(float64(link.BytesPerSecond))
+		box, ok := previous[server.Name]
+		if !ok || box.bytesPerSecond != float64(link.BytesPerSecond) {
+			box = newStoreBox(float64(link.BytesPerSecond))
 		}
-		kept.server = server
-		k.stores[server.Name] = kept
+		box.server = server
+		o.stores[server.Name] = box
 	}
 }
 
 // newStore makes a store box with the budget of its link.
-func newStore(bytesPerSecond float64) *store {
-	return &store{bytesPerSecond: bytesPerSecond, exports: rate.NewLimiter(rate.Limit(exportPart*bytesPerSecond), int(bytesPerSecond))}
+func newStoreBox(bytesPerSecond float64) *storeBox {
+	return &storeBox{bytesPerSecond: bytesPerSecond, exports: rate.NewLimiter(rate.Limit(exportFraction*bytesPerSecond), int(bytesPerSecond))}
 }
 
 // storePause is for how long a store box that failed is left alone.
-const storePause = 5 * time.Second
+const storeCooldown = 5 * time.Second
 
-func (s *store) usable(now time.Time) bool {
-	return s.failedAt.IsZero() || now.Sub(s.failedAt) > storePause
+func (s *storeBox) usable(now time.Time) bool {
+	return s.failedAt.IsZero() || now.Sub(s.failedAt) > storeCooldown
 }
 
 // FetchOption is a way to fetch kept context.
@@ -153,25 +153,25 @@
 
 // BestFetch gives the best way to fetch a prompt's context: the longest part that is
 // kept, and how long the link takes for it.
-func (k *Offloader) BestFetch(chain prefix.Chain, bytesPerToken int) (FetchOption, bool) {
+func (o *Offloader) BestFetch(chain prefix.Chain, bytesPerToken int) (FetchOption, bool) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	keys := chain.Keys()
 	for depth := len(keys); depth > 0; depth-- {
-		element, ok := k.held[keys[depth-1]]
+		element, ok := o.contexts[keys[depth-1]]
 		if !ok {
 			continue
 		}
-		found, ok := element.Value.(keptContext)
+		found, ok := element.Value.(storedContext)
 		if !ok {
 			continue
 		}
-		from, ok := k.stores[found.store]
+		from, ok := o.stores[found.store]
 		if !ok || !from.usable(now) {
 			continue
 		}
-		k.recent.MoveToFront(element)
+		o.lru.MoveToFront(element)
 		size := int64(depth) * prefix.BlockTokens * int64(bytesPerToken)
 		wait := max(0, from.busyUntil.Sub(now)).Seconds()
 		return FetchOption{
@@ -183,11 +183,11 @@
 }
 
 // reserve takes a transfer from a link's budget.
-func (k *Offloader) reserve(name string, size int64) (address string, ok bool) {
+func (o *Offloader) reserveLink(name string, size int64) (address string, ok bool) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	from, ok := k.stores[name]
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	from, ok := o.stores[name]
 	if !ok {
 		return "", false
 	}
@@ -207,60 +207,60 @@
 
 // Fetch has a runner fetch kept context. A failure is a miss: the runner computes
 // what did not come.
-func (k *Offloader) Fetch(ctx context.Context, server *config.BackendServer, option FetchOption) {
-	address, ok := k.reserve(option.Store, option.Bytes)
+func (o *Offloader) Fetch(ctx context.Context, server *config.BackendServer, option FetchOption) {
+	address, ok := o.reserveLink(option.Store, option.Bytes)
 	if !ok {
 		return
 	}
 	limit := fetchSlack*time.Duration(option.Fetch.Seconds*float64(time.Second)) + fetchGrace
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	answer, err := k.cfg.Engines.Import(ctx, server.Address, engine.Transfer{Store: address, Keys: option.Keys})
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.counts.Fetches++
-	k.counts.FetchedBlocks += int64(answer.Blocks)
+	answer, err := o.cfg.Engines.Import(ctx, server.Address, engine.Transfer{Store: address, Keys: option.Keys})
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.counts.Fetches++
+	o.counts.FetchedBlocks += int64(answer.Blocks)
 	if err == nil && answer.Blocks == len(option.Keys) {
 		return
 	}
-	k.counts.FetchMisses++
-	k.forget(option.Keys[len(option.Keys)-1])
-	if from, ok := k.stores[option.Store]; ok && err != nil {
+	o.counts.FetchMisses++
+	o.removeContext(option.Keys[len(option.Keys)-1])
+	if from, ok := o.stores[option.Store]; ok && err != nil {
 		from.failedAt = time.Now()
 	}
 }
 
 // forget drops a context. The caller holds mu.
-func (k *Offloader) forget(last prefix.Key) {
-	if element, ok := k.held[last]; ok {
-		k.recent.Remove(element)
-		delete(k.held, last)
+func (o *Offloader) removeContext(last prefix.Key) {
+	if element, ok := o.contexts[last]; ok {
+		o.lru.Remove(element)
+		delete(o.contexts, last)
 	}
 }
 
 // OfferExport hands over a context that a runner has just computed. It never waits.
-func (k *Offloader) OfferExport(server *config.BackendServer, chain prefix.Chain, bytesPerToken int) {
+func (o *Offloader) OfferExport(server *config.BackendServer, chain prefix.Chain, bytesPerToken int) {
 	keys := chain.Keys()
-	if len(keys)*prefix.BlockTokens < k.cfg.MinTokens || k.knows(keys[len(keys)-1]) {
+	if len(keys)*prefix.BlockTokens < o.cfg.MinTokens || o.skipsExport(keys[len(keys)-1]) {
 		return
 	}
-	offered := export{server: server, keys: keys, bytes: int64(len(keys)) * prefix.BlockTokens * int64(bytesPerToken)}
-	if !k.exports.TryPush(offered) {
-		k.drop()
+	job := exportJob{server: server, keys: keys, bytes: int64(len(keys)) * prefix.BlockTokens * int64(bytesPerToken)}
+	if !o.exports.TryPush(job) {
+		o.countDropped()
 	}
 }
 
-func (k *Offloader) knows(last prefix.Key) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, ok := k.held[last]
-	return ok || len(k.stores) == 0
+func (o *Offloader) skipsExport(last prefix.Key) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	_, ok := o.contexts[last]
+	return ok || len(o.stores) == 0
 }
 
-func (k *Offloader) drop() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.counts.ExportsDropped++
+func (o *Offloader) countDropped() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.counts.ExportsDropped++
 }
 
 // State is the part of a state dump that describes the keeper.
@@ -272,11 +272,11 @@
 }
 
 // State describes what is kept, as far as this box knows.
-func (k *Offloader) State() State {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	state := State{Counts: k.counts, Contexts: len(k.held), Stores: []string{}, Queue: k.exports.State()}
-	for name := range k.stores {
+func (o *Offloader) State() State {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	state := State{Counts: o.counts, Contexts: len(o.contexts), Stores: []string{}, Queue: o.exports.State()}
+	for name := range o.stores {
 		state.Stores = append(state.Stores, name)
 	}
 	return state
--- a/internal/namespace/namespace_test.go
+++ b/internal/namespace/namespace_test.go
@@ -8,7 +8,7 @@
 	"github.com/cometlock/cometlock/internal/namespace"
 )
 
-func TestNamesReadBackAsWritten(t *testing.T) {
+func TestNamesRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	names := []namespace.Name{
 		{Model: "m", Weights: 1},
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestOtherTextsAreNoNames(t *testing.T) {
+func TestParseRejectsInvalidNames(t *testing.T) {
 	g := NewWithT(t)
 	for _, text := range []string{"", "m", "m/", "m/x", "m/x/north", "s1"} {
 		_, err := namespace.Parse(text)
--- a/internal/peer/message_test.go
+++ b/internal/peer/message_test.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/follow"
 )
 
-func TestMessagesTravelWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	entries := config.Entries{{Name: "a", Value: []byte("1")}}
 	state := configlog.State{Version: 3, ReadTo: 4, Digest: entries.Digest(), Entries: entries}
 	cases := []struct {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAMessageThatIsTooLargeIsRefusedUnread(t *testing.T) {
+func TestOversizedMessagesAreRejectedUnread(t *testing.T) {
 	g := NewWithT(t)
 	_, err := readMessage(bufio.NewReader(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff})))
 	g.Expect(err).To(MatchError(ContainSubstring("too large")))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -69,11 +69,11 @@
 	ioTimeout = 2 * time.Second
 	// patience is how long a box that reaches the log waits for it before it
 	// asks a peer for a version it has heard of.
-	patience = 1500 * time.Millisecond
+	logGracePeriod = 1500 * time.Millisecond
 	// forgetAfter is how long a peer that is not heard of is counted.
-	forgetAfter = 10 * time.Second
+	peerTimeout = 10 * time.Second
 	// listEvery is the time between two looks at the platform's list.
-	listEvery = 5 * time.Second
+	listInterval = 5 * time.Second
 )
 
 // Gossiper talks to the other entry boxes.
@@ -83,16 +83,16 @@
 	mu          sync.Mutex
 	leaving     bool
 	listed      []boxlist.Box
-	peers       map[string]*known // by box name
+	peers       map[string]*peerInfo // by box name
 	behindSince time.Time
 	sentBytes   int64
 	connections map[string]*connection
 }
 
 // known is a peer that was heard of.
-type known struct {
-	status  Status
-	heardAt time.Time
+type peerInfo struct {
+	status     Status
+	receivedAt time.Time
 }
 
 // New makes an exchange that knows no peers.
@@ -103,43 +103,43 @@
 	if cfg.Fanout == 0 {
 		cfg.Fanout = DefaultFanout
 	}
-	return &Gossiper{cfg: cfg, peers: map[string]*known{}, connections: map[string]*connection{}}
+	return &Gossiper{cfg: cfg, peers: map[string]*peerInfo{}, connections: map[string]*connection{}}
 }
 
 // SetLeaving tells peers from now on that this box is about to stop.
-func (x *Gossiper) SetLeaving() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.leaving = true
+func (g *Gossiper) SetLeaving() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.leaving = true
 }
 
-func (x *Gossiper) self() Status {
-	status := x.cfg.Self
-	status.Version = x.cfg.Source.State().Version
-	if x.cfg.AdvisoryReports != nil {
-		status.AdvisoryReports = x.cfg.AdvisoryReports()
+func (g *Gossiper) selfStatus() Status {
+	status := g.cfg.Self
+	status.Version = g.cfg.Source.State().Version
+	if g.cfg.AdvisoryReports != nil {
+		status.AdvisoryReports = g.cfg.AdvisoryReports()
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	status.Leaving = x.leaving
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	status.Leaving = g.leaving
 	return status
 }
 
 // Loop exchanges with peers until ctx ends.
-func (x *Gossiper) Loop(ctx context.Context) {
-	ticker := time.NewTicker(x.cfg.Interval)
+func (g *Gossiper) Loop(ctx context.Context) {
+	ticker := time.NewTicker(g.cfg.Interval)
 	defer ticker.Stop()
-	var lookedAt time.Time
+	var listReadAt time.Time
 	for {
-		if time.Since(lookedAt) >= listEvery || x.alone() {
-			lookedAt = time.Now()
-			x.look(ctx)
+		if time.Since(listReadAt) >= listInterval || g.hasNoPeers() {
+			listReadAt = time.Now()
+			g.readBoxList(ctx)
 		}
-		x.round(ctx)
+		g.round(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			x.closeConnections()
+			g.closeConnections()
 			return
 		}
 	}
@@ -147,46 +147,46 @@
 
 // alone reports whether no peer has been heard of yet. The list lags, so a box
 // that starts into an empty one looks again in every round.
-func (x *Gossiper) alone() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return len(x.peers) == 0
+func (g *Gossiper) hasNoPeers() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return len(g.peers) == 0
 }
 
 // look reads the platform's list. A list that cannot be read leaves the last.
-func (x *Gossiper) look(ctx context.Context) {
-	boxes, err := x.cfg.BoxList.Boxes(ctx)
+func (g *Gossiper) readBoxList(ctx context.Context) {
+	boxes, err := g.cfg.BoxList.Boxes(ctx)
 	if err != nil {
-		x.cfg.Logger.Warn().Str("error", err.Error()).Msg("box_list_lost")
+		g.cfg.Logger.Warn().Str("error", err.Error()).Msg("box_list_lost")
 		return
 	}
-	if x.cfg.OnBoxList != nil {
-		x.cfg.OnBoxList(boxes)
+	if g.cfg.OnBoxList != nil {
+		g.cfg.OnBoxList(boxes)
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.listed = boxes
-	x.dropGone(time.Now())
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.listed = boxes
+	g.removeStale(time.Now())
 }
 
 // dropAfter is how long a peer that is not heard of is remembered at all. Boxes
 // are replaced hundreds of times a day, under other names.
-const dropAfter = 10 * time.Minute
+const peerRetention = 10 * time.Minute
 
 // dropGone forgets peers that are long gone, and connections to addresses that
 // nobody names any more. The caller holds mu.
-func (x *Gossiper) dropGone(now time.Time) {
-	for name, peer := range x.peers {
-		if now.Sub(peer.heardAt) > dropAfter {
-			delete(x.peers, name)
+func (g *Gossiper) removeStale(now time.Time) {
+	for name, peer := range g.peers {
+		if now.Sub(peer.receivedAt) > peerRetention {
+			delete(g.peers, name)
 		}
 	}
-	for address, c := range x.connections {
-		named := slices.Contains(x.cfg.Seeds, address) ||
-			slices.ContainsFunc(x.listed, func(box boxlist.Box) bool { return box.Peer == address })
+	for address, c := range g.connections {
+		named := slices.Contains(g.cfg.Seeds, address) ||
+			slices.ContainsFunc(g.listed, func(box boxlist.Box) bool { return box.Peer == address })
 		if !named && c.mu.TryLock() {
 			c.close()
-			delete(x.connections, address)
+			delete(g.connections, address)
 			c.mu.Unlock()
 		}
 	}
@@ -194,32 +194,32 @@
 
 // round exchanges with a few peers, chosen anew each time, so that what one box
 // knows reaches all within a few rounds whatever is cut off.
-func (x *Gossiper) round(ctx context.Context) {
-	var ended sync.WaitGroup
-	for _, address := range x.choose() {
-		ended.Go(func() { x.exchange(ctx, address) })
+func (g *Gossiper) round(ctx context.Context) {
+	var group sync.WaitGroup
+	for _, address := range g.choose() {
+		group.Go(func() { g.exchange(ctx, address) })
 	}
-	ended.Wait()
+	group.Wait()
 }
 
-func (x *Gossiper) choose() []string {
-	candidates := x.addresses()
+func (g *Gossiper) choose() []string {
+	candidates := g.addresses()
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	return candidates[:min(x.cfg.Fanout, len(candidates))]
+	return candidates[:min(g.cfg.Fanout, len(candidates))]
 }
 
 // addresses lists where peers may be: the platform's list and the seeds.
-func (x *Gossiper) addresses() []string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (g *Gossiper) addresses() []string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	var addresses []string
-	for _, box := range x.listed {
-		if box.Peer != "" && box.Peer != x.cfg.Address && box.Name != x.cfg.Self.Box {
+	for _, box := range g.listed {
+		if box.Peer != "" && box.Peer != g.cfg.Address && box.Name != g.cfg.Self.Box {
 			addresses = append(addresses, box.Peer)
 		}
 	}
-	for _, seed := range x.cfg.Seeds {
-		if seed != x.cfg.Address && !slices.Contains(addresses, seed) {
+	for _, seed := range g.cfg.Seeds {
+		if seed != g.cfg.Address && !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
 		}
 	}
@@ -227,55 +227,55 @@
 }
 
 // exchange tells one peer this box's status and takes over what it knows.
-func (x *Gossiper) exchange(ctx context.Context, address string) {
-	answer, err := x.call(ctx, address, Message{Status: x.self(), WantsConfig: x.wants()})
+func (g *Gossiper) exchange(ctx context.Context, address string) {
+	answer, err := g.call(ctx, address, Message{Status: g.selfStatus(), WantsConfig: g.shouldRequestConfig()})
 	if err != nil {
 		return // the peer may be gone; another round asks others
 	}
-	x.heard(answer.Status)
-	x.takeContent(answer)
+	g.handleStatus(answer.Status)
+	g.applyConfig(answer)
 	if answer.WantsConfig {
 		// The peer is behind and wants what leads on from its version.
-		message := Message{Status: x.self()}
-		x.addContent(&message, answer.Status.Version)
-		_, _ = x.call(ctx, address, message)
+		message := Message{Status: g.selfStatus()}
+		g.addConfig(&message, answer.Status.Version)
+		_, _ = g.call(ctx, address, message)
 	}
 }
 
 // wants reports whether this box should ask for content: it has no log, or has
 // been behind for longer than the log takes.
-func (x *Gossiper) wants() bool {
-	if !x.cfg.Source.LogReachable() {
+func (g *Gossiper) shouldRequestConfig() bool {
+	if !g.cfg.Source.LogReachable() {
 		return true
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return !x.behindSince.IsZero() && time.Since(x.behindSince) >= patience
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return !g.behindSince.IsZero() && time.Since(g.behindSince) >= logGracePeriod
 }
 
-func (x *Gossiper) heard(status Status) {
-	if x.cfg.ApplyAdvisoryReports != nil && status.Box != x.cfg.Self.Box {
-		x.cfg.ApplyAdvisoryReports(status.AdvisoryReports)
+func (g *Gossiper) handleStatus(status Status) {
+	if g.cfg.ApplyAdvisoryReports != nil && status.Box != g.cfg.Self.Box {
+		g.cfg.ApplyAdvisoryReports(status.AdvisoryReports)
 	}
-	version := x.cfg.Source.State().Version
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if status.Box == x.cfg.Self.Box || status.Box == "" {
+	version := g.cfg.Source.State().Version
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if status.Box == g.cfg.Self.Box || status.Box == "" {
 		return
 	}
-	x.peers[status.Box] = &known{status: status, heardAt: time.Now()}
+	g.peers[status.Box] = &peerInfo{status: status, receivedAt: time.Now()}
 	switch {
 	case status.Version <= version:
-		if !x.anyAhead(version) {
-			x.behindSince = time.Time{}
+		if !g.hasNewerPeer(version) {
+			g.behindSince = time.Time{}
 		}
-	case x.behindSince.IsZero():
-		x.behindSince = time.Now()
+	case g.behindSince.IsZero():
+		g.behindSince = time.Now()
 	}
 }
 
-func (x *Gossiper) anyAhead(version int64) bool {
-	for _, peer := range x.peers {
+func (g *Gossiper) hasNewerPeer(version int64) bool {
+	for _, peer := range g.peers {
 		if peer.status.Version > version {
 			return true
 		}
@@ -285,29 +285,29 @@
 
 // addContent adds what leads on from a version: the changes when all are known,
 // or else everything.
-func (x *Gossiper) addContent(message *Message, version int64) {
-	state := x.cfg.Source.State()
+func (g *Gossiper) addConfig(message *Message, version int64) {
+	state := g.cfg.Source.State()
 	if state.Version <= version {
 		return
 	}
-	if changes, ok := x.cfg.Source.Since(version); ok {
+	if changes, ok := g.cfg.Source.Since(version); ok {
 		message.Changes = changes
 		return
 	}
 	message.State = &state
 }
 
-func (x *Gossiper) takeContent(message Message) {
-	if len(message.Changes) > 0 && x.cfg.Source.OfferChanges(message.Changes) {
+func (g *Gossiper) applyConfig(message Message) {
+	if len(message.Changes) > 0 && g.cfg.Source.OfferChanges(message.Changes) {
 		return
 	}
 	if message.State != nil {
-		x.cfg.Source.Offer(*message.State)
+		g.cfg.Source.Offer(*message.State)
 	}
 }
 
-func (x *Gossiper) countSent(n int) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.sentBytes += int64(n)
+func (g *Gossiper) countSent(n int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.sentBytes += int64(n)
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,33 +15,33 @@
 )
 
 // quietSource is a box without any configuration.
-type quietSource struct{}
+type emptySource struct{}
 
-func (quietSource) State() configlog.State              { return configlog.Empty() }
-func (quietSource) Since(int64) ([]follow.Change, bool) { return nil, false }
-func (quietSource) Offer(configlog.State)               {}
-func (quietSource) OfferChanges([]follow.Change) bool   { return false }
-func (quietSource) LogReachable() bool                  { return true }
+func (emptySource) State() configlog.State              { return configlog.Empty() }
+func (emptySource) Since(int64) ([]follow.Change, bool) { return nil, false }
+func (emptySource) Offer(configlog.State)               {}
+func (emptySource) OfferChanges([]follow.Change) bool   { return false }
+func (emptySource) LogReachable() bool                  { return true }
 
 // Boxes are replaced hundreds of times a day: what is known of those that are
 // gone must not grow.
-func TestPeersThatAreGoneAreForgotten(t *testing.T) {
+func TestStalePeersAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		x := New(Config{
-			Self: Status{Box: "me", Zone: "a"}, Seeds: []string{"127.0.0.1:7"}, Source: quietSource{}, Logger: zerolog.Nop(),
+			Self: Status{Box: "me", Zone: "a"}, Seeds: []string{"127.0.0.1:7"}, Source: emptySource{}, Logger: zerolog.Nop(),
 			BoxList: boxlist.Static{{Name: "stays", Zone: "a", Peer: "127.0.0.1:8"}},
 		})
-		x.heard(Status{Box: "gone", Zone: "a"})
+		x.handleStatus(Status{Box: "gone", Zone: "a"})
 		for _, address := range []string{"127.0.0.1:7", "127.0.0.1:8", "127.0.0.1:9"} {
 			x.connectionTo(address)
 		}
 		g.Expect(x.BoxesInZone()).To(Equal(2))
-		time.Sleep(forgetAfter)
+		time.Sleep(peerTimeout)
 		g.Expect(x.BoxesInZone()).To(Equal(1), "not counted soon after it fell silent")
-		time.Sleep(dropAfter)
-		x.heard(Status{Box: "stays", Zone: "a"})
-		x.look(t.Context())
+		time.Sleep(peerRetention)
+		x.handleStatus(Status{Box: "stays", Zone: "a"})
+		x.readBoxList(t.Context())
 		g.Expect(x.State().Peers).To(HaveLen(1))
 		g.Expect(x.connections).To(HaveLen(2))
 		g.Expect(x.connections).NotTo(HaveKey("127.0.0.1:9"))
@@ -50,7 +50,7 @@
 
 // Boxes tell each other what backend servers said of themselves, and each knows its place among those
 // that share a server's rate limit.
-func TestBoxesShareWhatServersSaidOfThemselves(t *testing.T) {
+func TestBoxesShareAdvisoryReports(t *testing.T) {
 	g := NewWithT(t)
 	boxes := []string{"one", "two", "three"}
 	said := map[string]*advisory.Report{"server": {LimitKnown: true, PerSecond: 2}}
@@ -58,7 +58,7 @@
 	exchanges := make([]*Gossiper, len(boxes))
 	for i, box := range boxes {
 		exchanges[i] = New(Config{
-			Self: Status{Box: box, Zone: "a"}, Source: quietSource{}, Logger: zerolog.Nop(),
+			Self: Status{Box: box, Zone: "a"}, Source: emptySource{}, Logger: zerolog.Nop(),
 			AdvisoryReports:      func() map[string]*advisory.Report { return said },
 			ApplyAdvisoryReports: func(reports map[string]*advisory.Report) { taken = reports },
 		})
@@ -66,15 +66,15 @@
 	ranks := map[int]bool{}
 	for _, x := range exchanges {
 		for _, other := range exchanges {
-			x.heard(other.self())
+			x.handleStatus(other.selfStatus())
 		}
-		x.heard(Status{Box: "elsewhere", Zone: "b"})
+		x.handleStatus(Status{Box: "elsewhere", Zone: "b"})
 		position := x.LimitPosition("server", true)
 		g.Expect(position.Present).To(Equal(len(boxes)))
 		ranks[position.Rank] = true
 		g.Expect(x.LimitPosition("server", false).Present).To(Equal(len(boxes) + 1))
 	}
 	g.Expect(ranks).To(HaveLen(len(boxes)), "each has a rank of its own")
-	exchanges[0].heard(exchanges[1].self())
+	exchanges[0].handleStatus(exchanges[1].selfStatus())
 	g.Expect(taken).To(Equal(said))
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -11,21 +11,21 @@
 )
 
 // answer gives the answer to a peer's message.
-func (x *Gossiper) answer(message Message) Message {
-	x.heard(message.Status)
-	x.takeContent(message)
-	own := x.self()
-	answer := Message{Status: own, WantsConfig: message.Status.Version > own.Version && x.wants()}
+func (g *Gossiper) handleMessage(message Message) Message {
+	g.handleStatus(message.Status)
+	g.applyConfig(message)
+	self := g.selfStatus()
+	answer := Message{Status: self, WantsConfig: message.Status.Version > self.Version && g.shouldRequestConfig()}
 	if message.WantsConfig {
-		x.addContent(&answer, message.Status.Version)
+		g.addConfig(&answer, message.Status.Version)
 	}
 	return answer
 }
 
 // Serve answers peers on a listener until ctx ends.
-func (x *Gossiper) Serve(ctx context.Context, listener net.Listener) {
-	if x.cfg.ServerTLS != nil {
-		listener = tls.NewListener(listener, x.cfg.ServerTLS)
+func (g *Gossiper) Serve(ctx context.Context, listener net.Listener) {
+	if g.cfg.ServerTLS != nil {
+		listener = tls.NewListener(listener, g.cfg.ServerTLS)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -34,13 +34,13 @@
 		if err != nil {
 			return
 		}
-		server := &serving{exchange: x, conn: conn}
+		server := &serverConn{exchange: g, conn: conn}
 		go server.loop(ctx)
 	}
 }
 
 // serving is one connection that a peer opened.
-type serving struct {
+type serverConn struct {
 	exchange *Gossiper
 	conn     net.Conn
 }
@@ -48,7 +48,7 @@
 // idleTimeout ends connections that peers no longer use.
 const idleTimeout = time.Minute
 
-func (s *serving) loop(ctx context.Context) {
+func (s *serverConn) loop(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	defer func() { _ = s.conn.Close() }()
@@ -61,7 +61,7 @@
 		if err != nil {
 			return
 		}
-		n, err := writeMessage(s.conn, s.exchange.answer(message))
+		n, err := writeMessage(s.conn, s.exchange.handleMessage(message))
 		s.exchange.countSent(n)
 		if err != nil {
 			return
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -22,12 +22,12 @@
 }
 
 // State describes what is known of the peers.
-func (x *Gossiper) State() State {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	state := State{Listed: len(x.listed), SentBytes: x.sentBytes}
-	for _, peer := range x.peers {
-		state.Peers = append(state.Peers, BoxState{Status: peer.status, StatusAge: time.Since(peer.heardAt).Round(time.Millisecond).String()})
+func (g *Gossiper) State() State {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	state := State{Listed: len(g.listed), SentBytes: g.sentBytes}
+	for _, peer := range g.peers {
+		state.Peers = append(state.Peers, BoxState{Status: peer.status, StatusAge: time.Since(peer.receivedAt).Round(time.Millisecond).String()})
 	}
 	slices.SortFunc(state.Peers, func(a, b BoxState) int { return cmp.Compare(a.Box, b.Box) })
 	return state
@@ -35,12 +35,12 @@
 
 // BoxesInZone counts the entry boxes of this box's zone that were heard of
 // lately, this one included.
-func (x *Gossiper) BoxesInZone() int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (g *Gossiper) BoxesInZone() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	count := 1
-	for _, peer := range x.peers {
-		if peer.status.Zone == x.cfg.Self.Zone && !peer.status.Leaving && time.Since(peer.heardAt) < forgetAfter {
+	for _, peer := range g.peers {
+		if peer.status.Zone == g.cfg.Self.Zone && !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout {
 			count++
 		}
 	}
@@ -49,15 +49,15 @@
 
 // LiveBoxes lists the boxes that were heard of lately and do not leave, this one
 // included, in name order.
-func (x *Gossiper) LiveBoxes() []string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (g *Gossiper) LiveBoxes() []string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	live := []string{}
-	if !x.leaving {
-		live = append(live, x.cfg.Self.Box)
+	if !g.leaving {
+		live = append(live, g.cfg.Self.Box)
 	}
-	for name, peer := range x.peers {
-		if !peer.status.Leaving && time.Since(peer.heardAt) < forgetAfter {
+	for name, peer := range g.peers {
+		if !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout {
 			live = append(live, name)
 		}
 	}
@@ -67,40 +67,40 @@
 
 // LimitPosition says where this box stands among those that share the rate limit of a server: those of
 // this box's zone, or all.
-func (x *Gossiper) LimitPosition(server string, inZone bool) advisory.Position {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (g *Gossiper) LimitPosition(server string, inZone bool) advisory.Position {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	var others []string
-	for name, peer := range x.peers {
-		live := !peer.status.Leaving && time.Since(peer.heardAt) < forgetAfter
-		if live && (!inZone || peer.status.Zone == x.cfg.Self.Zone) {
+	for name, peer := range g.peers {
+		live := !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout
+		if live && (!inZone || peer.status.Zone == g.cfg.Self.Zone) {
 			others = append(others, name)
 		}
 	}
 	listed := 0
-	for _, box := range x.listed {
-		if box.Peer != "" && (!inZone || box.Zone == x.cfg.Self.Zone) {
+	for _, box := range g.listed {
+		if box.Peer != "" && (!inZone || box.Zone == g.cfg.Self.Zone) {
 			listed++
 		}
 	}
 	// In a round a box reaches some of the others, and as many reach it.
-	rounds := 1 + len(x.peers)/(2*x.cfg.Fanout)
+	rounds := 1 + len(g.peers)/(2*g.cfg.Fanout)
 	return advisory.Position{
-		Rank: advisory.Rank(x.cfg.Self.Box, others, server), Present: len(others) + 1, Listed: listed, ReportLag: time.Duration(rounds) * x.cfg.Interval,
+		Rank: advisory.Rank(g.cfg.Self.Box, others, server), Present: len(others) + 1, Listed: listed, ReportLag: time.Duration(rounds) * g.cfg.Interval,
 	}
 }
 
 // FirstInZone reports whether this box is the first by name of the boxes of its
 // zone that are believed to be live. Two boxes may both believe it for a while.
-func (x *Gossiper) FirstInZone() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.leaving {
+func (g *Gossiper) FirstInZone() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.leaving {
 		return false
 	}
-	for name, peer := range x.peers {
-		live := !peer.status.Leaving && time.Since(peer.heardAt) < forgetAfter
-		if live && peer.status.Zone == x.cfg.Self.Zone && name < x.cfg.Self.Box {
+	for name, peer := range g.peers {
+		live := !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout
+		if live && peer.status.Zone == g.cfg.Self.Zone && name < g.cfg.Self.Box {
 			return false
 		}
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -29,14 +29,14 @@
 
 // Stage places requests by a policy.
 type Stage[P decide.Policy] struct {
-	knowledge *zone.View
+	view      *zone.View
 	policy    P
-	keeper    *kept.Offloader
+	offloader *kept.Offloader
 }
 
 // New makes the stage.
 func New[P decide.Policy](cfg Config[P]) *Stage[P] {
-	return &Stage[P]{knowledge: cfg.View, policy: cfg.Policy, keeper: cfg.Offloader}
+	return &Stage[P]{view: cfg.View, policy: cfg.Policy, offloader: cfg.Offloader}
 }
 
 // Name implements flow.Stage.
@@ -62,7 +62,7 @@
 		request.Placement.Handle.Done(false)
 		return apierror.BadRequest("context_length_exceeded", "the prompt has about %d tokens, the model takes %d", request.Chain.Tokens(), model.MaxPromptTokens)
 	}
-	return refuseLate(request)
+	return rejectLate(request)
 }
 
 // Choose places a request anew, on none of the excluded servers. It takes the
@@ -80,7 +80,7 @@
 			return nil
 		}
 	}
-	return apierror.NotReady("no_runner", max(time.Second, s.knowledge.UnavailableFor(request.Model)), "no runner of the availability zone can serve %q now", request.Model)
+	return apierror.NotReady("no_runner", max(time.Second, s.view.UnavailableFor(request.Model)), "no runner of the availability zone can serve %q now", request.Model)
 }
 
 // setWeights seeds the request's chain anew when its version changes.
@@ -94,9 +94,9 @@
 }
 
 func (s *Stage[P]) choose(request *flow.Request, model *config.Model, exclude []string) bool {
-	option, _ := s.find(request, model)
-	choice, ok := zone.Choose(s.knowledge, s.policy, zone.Query{
-		Model: request.Model, Weights: request.Weights, Chain: request.Chain, Exclude: exclude, Fetch: option.Fetch,
+	fetch, _ := s.bestFetch(request, model)
+	choice, ok := zone.Choose(s.view, s.policy, zone.Query{
+		Model: request.Model, Weights: request.Weights, Chain: request.Chain, Exclude: exclude, Fetch: fetch.Fetch,
 		Instant: request.Priority == config.PriorityInstant, RequestHash: xxhash.Sum64String(request.ID),
 	})
 	if !ok {
@@ -108,22 +108,22 @@
 	}
 	if choice.Decision.WithFetch {
 		server := choice.Server
-		request.Placement.Prepare = func(ctx context.Context) { s.keeper.Fetch(ctx, server, option) }
+		request.Placement.Prepare = func(ctx context.Context) { s.offloader.Fetch(ctx, server, fetch) }
 	}
 	return true
 }
 
 // find gives the best way to fetch the request's context from a store box.
-func (s *Stage[P]) find(request *flow.Request, model *config.Model) (kept.FetchOption, bool) {
-	if s.keeper == nil {
+func (s *Stage[P]) bestFetch(request *flow.Request, model *config.Model) (kept.FetchOption, bool) {
+	if s.offloader == nil {
 		return kept.FetchOption{}, false
 	}
-	return s.keeper.BestFetch(request.Chain, model.KVBytesPerToken)
+	return s.offloader.BestFetch(request.Chain, model.KVBytesPerToken)
 }
 
 // refuseLate refuses a request whose first token would come after its deadline:
 // to run it would take room from those that can still make theirs.
-func refuseLate(request *flow.Request) *apierror.Error {
+func rejectLate(request *flow.Request) *apierror.Error {
 	if request.Deadline.IsZero() {
 		return nil
 	}
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -9,7 +9,7 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-func TestChainsShareExactlyTheCommonBeginning(t *testing.T) {
+func TestChainsShareOnlyTheCommonPrefix(t *testing.T) {
 	g := NewWithT(t)
 	salt := prefix.NewSalt("o", "m", "v1")
 	one := bytes.Repeat([]byte("x"), 5*prefix.BlockBytes+10)
@@ -24,7 +24,7 @@
 	g.Expect(a.Tokens()).To(Equal(5*prefix.BlockTokens + 3))
 }
 
-func TestOtherOrganisationsModelsAndVersionsNeverMatch(t *testing.T) {
+func TestKeysOfOtherOrganisationsModelsAndVersionsNeverMatch(t *testing.T) {
 	g := NewWithT(t)
 	prompt := make([]byte, prefix.BlockBytes)
 	seen := map[prefix.Key]string{}
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestLandmarks(t *testing.T) {
+func TestIndexedDepths(t *testing.T) {
 	g := NewWithT(t)
 	var depths []int
 	for depth := range 130 {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -67,8 +67,8 @@
 type Controller struct {
 	cfg Config
 	// ordered is when each runner was last given an order, and last when any was.
-	ordered map[string]time.Time
-	last    time.Time
+	orderedAt   map[string]time.Time
+	lastOrderAt time.Time
 }
 
 // New makes a rollout.
@@ -79,7 +79,7 @@
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
 	}
-	return &Controller{cfg: cfg, ordered: map[string]time.Time{}}
+	return &Controller{cfg: cfg, orderedAt: map[string]time.Time{}}
 }
 
 // Loop looks at the runners until ctx ends.
@@ -87,7 +87,7 @@
 	ticker := time.NewTicker(r.cfg.Interval)
 	defer ticker.Stop()
 	for {
-		r.look(ctx)
+		r.step(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -97,20 +97,20 @@
 }
 
 // settle is how long after an order the runners' reports may not show it yet.
-const settle = 1200 * time.Millisecond
+const reportDelay = 1200 * time.Millisecond
 
 // look gives one order, if one is due and allowed.
-func (r *Controller) look(ctx context.Context) {
+func (r *Controller) step(ctx context.Context) {
 	snapshot := r.cfg.Snapshot()
-	if snapshot == nil || !r.cfg.IsLeader() || time.Since(r.last) < settle {
+	if snapshot == nil || !r.cfg.IsLeader() || time.Since(r.lastOrderAt) < reportDelay {
 		return
 	}
-	next, ok := NextRunner(snapshot, r.cfg.Reports(), r.ordered)
-	if !ok || !r.allowed(snapshot, time.Now()) || time.Since(r.ordered[next.Server.Name]) < r.cfg.Turn {
+	next, ok := NextRunner(snapshot, r.cfg.Reports(), r.orderedAt)
+	if !ok || !r.mayLoad(snapshot, time.Now()) || time.Since(r.orderedAt[next.Server.Name]) < r.cfg.Turn {
 		return
 	}
-	r.last = time.Now()
-	r.ordered[next.Server.Name] = r.last
+	r.lastOrderAt = time.Now()
+	r.orderedAt[next.Server.Name] = r.lastOrderAt
 	order := engine.Order{Fence: snapshot.Version(), Weights: TargetWeights(snapshot, next.Server)}
 	event := r.cfg.Logger.Info()
 	if err := r.cfg.Engines.Order(ctx, next.Server.Address, order); err != nil {
@@ -119,7 +119,7 @@
 	event.Str("server", next.Server.Name).Int64("fence", order.Fence).Msg("weights_ordered")
 }
 
-func (r *Controller) allowed(snapshot *config.Snapshot, now time.Time) bool {
+func (r *Controller) mayLoad(snapshot *config.Snapshot, now time.Time) bool {
 	file := snapshot.File()
 	names := make([]string, len(file.Zones))
 	for i, zone := range file.Zones {
@@ -144,29 +144,29 @@
 // loading, so that a zone has one load under way and most of its runners serve.
 // Of those that are behind it takes the one that was ordered longest ago, so that
 // a runner which never gets there does not keep the others from it.
-func NextRunner(snapshot *config.Snapshot, reports []Report, ordered map[string]time.Time) (Report, bool) {
+func NextRunner(snapshot *config.Snapshot, reports []Report, orderedAt map[string]time.Time) (Report, bool) {
 	found := false
 	var next Report
 	for _, report := range reports {
-		if loading(report) {
+		if isLoading(report) {
 			return Report{}, false
 		}
-		if report.Leaving || !behind(snapshot, report) {
+		if report.Leaving || !isOutdated(snapshot, report) {
 			continue
 		}
-		if !found || ordered[report.Server.Name].Before(ordered[next.Server.Name]) {
+		if !found || orderedAt[report.Server.Name].Before(orderedAt[next.Server.Name]) {
 			next, found = report, true
 		}
 	}
 	return next, found
 }
 
-func loading(report Report) bool {
+func isLoading(report Report) bool {
 	return slices.ContainsFunc(report.Weights, func(w engine.LoadedWeights) bool { return w.Loading != "" })
 }
 
 // behind reports whether a runner holds another version than the wanted one.
-func behind(snapshot *config.Snapshot, report Report) bool {
+func isOutdated(snapshot *config.Snapshot, report Report) bool {
 	for _, wanted := range TargetWeights(snapshot, report.Server) {
 		held := slices.ContainsFunc(report.Weights, func(w engine.LoadedWeights) bool {
 			return w.Model == wanted.Model && w.Version == wanted.Version
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/rollout"
 )
 
-func TestTurnsShareTheLoadsOutWithoutAWord(t *testing.T) {
+func TestTurnsLimitParallelLoadsWithoutCoordination(t *testing.T) {
 	const turn = 4 * time.Second
 	for _, c := range []struct{ zones, parallel int }{{4, 3}, {3, 2}, {4, 1}, {2, 3}, {17, 3}} {
 		t.Run(fmt.Sprintf("%d zones, %d loads", c.zones, c.parallel), func(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestOneRunnerAtATime(t *testing.T) {
+func TestOneRunnerLoadsAtATime(t *testing.T) {
 	g := NewWithT(t)
 	file := &config.File{Models: []config.Model{{Name: "m", Weights: "v2"}}}
 	entries, err := file.Entries()
--- a/internal/zone/advise.go
+++ b/internal/zone/advise.go
@@ -9,24 +9,24 @@
 )
 
 // ApplyAdvisory takes over what an answer says of the engine at an address.
-func (k *View) ApplyAdvisory(address string, answer advisory.Answer) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, known := range k.servers {
-		if known != nil && known.config.Address == address {
-			known.advised.TakeAnswer(answer)
+func (v *View) ApplyAdvisory(address string, answer advisory.Answer) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, srv := range v.servers {
+		if srv != nil && srv.config.Address == address {
+			srv.advisoryState.TakeAnswer(answer)
 		}
 	}
 }
 
 // AdvisoryReports gives what runners said of themselves in answers to this box, by name.
-func (k *View) AdvisoryReports() map[string]*advisory.Report {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (v *View) AdvisoryReports() map[string]*advisory.Report {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	now := boottime.Now()
 	reports := map[string]*advisory.Report{}
-	for name, known := range k.byName {
-		if report := known.advised.Report(now); report != nil {
+	for name, srv := range v.byName {
+		if report := srv.advisoryState.Report(now); report != nil {
 			reports[name] = report
 		}
 	}
@@ -34,48 +34,48 @@
 }
 
 // ApplyAdvisoryReports takes over what another box reports, by name.
-func (k *View) ApplyAdvisoryReports(reports map[string]*advisory.Report) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (v *View) ApplyAdvisoryReports(reports map[string]*advisory.Report) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	now := boottime.Now()
 	for name, report := range reports {
-		if known := k.byName[name]; known != nil && report != nil {
-			known.advised.TakeReport(*report, now)
+		if srv := v.byName[name]; srv != nil && report != nil {
+			srv.advisoryState.TakeReport(*report, now)
 		}
 	}
 }
 
 // position gives where this box stands among those that share a runner's rate limit. The caller holds mu.
-func (k *View) position(known *server, now time.Time) advisory.Position {
-	if _, _, limited := known.advised.Limit(now); !limited || k.limitPosition == nil {
+func (v *View) limitPositionFor(srv *server, now time.Time) advisory.Position {
+	if _, _, limited := srv.advisoryState.Limit(now); !limited || v.limitPosition == nil {
 		return advisory.Position{}
 	}
-	return k.limitPosition(known.config.Name)
+	return v.limitPosition(srv.config.Name)
 }
 
 // takesRun reports whether a runner takes a run of this box now by what it says of itself. The caller
 // holds mu.
-func (k *View) takesRun(known *server, now time.Time) bool {
-	return known.advised.PausedFor(now) == 0 && known.advised.HasRoom(now, k.position(known, now))
+func (v *View) acceptsRun(srv *server, now time.Time) bool {
+	return srv.advisoryState.PausedFor(now) == 0 && srv.advisoryState.HasRoom(now, v.limitPositionFor(srv, now))
 }
 
 // noteRun counts a run of this box against a runner's rate limit. The caller holds mu.
-func (k *View) noteRun(known *server, now time.Time) {
-	known.advised.NoteSent(now, k.position(known, now))
+func (v *View) noteRun(srv *server, now time.Time) {
+	srv.advisoryState.NoteSent(now, v.limitPositionFor(srv, now))
 }
 
 // UnavailableFor is how long no runner of the zone takes a run of this box by what it says of itself; zero while
 // one does, or where that is not known.
-func (k *View) UnavailableFor(model string) time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (v *View) UnavailableFor(model string) time.Duration {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	now := boottime.Now()
 	shortest := time.Duration(0)
-	for _, known := range k.servers {
-		if known == nil || !slices.Contains(known.config.Models, model) || known.leaves() || known.evacuated {
+	for _, srv := range v.servers {
+		if srv == nil || !slices.Contains(srv.config.Models, model) || srv.isLeaving() || srv.evacuated {
 			continue
 		}
-		wait, _ := known.advised.Wait(now, k.position(known, now))
+		wait, _ := srv.advisoryState.Wait(now, v.limitPositionFor(srv, now))
 		if wait == 0 {
 			return 0
 		}
--- a/internal/zone/advise_test.go
+++ b/internal/zone/advise_test.go
@@ -18,11 +18,11 @@
 }
 
 // placedIn counts the runs that each runner gets within a time, if there is one each 10 ms.
-func placedIn(k *View, length time.Duration) map[string]int {
+func countPlaced(view *View, length time.Duration) map[string]int {
 	counts := map[string]int{}
 	policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		choice, ok := Choose(k, policy, Query{Model: "m", Weights: "v1", Chain: chainOf("rulebook", 4)})
+		choice, ok := Choose(view, policy, Query{Model: "m", Weights: "v1", Chain: chainOf("rulebook", 4)})
 		if ok {
 			counts[choice.Server.Name]++
 			choice.Handle.Done(true)
@@ -31,68 +31,68 @@
 	return counts
 }
 
-func TestRunnersGetNoMoreThanTheyTake(t *testing.T) {
+func TestRunnersReceiveAtMostTheirRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		k := newKnowledge(2)
-		k.ApplyAdvisory("0", answerWith(advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: 2}))
-		counts := placedIn(k, 5*time.Second)
+		view := newView(2)
+		view.ApplyAdvisory("0", answerWith(advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: 2}))
+		counts := countPlaced(view, 5*time.Second)
 		g.Expect(counts["r000"]).To(BeNumerically("<=", 11))
 		g.Expect(counts["r000"] + counts["r001"]).To(Equal(500))
-		g.Expect(k.UnavailableFor("m")).To(BeZero())
+		g.Expect(view.UnavailableFor("m")).To(BeZero())
 
-		k.ApplyAdvisory("1", answerWith(advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: 0.5}))
-		counts = placedIn(k, 4*time.Second)
+		view.ApplyAdvisory("1", answerWith(advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: 0.5}))
+		counts = countPlaced(view, 4*time.Second)
 		g.Expect(counts["r000"]).To(BeNumerically("~", 8, 1))
 		g.Expect(counts["r001"]).To(BeNumerically("~", 2, 1))
-		g.Expect(k.UnavailableFor("m")).To(BeNumerically("~", 250*time.Millisecond, 250*time.Millisecond))
+		g.Expect(view.UnavailableFor("m")).To(BeNumerically("~", 250*time.Millisecond, 250*time.Millisecond))
 
 		for address, perSecond := range map[string]float64{"0": 2, "1": 0.5} {
-			k.ApplyAdvisory(address, answerWith(advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: perSecond}))
+			view.ApplyAdvisory(address, answerWith(advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: perSecond}))
 		}
-		other := newKnowledge(2)
+		other := newView(2)
 		other.limitPosition = func(string) advisory.Position { return advisory.Position{Rank: 9, Present: 10, Listed: 10} }
-		other.ApplyAdvisoryReports(k.AdvisoryReports())
-		g.Expect(placedIn(other, time.Second)).To(BeEmpty(), "other boxes learn of it, and this one has no share")
+		other.ApplyAdvisoryReports(view.AdvisoryReports())
+		g.Expect(countPlaced(other, time.Second)).To(BeEmpty(), "other boxes learn of it, and this one has no share")
 
-		k.ApplyStatus("r000", engine.Status{Incarnation: "a", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
-		k.ApplyStatus("r000", engine.Status{Incarnation: "b", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
-		g.Expect(placedIn(k, time.Second)["r000"]).To(BeNumerically(">", 50), "the next incarnation has no limit")
+		view.ApplyStatus("r000", engine.Status{Incarnation: "a", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
+		view.ApplyStatus("r000", engine.Status{Incarnation: "b", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
+		g.Expect(countPlaced(view, time.Second)["r000"]).To(BeNumerically(">", 50), "the next incarnation has no limit")
 	})
 }
 
-func TestRunnersThatDrainGetNothing(t *testing.T) {
+func TestDrainingRunnersReceiveNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		k := newKnowledge(2)
-		k.ApplyAdvisory("0", answerWith(advisory.Advisory{Draining: true}))
-		g.Expect(placedIn(k, time.Second)).To(Equal(map[string]int{"r001": 100}))
-		other := newKnowledge(2)
-		other.ApplyAdvisoryReports(k.AdvisoryReports())
-		g.Expect(placedIn(other, time.Second)).To(Equal(map[string]int{"r001": 100}), "other boxes learn of it")
+		view := newView(2)
+		view.ApplyAdvisory("0", answerWith(advisory.Advisory{Draining: true}))
+		g.Expect(countPlaced(view, time.Second)).To(Equal(map[string]int{"r001": 100}))
+		other := newView(2)
+		other.ApplyAdvisoryReports(view.AdvisoryReports())
+		g.Expect(countPlaced(other, time.Second)).To(Equal(map[string]int{"r001": 100}), "other boxes learn of it")
 
 		loaded := []engine.LoadedWeights{{Model: "m", Version: "v1"}}
 		takes := func() bool {
 			policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
-			_, ok := Choose(k, policy, Query{Model: "m", Weights: "v1", Chain: chainOf("rulebook", 4), Exclude: []string{"r001"}})
+			_, ok := Choose(view, policy, Query{Model: "m", Weights: "v1", Chain: chainOf("rulebook", 4), Exclude: []string{"r001"}})
 			return ok
 		}
-		k.ApplyStatus("r000", engine.Status{Leaving: true, Weights: loaded})
+		view.ApplyStatus("r000", engine.Status{Leaving: true, Weights: loaded})
 		g.Expect(takes()).To(BeFalse())
-		k.ApplyStatus("r000", engine.Status{Weights: loaded})
+		view.ApplyStatus("r000", engine.Status{Weights: loaded})
 		g.Expect(takes()).To(BeTrue(), "it says that it stays")
 	})
 }
 
-func TestRunnersThatAskForAPauseGetOne(t *testing.T) {
+func TestPausedRunnersReceiveNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		k := newKnowledge(2)
-		k.ApplyAdvisory("0", answerWith(advisory.Advisory{Pause: 3 * time.Second}))
-		g.Expect(placedIn(k, time.Second)).To(Equal(map[string]int{"r001": 100}))
-		k.ApplyAdvisory("1", answerWith(advisory.Advisory{Pause: time.Second}))
-		g.Expect(k.UnavailableFor("m")).To(Equal(time.Second))
-		g.Expect(placedIn(k, time.Second)).To(BeEmpty())
-		g.Expect(placedIn(k, time.Second)).To(HaveLen(1))
+		view := newView(2)
+		view.ApplyAdvisory("0", answerWith(advisory.Advisory{Pause: 3 * time.Second}))
+		g.Expect(countPlaced(view, time.Second)).To(Equal(map[string]int{"r001": 100}))
+		view.ApplyAdvisory("1", answerWith(advisory.Advisory{Pause: time.Second}))
+		g.Expect(view.UnavailableFor("m")).To(Equal(time.Second))
+		g.Expect(countPlaced(view, time.Second)).To(BeEmpty())
+		g.Expect(countPlaced(view, time.Second)).To(HaveLen(1))
 	})
 }
--- a/internal/zone/choose.go
+++ b/internal/zone/choose.go
@@ -14,9 +14,9 @@
 
 // Handle is a request's hold on a server; Done gives it back.
 type Handle struct {
-	knowledge *View
-	server    *server
-	model     string
+	view   *View
+	server *server
+	model  string
 	// tokens is the prompt work that the decision expected; counted says that
 	// it is still part of the server's sentTokens.
 	tokens  int
@@ -55,69 +55,69 @@
 
 // Choose decides by a policy where a request runs, and counts it there. It
 // reports false when no runner can take it.
-func Choose[P decide.Policy](k *View, policy P, query Query) (Choice, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.snapshot == nil {
+func Choose[P decide.Policy](view *View, policy P, query Query) (Choice, bool) {
+	view.mu.Lock()
+	defer view.mu.Unlock()
+	if view.snapshot == nil {
 		return Choice{}, false
 	}
-	k.fill(query)
-	objectives := k.snapshot.File().Objectives
+	view.fillRunners(query)
+	objectives := view.snapshot.File().Objectives
 	decision := policy.Choose(decide.Query{
 		PromptTokens:     query.Chain.Tokens(),
 		FirstTokenWeight: objectives.FirstTokenWeight,
 		RecomputeWeight:  objectives.RecomputeWeight,
-	}, k.runners)
+	}, view.runners)
 	if decision.Runner == decide.NoRunner {
 		return Choice{}, false
 	}
-	chosen := k.servers[decision.Runner]
+	chosen := view.servers[decision.Runner]
 	handle := &Handle{
-		knowledge: k, server: chosen, model: query.Model, tokens: decision.RecomputedTokens, class: classOf(query.Instant), counted: true,
-		idle: k.runners[decision.Runner].QueuedTokens == 0 && !decision.WithFetch, since: boottime.Now(),
+		view: view, server: chosen, model: query.Model, tokens: decision.RecomputedTokens, class: classOf(query.Instant), counted: true,
+		idle: view.runners[decision.Runner].QueuedTokens == 0 && !decision.WithFetch, since: boottime.Now(),
 	}
-	k.noteRun(chosen, boottime.Now())
+	view.noteRun(chosen, boottime.Now())
 	chosen.sent++
 	chosen.sentTokens[handle.class] += decision.RecomputedTokens
-	k.index.AddExpected(chosen.place, query.Chain)
-	return Choice{Server: chosen.config, Decision: decision, WarmTokens: k.warm[decision.Runner], Handle: handle}, true
+	view.index.AddExpected(chosen.runnerIndex, query.Chain)
+	return Choice{Server: chosen.config, Decision: decision, WarmTokens: view.warm[decision.Runner], Handle: handle}, true
 }
 
 // fill writes what is known of each server for one query into the scratch space.
-func (k *View) fill(query Query) {
-	if cap(k.runners) < len(k.servers) {
-		k.runners = make([]decide.Runner, MaxRunners)
-		k.warm = make([]int, MaxRunners)
-	}
-	k.runners = k.runners[:len(k.servers)]
-	k.warm = k.warm[:len(k.servers)]
-	k.index.WarmTokens(query.Chain, k.warm)
-	home := homeOf(query)
+func (v *View) fillRunners(query Query) {
+	if cap(v.runners) < len(v.servers) {
+		v.runners = make([]decide.Runner, MaxRunners)
+		v.warm = make([]int, MaxRunners)
+	}
+	v.runners = v.runners[:len(v.servers)]
+	v.warm = v.warm[:len(v.servers)]
+	v.index.WarmTokens(query.Chain, v.warm)
+	home := affinityKey(query)
 	now := boottime.Now()
-	for place, known := range k.servers {
-		k.runners[place] = decide.Runner{}
-		if known == nil || !known.eligible(query, now) || !k.takesRun(known, now) {
+	for i, srv := range v.servers {
+		v.runners[i] = decide.Runner{}
+		if srv == nil || !srv.eligible(query, now) || !v.acceptsRun(srv, now) {
 			continue
 		}
-		k.runners[place] = known.describe(k.rate(known, query.Model), classOf(query.Instant), k.warm[place], home, now)
-		k.runners[place].Fetch = query.Fetch
+		v.runners[i] = srv.toRunner(v.rate(srv, query.Model), classOf(query.Instant), v.warm[i], home, now)
+		v.runners[i].Fetch = query.Fetch
 	}
 }
 
 // homeDepth is the depth of the block that gives a prompt its home. Prompts that
 // share their first thousands of tokens share a home.
-const homeDepth = 8
+const affinityDepth = 8
 
-func homeOf(query Query) uint64 {
+func affinityKey(query Query) uint64 {
 	keys := query.Chain.Keys()
 	if len(keys) == 0 {
 		return query.RequestHash
 	}
-	return keys[min(homeDepth, len(keys))-1].Short()
+	return keys[min(affinityDepth, len(keys))-1].Short()
 }
 
 func (s *server) eligible(query Query, now time.Time) bool {
-	if s.config.Role != config.RoleRunner || s.leaves() || s.evacuated || s.coolingDown(now) {
+	if s.config.Role != config.RoleRunner || s.isLeaving() || s.evacuated || s.coolingDown(now) {
 		return false
 	}
 	for _, name := range query.Exclude {
@@ -125,10 +125,10 @@
 			return false
 		}
 	}
-	return s.holds(query.Model, query.Weights)
+	return s.hasWeights(query.Model, query.Weights)
 }
 
-func (s *server) leaves() bool { return s.leaving || s.listedLeaving || s.advised.Draining() }
+func (s *server) isLeaving() bool { return s.leaving || s.listedLeaving || s.advisoryState.Draining() }
 
 func (s *server) coolingDown(now time.Time) bool {
 	return !s.failedAt.IsZero() && now.Sub(s.failedAt) < coolDown
@@ -136,7 +136,7 @@
 
 // holds reports whether the server has the wanted weights. Before the first
 // report the configuration is believed: the engine checks for itself.
-func (s *server) holds(model, weights string) bool {
+func (s *server) hasWeights(model, weights string) bool {
 	if s.reportedAt.IsZero() {
 		for _, name := range s.config.Models {
 			if name == model {
@@ -155,24 +155,24 @@
 
 // rate gives the prefill rate of a model on a server: what was learnt, or the
 // operators' first guess.
-func (k *View) rate(known *server, model string) float64 {
-	if rate := known.rates[model]; rate > 0 {
+func (v *View) rate(srv *server, model string) float64 {
+	if rate := srv.rates[model]; rate > 0 {
 		return rate
 	}
-	if entry, ok := k.snapshot.Model(model); ok {
+	if entry, ok := v.snapshot.Model(model); ok {
 		return entry.PrefillTokensPerSecond
 	}
 	return config.DefaultPrefillTokensPerSecond
 }
 
-func (s *server) describe(rate float64, class, warm int, home uint64, now time.Time) decide.Runner {
+func (s *server) toRunner(rate float64, class, warm int, home uint64, now time.Time) decide.Runner {
 	age := now.Sub(s.reportedAt)
 	queued := float64(s.sentTokens.ahead(class))
 	running := s.sent
 	if age < staleAfter {
 		// The report counts the work of all entry boxes, also this one's, and
 		// what it counted has been worked on since.
-		reported := work{s.status.QueuedInstantTokens, s.status.QueuedTokens - s.status.QueuedInstantTokens}
+		reported := classTokens{s.status.QueuedInstantTokens, s.status.QueuedTokens - s.status.QueuedInstantTokens}
 		others := float64(reported.ahead(class) - s.sentAtReport.ahead(class))
 		queued += max(0, others-rate*age.Seconds())
 		running = max(running, s.status.Running+s.status.Waiting)
@@ -195,23 +195,23 @@
 }
 
 // minLearningTokens is the least prefill work that says something of the rate.
-const minLearningTokens = 4 * prefix.BlockTokens
+const minSampleTokens = 4 * prefix.BlockTokens
 
 // FirstToken notes that the prefill is done, and learns its rate.
 func (h *Handle) FirstToken() {
-	h.knowledge.mu.Lock()
-	defer h.knowledge.mu.Unlock()
-	h.uncount()
+	h.view.mu.Lock()
+	defer h.view.mu.Unlock()
+	h.subtractTokens()
 	seconds := boottime.Since(h.since).Seconds()
-	if !h.idle || h.tokens < minLearningTokens || seconds <= 0 {
+	if !h.idle || h.tokens < minSampleTokens || seconds <= 0 {
 		return
 	}
-	seen := float64(h.tokens) / seconds
-	known := h.knowledge.rate(h.server, h.model)
-	h.server.rates[h.model] = known + learning*(seen-known)
+	observed := float64(h.tokens) / seconds
+	previous := h.view.rate(h.server, h.model)
+	h.server.rates[h.model] = previous + smoothingFactor*(observed-previous)
 }
 
-func (h *Handle) uncount() {
+func (h *Handle) subtractTokens() {
 	if h.counted {
 		h.counted = false
 		h.server.sentTokens[h.class] -= h.tokens
@@ -222,16 +222,16 @@
 // Done gives back the hold on a server. A run that went through teaches how
 // long runs take.
 func (h *Handle) Done(ran bool) {
-	h.knowledge.mu.Lock()
-	defer h.knowledge.mu.Unlock()
+	h.view.mu.Lock()
+	defer h.view.mu.Unlock()
 	if h.done {
 		return
 	}
 	h.done = true
-	h.uncount()
+	h.subtractTokens()
 	h.server.sent--
 	if ran {
 		seconds := boottime.Since(h.since).Seconds()
-		h.server.runSeconds += learning * (seconds - h.server.runSeconds)
+		h.server.runSeconds += smoothingFactor * (seconds - h.server.runSeconds)
 	}
 }
--- a/internal/zone/state.go
+++ b/internal/zone/state.go
@@ -35,23 +35,23 @@
 }
 
 // State describes what is known now.
-func (k *View) State() State {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	state := State{Zone: k.zone, Blocks: k.index.Len(), Gaps: k.gaps, Resyncs: k.resyncs}
+func (v *View) State() State {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	state := State{Zone: v.zone, Blocks: v.index.Len(), Gaps: v.gaps, Resyncs: v.resyncs}
 	now := boottime.Now()
-	for _, known := range k.servers {
-		if known == nil {
+	for _, srv := range v.servers {
+		if srv == nil {
 			continue
 		}
 		entry := ServerState{
-			Name: known.config.Name, Role: known.config.Role, Address: known.config.Address,
-			Leaving: known.leaves(), Failed: known.coolingDown(now), Sent: known.sent, SentTokens: known.sentTokens.ahead(classOther),
-			Running: known.status.Running, Waiting: known.status.Waiting, QueuedTokens: known.status.QueuedTokens,
-			EventCursor: known.eventsTo, RunSeconds: known.runSeconds,
+			Name: srv.config.Name, Role: srv.config.Role, Address: srv.config.Address,
+			Leaving: srv.isLeaving(), Failed: srv.coolingDown(now), Sent: srv.sent, SentTokens: srv.sentTokens.ahead(classOther),
+			Running: srv.status.Running, Waiting: srv.status.Waiting, QueuedTokens: srv.status.QueuedTokens,
+			EventCursor: srv.eventCursor, RunSeconds: srv.runSeconds,
 		}
-		if !known.reportedAt.IsZero() {
-			entry.ReportAge = now.Sub(known.reportedAt).Round(time.Millisecond).String()
+		if !srv.reportedAt.IsZero() {
+			entry.ReportAge = now.Sub(srv.reportedAt).Round(time.Millisecond).String()
 		}
 		state.Servers = append(state.Servers, entry)
 	}
@@ -59,13 +59,13 @@
 }
 
 // Runners lists the runners of the zone with their addresses, for the watchers.
-func (k *View) Runners() []*config.BackendServer {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (v *View) Runners() []*config.BackendServer {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	var runners []*config.BackendServer
-	for _, known := range k.servers {
-		if known != nil && known.config.Role == config.RoleRunner {
-			runners = append(runners, known.config)
+	for _, srv := range v.servers {
+		if srv != nil && srv.config.Role == config.RoleRunner {
+			runners = append(runners, srv.config)
 		}
 	}
 	return runners
@@ -73,57 +73,57 @@
 
 // Reports gives the last load report of each runner that answers. One that has
 // failed is left out: its last report may say for ever that it is loading.
-func (k *View) Reports() []rollout.Report {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (v *View) Reports() []rollout.Report {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	now := boottime.Now()
 	var reports []rollout.Report
-	for _, known := range k.servers {
-		if known != nil && known.config.Role == config.RoleRunner && !known.reportedAt.IsZero() && !known.coolingDown(now) {
-			reports = append(reports, rollout.Report{Server: known.config, Weights: known.status.Weights, Leaving: known.leaves()})
+	for _, srv := range v.servers {
+		if srv != nil && srv.config.Role == config.RoleRunner && !srv.reportedAt.IsZero() && !srv.coolingDown(now) {
+			reports = append(reports, rollout.Report{Server: srv.config, Weights: srv.status.Weights, Leaving: srv.isLeaving()})
 		}
 	}
 	return reports
 }
 
 // Slots sums the batch slots of the runners that may get new work.
-func (k *View) Slots() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (v *View) Slots() int {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	slots := 0
 	now := boottime.Now()
-	for _, known := range k.servers {
-		if known != nil && known.config.Role == config.RoleRunner && !known.leaves() && !known.coolingDown(now) {
-			slots += known.config.Slots
+	for _, srv := range v.servers {
+		if srv != nil && srv.config.Role == config.RoleRunner && !srv.isLeaving() && !srv.coolingDown(now) {
+			slots += srv.config.Slots
 		}
 	}
 	return slots
 }
 
 // Incarnation gives the life of a server by its last report, and whether it is to end.
-func (k *View) Incarnation(name string) (life string, leaving bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	known, ok := k.byName[name]
+func (v *View) Incarnation(name string) (life string, leaving bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	srv, ok := v.byName[name]
 	if !ok {
 		return "", false
 	}
-	return known.incarnation, known.leaves()
+	return srv.incarnation, srv.isLeaving()
 }
 
 // Available reports whether a plain service's server may get new work.
-func (k *View) Available(name string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	known, ok := k.byName[name]
-	return ok && !known.leaves() && !known.coolingDown(boottime.Now()) && k.takesRun(known, boottime.Now())
+func (v *View) Available(name string) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	srv, ok := v.byName[name]
+	return ok && !srv.isLeaving() && !srv.coolingDown(boottime.Now()) && v.acceptsRun(srv, boottime.Now())
 }
 
 // NoteCall counts a call of a plain service against its server's rate limit.
-func (k *View) NoteCall(name string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if known := k.byName[name]; known != nil {
-		k.noteRun(known, boottime.Now())
+func (v *View) NoteCall(name string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if srv := v.byName[name]; srv != nil {
+		v.noteRun(srv, boottime.Now())
 	}
 }
--- a/internal/zone/suspended_test.go
+++ b/internal/zone/suspended_test.go
@@ -17,10 +17,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		machine := suspendtest.New(t)
-		k := newKnowledge(1)
-		k.ApplyAdvisory("0", answerWith(advisory.Advisory{Pause: 3 * time.Second}))
-		g.Expect(placedIn(k, 100*time.Millisecond)).To(BeEmpty())
+		view := newView(1)
+		view.ApplyAdvisory("0", answerWith(advisory.Advisory{Pause: 3 * time.Second}))
+		g.Expect(countPlaced(view, 100*time.Millisecond)).To(BeEmpty())
 		machine.Suspend(3 * time.Second)
-		g.Expect(placedIn(k, 100*time.Millisecond)).To(HaveLen(1))
+		g.Expect(countPlaced(view, 100*time.Millisecond)).To(HaveLen(1))
 	})
 }
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -30,7 +30,7 @@
 	// staleAfter is the age at which a load report says nothing any more.
 	staleAfter = 10 * time.Second
 	// learning is the weight of the newest observation in a learnt rate.
-	learning = 0.1
+	smoothingFactor = 0.1
 	// firstRunSeconds is the guess for a run's time before any was seen.
 	firstRunSeconds = 1.0
 )
@@ -64,7 +64,7 @@
 // server is what is known of one backend server.
 type server struct {
 	config *config.BackendServer
-	place  int
+	runnerIndex  int
 	hash   uint64
 
 	status     engine.Status
@@ -77,17 +77,17 @@
 	// evacuated says that its zone is.
 	evacuated bool
 	// advised is what the server says of itself in its answers.
-	advised advisory.Server
+	advisoryState advisory.Server
 
 	// sent counts the runs that this box has sent and that are not finished,
 	// sentTokens their prompt work that has not led to a first token yet.
 	sent       int
-	sentTokens work
+	sentTokens classTokens
 	// sentAtReport is what sentTokens was when the last report came: the part
 	// of the report that this box counts itself.
-	sentAtReport work
+	sentAtReport classTokens
 	// eventsTo is the sequence number up to which cache events are folded.
-	eventsTo int64
+	eventCursor int64
 	// syncedAt is when the last snapshot came.
 	syncedAt    time.Time
 	incarnation string
@@ -98,7 +98,7 @@
 
 // work is prompt work in tokens, by class: an engine prefills instant requests
 // before all others, so only theirs is ahead of another instant one.
-type work [classes]int
+type classTokens [classes]int
 
 const (
 	classInstant = iota
@@ -114,7 +114,7 @@
 }
 
 // ahead sums the work that goes before a new request of a class.
-func (w work) ahead(class int) int {
+func (w classTokens) ahead(class int) int {
 	tokens := 0
 	for _, part := range w[:class+1] {
 		tokens += part
@@ -128,170 +128,170 @@
 }
 
 // Zone names the availability zone.
-func (k *View) Zone() string { return k.zone }
+func (v *View) Zone() string { return v.zone }
 
 // Configure takes over the servers of a new configuration. What is known of
 // servers that stay is kept.
-func (k *View) Configure(snapshot *config.Snapshot) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.snapshot = snapshot
+func (v *View) Configure(snapshot *config.Snapshot) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.snapshot = snapshot
 	wanted := map[string]bool{}
 	for i := range snapshot.File().BackendServers {
 		entry := &snapshot.File().BackendServers[i]
-		if entry.Zone != k.zone || entry.Role == config.RoleStoreBox {
+		if entry.Zone != v.zone || entry.Role == config.RoleStoreBox {
 			continue
 		}
 		wanted[entry.Name] = true
-		k.put(entry)
+		v.putServer(entry)
 	}
-	evacuated := snapshot.Evacuated(k.zone)
-	for name, known := range k.byName {
+	evacuated := snapshot.Evacuated(v.zone)
+	for name, srv := range v.byName {
 		if !wanted[name] {
-			k.remove(known)
+			v.removeServer(srv)
 		}
-		known.evacuated = evacuated
+		srv.evacuated = evacuated
 	}
 }
 
-func (k *View) put(entry *config.BackendServer) {
-	if known, ok := k.byName[entry.Name]; ok && known.config.Address == entry.Address {
-		known.config = entry
+func (v *View) putServer(entry *config.BackendServer) {
+	if srv, ok := v.byName[entry.Name]; ok && srv.config.Address == entry.Address {
+		srv.config = entry
 		return
 	} else if ok {
-		k.remove(known)
+		v.removeServer(srv)
 	}
-	place := k.freePlace()
-	if place >= MaxRunners {
+	index := v.freeIndex()
+	if index >= MaxRunners {
 		return
 	}
-	added := &server{config: entry, place: place, hash: xxhash.Sum64String(entry.Name), runSeconds: firstRunSeconds, syncedAt: boottime.Now(), rates: map[string]float64{}}
-	if place == len(k.servers) {
-		k.servers = append(k.servers, nil)
+	added := &server{config: entry, runnerIndex: index, hash: xxhash.Sum64String(entry.Name), runSeconds: firstRunSeconds, syncedAt: boottime.Now(), rates: map[string]float64{}}
+	if index == len(v.servers) {
+		v.servers = append(v.servers, nil)
 	}
-	k.servers[place] = added
-	k.byName[entry.Name] = added
+	v.servers[index] = added
+	v.byName[entry.Name] = added
 }
 
-func (k *View) freePlace() int {
-	for place, known := range k.servers {
-		if known == nil {
-			return place
+func (v *View) freeIndex() int {
+	for index, srv := range v.servers {
+		if srv == nil {
+			return index
 		}
 	}
-	return len(k.servers)
+	return len(v.servers)
 }
 
-func (k *View) remove(known *server) {
-	k.index.Clear(known.place)
-	k.servers[known.place] = nil
-	delete(k.byName, known.config.Name)
+func (v *View) removeServer(srv *server) {
+	v.index.Clear(srv.runnerIndex)
+	v.servers[srv.runnerIndex] = nil
+	delete(v.byName, srv.config.Name)
 }
 
 // ApplyStatus takes over a load report.
-func (k *View) ApplyStatus(name string, status engine.Status) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	known, ok := k.byName[name]
+func (v *View) ApplyStatus(name string, status engine.Status) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	srv, ok := v.byName[name]
 	if !ok {
 		return
 	}
-	if known.incarnation != status.Incarnation {
-		k.index.Clear(known.place)
-		if known.incarnation != "" {
-			known.advised = advisory.Server{}
+	if srv.incarnation != status.Incarnation {
+		v.index.Clear(srv.runnerIndex)
+		if srv.incarnation != "" {
+			srv.advisoryState = advisory.Server{}
 		}
-		known.incarnation = status.Incarnation
-		known.eventsTo = 0
+		srv.incarnation = status.Incarnation
+		srv.eventCursor = 0
 	}
-	if known.leaving && !status.Leaving {
-		known.advised.NoteReady(boottime.Now())
+	if srv.leaving && !status.Leaving {
+		srv.advisoryState.NoteReady(boottime.Now())
 	}
-	known.status = status
-	known.reportedAt = boottime.Now()
-	known.leaving = status.Leaving
-	known.failedAt = time.Time{}
-	known.sentAtReport = known.sentTokens
+	srv.status = status
+	srv.reportedAt = boottime.Now()
+	srv.leaving = status.Leaving
+	srv.failedAt = time.Time{}
+	srv.sentAtReport = srv.sentTokens
 }
 
 // NoteFailure notes that a server was not to be reached.
-func (k *View) NoteFailure(name string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if known, ok := k.byName[name]; ok {
-		known.failedAt = boottime.Now()
+func (v *View) NoteFailure(name string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if srv, ok := v.byName[name]; ok {
+		srv.failedAt = boottime.Now()
 	}
 }
 
 // SetListedLeaving takes over which servers the platform lists as leaving. The list may
 // only take servers out: one that says itself that it leaves stays out, whatever
 // the list says, and one that the list calls live gets nothing for that.
-func (k *View) SetListedLeaving(leaving []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, known := range k.servers {
-		if known != nil {
-			known.listedLeaving = slices.Contains(leaving, known.config.Name)
+func (v *View) SetListedLeaving(leaving []string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, srv := range v.servers {
+		if srv != nil {
+			srv.listedLeaving = slices.Contains(leaving, srv.config.Name)
 		}
 	}
 }
 
 // EventCursor gives the sequence number after which cache events are wanted.
-func (k *View) EventCursor(name string) int64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	known, ok := k.byName[name]
+func (v *View) EventCursor(name string) int64 {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	srv, ok := v.byName[name]
 	if !ok {
 		return 0
 	}
-	if boottime.Since(known.syncedAt) > resyncEvery {
-		return snapshotWanted
+	if boottime.Since(srv.syncedAt) > resyncInterval {
+		return snapshotCursor
 	}
-	return known.eventsTo
+	return srv.eventCursor
 }
 
 // resyncEvery is the time after which a runner's whole cache is asked for anew. A
 // box expects a runner to hold what it sends there; what then does not come to be
 // is never reported as removed.
-const resyncEvery = 10 * time.Minute
+const resyncInterval = 10 * time.Minute
 
 // ApplyCacheEvents takes over cache events. Where events are missing in between, it asks for
 // a snapshot the next time, since nobody knows which blocks went in the gap.
-func (k *View) ApplyCacheEvents(name string, events engine.CacheEvents) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	known, ok := k.byName[name]
+func (v *View) ApplyCacheEvents(name string, events engine.CacheEvents) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	srv, ok := v.byName[name]
 	if !ok {
 		return
 	}
-	if events.Incarnation != known.incarnation || events.Snapshot {
-		k.index.Clear(known.place)
-		known.incarnation = events.Incarnation
+	if events.Incarnation != srv.incarnation || events.Snapshot {
+		v.index.Clear(srv.runnerIndex)
+		srv.incarnation = events.Incarnation
 	}
-	next := known.eventsTo + 1
+	next := srv.eventCursor + 1
 	for _, event := range events.Events {
 		if !events.Snapshot && event.Sequence != next {
-			k.gap(known)
+			v.noteGap(srv)
 			return
 		}
 		next++
-		k.index.ApplyEvent(known.place, event)
+		v.index.ApplyEvent(srv.runnerIndex, event)
 	}
 	if !events.Snapshot && next != events.Last+1 {
-		k.gap(known)
+		v.noteGap(srv)
 		return
 	}
 	if events.Snapshot {
-		k.resyncs++
-		known.syncedAt = boottime.Now()
+		v.resyncs++
+		srv.syncedAt = boottime.Now()
 	}
-	known.eventsTo = events.Last
+	srv.eventCursor = events.Last
 }
 
 // snapshotWanted is a sequence number that no engine holds events after.
-const snapshotWanted = -1
+const snapshotCursor = -1
 
-func (k *View) gap(known *server) {
-	k.gaps++
-	known.eventsTo = snapshotWanted
+func (v *View) noteGap(srv *server) {
+	v.gaps++
+	srv.eventCursor = snapshotCursor
 }
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -16,10 +16,10 @@
 )
 
 // newKnowledge knows a zone with so many runners of one model.
-func newKnowledge(runners int) *View {
-	k := New(Config{Zone: "a"})
-	k.Configure(snapshotOf(runners, false))
-	return k
+func newView(runners int) *View {
+	view := New(Config{Zone: "a"})
+	view.Configure(snapshotOf(runners, false))
+	return view
 }
 
 // snapshotOf is a configuration of a zone with so many runners.
@@ -45,18 +45,18 @@
 	return snapshot
 }
 
-func TestRunnersOfAnEvacuatedZoneGetNothing(t *testing.T) {
+func TestRunnersOfAnEvacuatedZoneReceiveNoRequests(t *testing.T) {
 	g := NewWithT(t)
-	k := newKnowledge(2)
+	view := newView(2)
 	placed := func() bool {
 		policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
-		_, ok := Choose(k, policy, Query{Model: "m", Weights: "v1", Chain: chainOf("rulebook", 4)})
+		_, ok := Choose(view, policy, Query{Model: "m", Weights: "v1", Chain: chainOf("rulebook", 4)})
 		return ok
 	}
 	g.Expect(placed()).To(BeTrue())
-	k.Configure(snapshotOf(2, true))
+	view.Configure(snapshotOf(2, true))
 	g.Expect(placed()).To(BeFalse())
-	k.Configure(snapshotOf(2, false))
+	view.Configure(snapshotOf(2, false))
 	g.Expect(placed()).To(BeTrue())
 }
 
@@ -66,16 +66,16 @@
 	return prefix.NewChain(prefix.NewSalt("o", "m", "v1"), prompt)
 }
 
-func choose(k *View, chain prefix.Chain) Choice {
+func choose(view *View, chain prefix.Chain) Choice {
 	policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
-	choice, ok := Choose(k, policy, Query{Model: "m", Weights: "v1", Chain: chain})
+	choice, ok := Choose(view, policy, Query{Model: "m", Weights: "v1", Chain: chain})
 	if !ok {
 		panic("no runner")
 	}
 	return choice
 }
 
-func stored(chain prefix.Chain, from int64) engine.CacheEvents {
+func storedEvents(chain prefix.Chain, from int64) engine.CacheEvents {
 	events := engine.CacheEvents{Incarnation: "i", Last: from}
 	for i, key := range chain.Keys() {
 		events.Last++
@@ -84,147 +84,147 @@
 	return events
 }
 
-func TestAReturningPromptGoesWhereItIsWarm(t *testing.T) {
+func TestARepeatedPromptGoesToTheWarmRunner(t *testing.T) {
 	g := NewWithT(t)
-	k := newKnowledge(8)
+	view := newView(8)
 	chain := chainOf("rulebook", 100)
-	first := choose(k, chain)
+	first := choose(view, chain)
 	g.Expect(first.Decision.RecomputedTokens).To(Equal(chain.Tokens()))
 	first.Handle.FirstToken()
 	first.Handle.Done(true)
-	again := choose(k, chain)
+	again := choose(view, chain)
 	g.Expect(again.Server.Name).To(Equal(first.Server.Name))
 	g.Expect(again.WarmTokens).To(Equal(96*prefix.BlockTokens), "the deepest landmark within 100 blocks")
 }
 
-func TestGapsInTheEventsLeadToASnapshot(t *testing.T) {
+func TestAnEventGapRequestsASnapshot(t *testing.T) {
 	g := NewWithT(t)
-	k := newKnowledge(2)
+	view := newView(2)
 	chain := chainOf("a", 8)
-	k.ApplyStatus("r000", engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
-	events := stored(chain, 0)
-	k.ApplyCacheEvents("r000", events)
-	g.Expect(k.EventCursor("r000")).To(Equal(int64(8)))
+	view.ApplyStatus("r000", engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
+	events := storedEvents(chain, 0)
+	view.ApplyCacheEvents("r000", events)
+	g.Expect(view.EventCursor("r000")).To(Equal(int64(8)))
 	lost := engine.CacheEvents{Incarnation: "i", Last: 12, Events: []engine.CacheEvent{{Sequence: 9, Kind: engine.BlockRemoved, Key: chain.Keys()[7], Depth: 8}, {Sequence: 11, Kind: engine.BlockStored, Depth: 1}}}
-	k.ApplyCacheEvents("r000", lost)
-	g.Expect(k.EventCursor("r000")).To(Equal(int64(snapshotWanted)))
-	g.Expect(k.State().Gaps).To(Equal(uint64(1)))
-	snapshot := stored(chainOf("b", 4), 0)
+	view.ApplyCacheEvents("r000", lost)
+	g.Expect(view.EventCursor("r000")).To(Equal(int64(snapshotCursor)))
+	g.Expect(view.State().Gaps).To(Equal(uint64(1)))
+	snapshot := storedEvents(chainOf("b", 4), 0)
 	snapshot.Snapshot, snapshot.Last = true, 40
-	k.ApplyCacheEvents("r000", snapshot)
-	g.Expect(k.EventCursor("r000")).To(Equal(int64(40)))
+	view.ApplyCacheEvents("r000", snapshot)
+	g.Expect(view.EventCursor("r000")).To(Equal(int64(40)))
 	warm := make([]int, 2)
-	k.index.WarmTokens(chain, warm)
+	view.index.WarmTokens(chain, warm)
 	g.Expect(warm).To(Equal([]int{0, 0}), "what was known before the gap is forgotten")
 }
 
-func TestARestartedEngineHasLostItsCache(t *testing.T) {
+func TestARestartClearsTheCacheIndex(t *testing.T) {
 	g := NewWithT(t)
-	k := newKnowledge(1)
+	view := newView(1)
 	chain := chainOf("a", 8)
-	k.ApplyCacheEvents("r000", stored(chain, 0))
-	k.ApplyStatus("r000", engine.Status{Incarnation: "another"})
-	g.Expect(k.State().Blocks).To(BeZero())
-	g.Expect(k.EventCursor("r000")).To(BeZero())
+	view.ApplyCacheEvents("r000", storedEvents(chain, 0))
+	view.ApplyStatus("r000", engine.Status{Incarnation: "another"})
+	g.Expect(view.State().Blocks).To(BeZero())
+	g.Expect(view.EventCursor("r000")).To(BeZero())
 }
 
-func TestServersThatLeaveFailOrHoldOtherWeightsGetNothing(t *testing.T) {
+func TestIneligibleServersReceiveNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		k := newKnowledge(4)
+		view := newView(4)
 		loaded := func(version string) engine.Status {
 			return engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: version}}}
 		}
-		k.ApplyStatus("r000", engine.Status{Incarnation: "i", Leaving: true, Weights: loaded("v1").Weights})
-		k.ApplyStatus("r001", loaded("v2"))
-		k.ApplyStatus("r002", loaded("v1"))
-		k.ApplyStatus("r003", loaded("v1"))
-		k.NoteFailure("r002")
+		view.ApplyStatus("r000", engine.Status{Incarnation: "i", Leaving: true, Weights: loaded("v1").Weights})
+		view.ApplyStatus("r001", loaded("v2"))
+		view.ApplyStatus("r002", loaded("v1"))
+		view.ApplyStatus("r003", loaded("v1"))
+		view.NoteFailure("r002")
 		for range 20 {
-			g.Expect(choose(k, chainOf("x", 1)).Server.Name).To(Equal("r003"))
+			g.Expect(choose(view, chainOf("x", 1)).Server.Name).To(Equal("r003"))
 		}
 		time.Sleep(coolDown)
 		seen := map[string]bool{}
 		for range 50 {
-			seen[choose(k, chainOf("x", 1)).Server.Name] = true
+			seen[choose(view, chainOf("x", 1)).Server.Name] = true
 		}
 		g.Expect(seen).To(Equal(map[string]bool{"r002": true, "r003": true}))
 	})
 }
 
-func TestTheListOnlyTakesServersOut(t *testing.T) {
+func TestTheListOnlyRemovesServers(t *testing.T) {
 	g := NewWithT(t)
-	k := newKnowledge(2)
+	view := newView(2)
 	status := engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}}
 	leaving := status
 	leaving.Leaving = true
-	k.ApplyStatus("r000", status)
-	k.ApplyStatus("r001", leaving)
+	view.ApplyStatus("r000", status)
+	view.ApplyStatus("r001", leaving)
 	only := func() string {
 		names := map[string]bool{}
 		for range 10 {
-			if choice, ok := Choose(k, decide.Cheapest{}, Query{Model: "m", Weights: "v1", Chain: chainOf("x", 1)}); ok {
+			if choice, ok := Choose(view, decide.Cheapest{}, Query{Model: "m", Weights: "v1", Chain: chainOf("x", 1)}); ok {
 				names[choice.Server.Name] = true
 			}
 		}
 		return fmt.Sprint(names)
 	}
 	g.Expect(only()).To(Equal("map[r000:true]"))
-	k.SetListedLeaving([]string{"r000"})
+	view.SetListedLeaving([]string{"r000"})
 	g.Expect(only()).To(Equal("map[]"), "a list that calls r001 live does not bring it back")
-	k.ApplyStatus("r000", status)
+	view.ApplyStatus("r000", status)
 	g.Expect(only()).To(Equal("map[]"), "nor does a report bring back what the list takes out")
-	k.SetListedLeaving(nil)
+	view.SetListedLeaving(nil)
 	g.Expect(only()).To(Equal("map[r000:true]"))
 }
 
-func TestARunnerThatFailedIsNotReported(t *testing.T) {
+func TestAFailedRunnerIsNotReported(t *testing.T) {
 	g := NewWithT(t)
-	k := newKnowledge(2)
+	view := newView(2)
 	loading := engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1", Loading: "v2"}}}
-	k.ApplyStatus("r000", loading)
-	k.ApplyStatus("r001", loading)
-	g.Expect(k.Reports()).To(HaveLen(2))
-	k.NoteFailure("r000")
-	g.Expect(k.Reports()).To(HaveLen(1))
+	view.ApplyStatus("r000", loading)
+	view.ApplyStatus("r001", loading)
+	g.Expect(view.Reports()).To(HaveLen(2))
+	view.NoteFailure("r000")
+	g.Expect(view.Reports()).To(HaveLen(1))
 }
 
 // What a box expected of runs that never came to be is never reported as
 // removed. Without a snapshot now and then the index would only grow.
-func TestExpectationsThatFailedAreForgotten(t *testing.T) {
+func TestUnfulfilledExpectedBlocksAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		k := newKnowledge(1)
-		k.ApplyCacheEvents("r000", engine.CacheEvents{Incarnation: "i", Snapshot: true, Last: 7})
-		g.Expect(k.EventCursor("r000")).To(Equal(int64(7)))
+		view := newView(1)
+		view.ApplyCacheEvents("r000", engine.CacheEvents{Incarnation: "i", Snapshot: true, Last: 7})
+		g.Expect(view.EventCursor("r000")).To(Equal(int64(7)))
 		for i := range 100 {
-			choose(k, chainOf(fmt.Sprint("lost ", i), 8)).Handle.Done(false)
+			choose(view, chainOf(fmt.Sprint("lost ", i), 8)).Handle.Done(false)
 		}
-		g.Expect(k.State().Blocks).To(BeNumerically(">", 100))
-		time.Sleep(resyncEvery + time.Second)
-		g.Expect(k.EventCursor("r000")).To(Equal(int64(snapshotWanted)))
-		k.ApplyCacheEvents("r000", engine.CacheEvents{Incarnation: "i", Snapshot: true, Last: 7})
-		g.Expect(k.State().Blocks).To(BeZero())
-		g.Expect(k.EventCursor("r000")).To(Equal(int64(7)))
+		g.Expect(view.State().Blocks).To(BeNumerically(">", 100))
+		time.Sleep(resyncInterval + time.Second)
+		g.Expect(view.EventCursor("r000")).To(Equal(int64(snapshotCursor)))
+		view.ApplyCacheEvents("r000", engine.CacheEvents{Incarnation: "i", Snapshot: true, Last: 7})
+		g.Expect(view.State().Blocks).To(BeZero())
+		g.Expect(view.EventCursor("r000")).To(Equal(int64(7)))
 	})
 }
 
 // Herding: with reports that lag, a box that trusts them alone sends everything
 // to the runner that was idle when they were made.
-func TestStaleReportsDoNotMakeAHerd(t *testing.T) {
+func TestStaleReportsDoNotCauseHerding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		k := newKnowledge(10)
+		view := newView(10)
 		for i := range 10 {
 			status := engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}, QueuedTokens: 5000}
 			if i == 3 {
 				status.QueuedTokens = 0 // was idle a while ago
 			}
-			k.ApplyStatus(fmt.Sprintf("r%03d", i), status)
+			view.ApplyStatus(fmt.Sprintf("r%03d", i), status)
 		}
 		sent := map[string]int{}
 		for i := range 200 {
-			sent[choose(k, chainOf(fmt.Sprint("prompt ", i), 8)).Server.Name]++
+			sent[choose(view, chainOf(fmt.Sprint("prompt ", i), 8)).Server.Name]++
 		}
 		most := 0
 		for _, count := range sent {
@@ -235,23 +235,23 @@
 	})
 }
 
-func TestWhatABoxSentItselfIsNotCountedTwice(t *testing.T) {
+func TestOwnRequestsAreNotCountedTwice(t *testing.T) {
 	g := NewWithT(t)
-	k := newKnowledge(1)
-	choice := choose(k, chainOf("a", 40))
+	view := newView(1)
+	choice := choose(view, chainOf("a", 40))
 	tokens := choice.Decision.RecomputedTokens
-	k.ApplyStatus("r000", engine.Status{Incarnation: "i", QueuedTokens: tokens, Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
-	k.fill(Query{Model: "m", Weights: "v1"})
-	g.Expect(k.runners[0].QueuedTokens).To(Equal(float64(tokens)))
+	view.ApplyStatus("r000", engine.Status{Incarnation: "i", QueuedTokens: tokens, Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
+	view.fillRunners(Query{Model: "m", Weights: "v1"})
+	g.Expect(view.runners[0].QueuedTokens).To(Equal(float64(tokens)))
 	choice.Handle.FirstToken()
 	choice.Handle.Done(true)
-	k.fill(Query{Model: "m", Weights: "v1"})
-	g.Expect(k.runners[0].QueuedTokens).To(BeNumerically("<=", float64(tokens)))
-	g.Expect(k.State().Servers[0].SentTokens).To(BeZero())
+	view.fillRunners(Query{Model: "m", Weights: "v1"})
+	g.Expect(view.runners[0].QueuedTokens).To(BeNumerically("<=", float64(tokens)))
+	g.Expect(view.State().Servers[0].SentTokens).To(BeZero())
 }
 
 // The index against a plain map of sets.
-func TestTheIndexMatchesANaiveOne(t *testing.T) {
+func TestTheIndexMatchesBruteForce(t *testing.T) {
 	const seed = 20261202
 	random := rand.New(rand.NewPCG(seed, 0))
 	index := NewIndex()
@@ -277,14 +277,14 @@
 		warm := make([]int, MaxRunners)
 		index.WarmTokens(query, warm)
 		for r := range warm {
-			if want := naiveWarm(naive[r], query); warm[r] != want {
+			if want := bruteForceWarm(naive[r], query); warm[r] != want {
 				t.Fatalf("seed %d: runner %d has %d warm tokens, want %d", seed, r, warm[r], want)
 			}
 		}
 	}
 }
 
-func naiveWarm(blocks map[prefix.Key]bool, chain prefix.Chain) int {
+func bruteForceWarm(blocks map[prefix.Key]bool, chain prefix.Chain) int {
 	for depth := len(chain.Keys()); depth > 0; depth-- {
 		if prefix.IsIndexedDepth(depth) && blocks[chain.Keys()[depth-1]] {
 			return depth * prefix.BlockTokens
@@ -293,12 +293,12 @@
 	return 0
 }
 
-func TestPlacingAllocatesOnlyItsHandle(t *testing.T) {
+func TestChooseAllocatesOnlyTheHandle(t *testing.T) {
 	g := NewWithT(t)
-	k := newKnowledge(82)
+	view := newView(82)
 	chain := chainOf("a", 100)
 	allocations := testing.AllocsPerRun(200, func() {
-		choice, _ := Choose(k, decide.Cheapest{}, Query{Model: "m", Weights: "v1", Chain: chain})
+		choice, _ := Choose(view, decide.Cheapest{}, Query{Model: "m", Weights: "v1", Chain: chain})
 		choice.Handle.Done(true)
 	})
 	g.Expect(allocations).To(BeNumerically("<=", 1))
