--- a/internal/decide/baselines.go
+++ b/internal/decide/baselines.go
@@ -1,9 +1,9 @@
 package decide
 
-// The policies below are what the chosen one is measured against. They are kept
-// because a figure without its baseline says nothing.
+// The policies in this file are the baselines that TwoHomes is compared with. They
+// stay in the code because the figures of a policy mean little without a baseline.
 
-// RoundRobin takes the runners in turn.
+// RoundRobin chooses the eligible runners in turn.
 type RoundRobin struct {
 	next int
 }
@@ -19,7 +19,7 @@
 	return Decision{Runner: NoRunner}
 }
 
-// LeastLoaded takes the runner with the least work before it.
+// LeastLoaded chooses the runner with the shortest wait.
 type LeastLoaded struct{}
 
 // Choose implements Policy.
@@ -27,7 +27,7 @@
 	return lowestRank(query, runners, func(r *Runner) float64 { return queueWait(r) })
 }
 
-// Rendezvous takes the home of the prompt, whatever its load.
+// Rendezvous chooses the home of the prompt by rendezvous hashing and ignores load.
 type Rendezvous struct{}
 
 // Choose implements Policy.
@@ -35,10 +35,12 @@
 	return lowestRank(query, runners, func(r *Runner) float64 { return float64(r.HomeRank) })
 }
 
-// BoundedRendezvous takes the first home in rank whose wait is at most LoadFactor
-// times the mean, or the least loaded runner when there is none.
+// BoundedRendezvous is rendezvous hashing with bounded loads. It chooses the runner
+// of lowest home rank whose wait is at most LoadFactor times the mean wait, or the
+// least loaded runner if all waits are above that.
 type BoundedRendezvous struct {
-	// LoadFactor bounds the wait against the mean; 1.25 is customary.
+	// LoadFactor is the maximum ratio of a runner's wait to the mean wait; 1.25 is a
+	// common value.
 	LoadFactor float64
 }
 
@@ -64,11 +66,11 @@
 	})
 }
 
-// overLimit is above every home rank.
+// overLimit is greater than every home rank, which is a 64-bit number.
 const overLimit = 1 << 65
 
-// GreedyPrefix takes the runner with the most warm tokens, and among equal ones
-// the least loaded.
+// GreedyPrefix chooses the runner with the most cached tokens of the prompt, and the
+// least loaded one if several have as many.
 type GreedyPrefix struct{}
 
 // Choose implements Policy.
@@ -78,9 +80,11 @@
 	})
 }
 
-// wait is the time in seconds that a runner's work takes before a new request.
+// queueWait estimates how long a new request waits on a runner, in seconds: for the
+// prefill queue and for a slot of the batch.
 func queueWait(r *Runner) float64 { return r.QueuedTokens/r.PrefillRate + slotWait(r) }
 
+// lowestRank chooses the eligible runner for which rank returns the lowest value.
 func lowestRank(query Query, runners []Runner, rank func(*Runner) float64) Decision {
 	best, bestRank := NoRunner, 0.0
 	for i := range runners {
@@ -97,6 +101,7 @@
 	return estimateFor(query, runners, best)
 }
 
+// estimateFor returns the decision to run a query on the given runner without a fetch.
 func estimateFor(query Query, runners []Runner, runner int) Decision {
 	decision := Estimate(query, &runners[runner], false)
 	decision.Runner = runner
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/decide"
 )
 
-// randomZone makes a zone as a test of the decision needs it.
+// randomZone returns a random query and the runners of a random zone.
 func randomZone(random *rand.Rand) (decide.Query, []decide.Runner) {
 	query := decide.Query{
 		PromptTokens: random.IntN(100_000), FirstTokenWeight: 1 + 3*random.Float64(), RecomputeWeight: 3 * random.Float64(),
@@ -28,8 +28,8 @@
 	return query, runners
 }
 
-// naive tries every choice and works the cost out from the words of the package
-// comment, one step at a time.
+// bruteForce returns the lowest cost over all choices. It computes each cost directly
+// from the formula of the package comment.
 func bruteForce(query decide.Query, runners []decide.Runner) (cost float64, found bool) {
 	cost = math.Inf(1)
 	for _, runner := range runners {
@@ -37,12 +37,12 @@
 			continue
 		}
 		for _, fetch := range []bool{false, true} {
-			there, transfer := runner.WarmTokens, 0.0
+			present, transfer := runner.WarmTokens, 0.0
 			if fetch {
-				there, transfer = runner.Fetch.Tokens, runner.Fetch.Seconds
+				present, transfer = runner.Fetch.Tokens, runner.Fetch.Seconds
 			}
-			if there > query.PromptTokens {
-				there = query.PromptTokens
+			if present > query.PromptTokens {
+				present = query.PromptTokens
 			}
 			if fetch && runner.Fetch.Tokens <= runner.WarmTokens {
 				continue
@@ -55,7 +55,7 @@
 			if transfer > begin {
 				begin = transfer
 			}
-			prefill := float64(query.PromptTokens-there) / runner.PrefillRate
+			prefill := float64(query.PromptTokens-present) / runner.PrefillRate
 			total := query.FirstTokenWeight*(begin+prefill) + query.RecomputeWeight*prefill
 			if total < cost {
 				cost, found = total, true
@@ -76,9 +76,9 @@
 		if found != (got.Runner != decide.NoRunner) {
 			t.Fatalf("found %v, chose %d", found, got.Runner)
 		}
-		// Costs within a thousandth count as equal and go by home.
+		// Costs that differ by less than 0.1% count as equal and are ordered by home rank.
 		if found && got.Cost > want*1.001+1e-9 {
-			t.Fatalf("chose a cost of %v where %v is to be had", got.Cost, want)
+			t.Fatalf("chose a cost of %v, the lowest cost is %v", got.Cost, want)
 		}
 	}
 }
@@ -97,15 +97,15 @@
 		want    int
 		fetched bool
 	}{
-		{"nobody", nil, decide.NoRunner, false},
-		{"nobody who may", []decide.Runner{with(func(r *decide.Runner) { r.Eligible = false })}, decide.NoRunner, false},
-		{"the warm one of two idle ones", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000 })}, 1, false},
-		{"the idle one when the warm one's queue is longer than the prefill", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000; r.QueuedTokens = 30_000 })}, 0, false},
-		{"the warm one when its queue is short", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000; r.QueuedTokens = 3000 })}, 1, false},
-		{"the home of equal ones", []decide.Runner{with(func(r *decide.Runner) { r.HomeRank = 2 }), with(func(r *decide.Runner) { r.HomeRank = 1 })}, 1, false},
+		{"no runner", nil, decide.NoRunner, false},
+		{"no eligible runner", []decide.Runner{with(func(r *decide.Runner) { r.Eligible = false })}, decide.NoRunner, false},
+		{"the warm runner of two idle ones", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000 })}, 1, false},
+		{"the idle runner when the warm one's queue takes longer than the prefill", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000; r.QueuedTokens = 30_000 })}, 0, false},
+		{"the warm runner when its queue is short", []decide.Runner{idle, with(func(r *decide.Runner) { r.WarmTokens = 9000; r.QueuedTokens = 3000 })}, 1, false},
+		{"the home of runners of equal cost", []decide.Runner{with(func(r *decide.Runner) { r.HomeRank = 2 }), with(func(r *decide.Runner) { r.HomeRank = 1 })}, 1, false},
 		{"a fetch when the link is fast", []decide.Runner{with(func(r *decide.Runner) { r.Fetch = decide.Fetch{Tokens: 9000, Seconds: 1} })}, 0, true},
 		{"no fetch when the link is slow", []decide.Runner{with(func(r *decide.Runner) { r.Fetch = decide.Fetch{Tokens: 9000, Seconds: 60} })}, 0, false},
-		{"the one with a free slot", []decide.Runner{with(func(r *decide.Runner) { r.Running = 4 }), idle}, 1, false},
+		{"the runner with a free slot", []decide.Runner{with(func(r *decide.Runner) { r.Running = 4 }), idle}, 1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -125,7 +125,8 @@
 	g.Expect(testing.AllocsPerRun(100, func() { policy.Choose(query, runners) })).To(BeZero())
 }
 
-// naiveTwoHomes sorts all runners by home and tries the ones that may be taken.
+// bruteForceTwoHomes sorts all runners by home rank and returns the lowest cost of the
+// candidates of TwoHomes.
 func bruteForceTwoHomes(t decide.TwoHomes, query decide.Query, runners []decide.Runner) (cost float64, found bool) {
 	var order []decide.Runner
 	for _, runner := range runners {
@@ -177,7 +178,7 @@
 	for range zones {
 		query, runners := randomZone(random)
 		query.PromptTokens += 1025
-		if random.IntN(2) == 0 { // a zone with idle runners
+		if random.IntN(2) == 0 { // half of the zones have idle runners
 			for i := range runners {
 				runners[i].QueuedTokens *= float64(random.IntN(2))
 				runners[i].Running = random.IntN(runners[i].Slots)
@@ -189,13 +190,13 @@
 			t.Fatalf("found %v, chose %d", found, got.Runner)
 		}
 		if found && math.Abs(got.Cost-want) > 1e-9*math.Max(1, want) {
-			t.Fatalf("chose a cost of %v where %v is to be had", got.Cost, want)
+			t.Fatalf("chose a cost of %v, the lowest cost is %v", got.Cost, want)
 		}
 		if found && got.Runner != (decide.Rendezvous{}).Choose(query, runners).Runner {
 			moved++
 		}
 	}
-	NewWithT(t).Expect(moved).To(BeNumerically(">", zones/100), "some requests must leave their home")
+	NewWithT(t).Expect(moved).To(BeNumerically(">", zones/100), "too few requests were sent to another runner than their home")
 }
 
 func TestTwoHomesNeverMovesToABusyRunner(t *testing.T) {
--- a/internal/decide/twohomes.go
+++ b/internal/decide/twohomes.go
@@ -2,35 +2,36 @@
 
 import "math"
 
-// TwoHomes is the policy in use. Rendezvous hashing gives every prompt a first
-// and a second home; a request leaves its first home only for capacity that
-// would lie idle.
+// TwoHomes is the policy in use. Rendezvous hashing assigns every prompt a first and
+// a second home. A request runs on its first home unless another candidate is cheaper
+// and idle.
 //
-// Cheapest looks better at every single choice and is far worse over time: under
-// load it recomputes a context wherever the queue is short, the copies push
-// other contexts out of the caches, those are recomputed elsewhere too, and the
-// work that this makes keeps the queues long (docs/design/placement.md has the
-// figures). Two rules break the circle. A context has at most two places, so
-// copies are few; and a request moves only to a runner whose wait is below Spare,
-// so when nothing is idle nobody moves, and overload adds no work.
+// Cheapest has the lower cost for each single request, but performs far worse over
+// time. Under load it recomputes a context wherever the queue is short. The copies
+// evict other contexts from the caches, those are recomputed elsewhere too, and the
+// additional work keeps the queues long (docs/design/placement.md has the figures).
+// Two rules prevent this feedback loop. A context has at most two homes, so there
+// are few copies. And a request moves only to a runner whose wait is at most IdleWait,
+// so an overloaded zone without idle runners gets no additional work.
 type TwoHomes struct {
-	// IdleWait is the wait in seconds below which a runner counts as idle.
+	// IdleWait is the wait in seconds up to which a runner counts as idle.
 	IdleWait float64
-	// RecomputeFactor is how many seconds of waiting one second of recomputing is worth,
-	// for a deployment that weighs both alike.
+	// RecomputeFactor is the cost of a second of recomputing in seconds of waiting, for
+	// a deployment that gives both the same weight.
 	RecomputeFactor float64
 }
 
-// Defaults of TwoHomes, from the policy bench.
+// Defaults of TwoHomes, determined with the policy benchmark.
 const (
 	DefaultIdleWait        = 1.0
 	DefaultRecomputeFactor = 4.0
 )
 
-// shortTokens is the length up to which a prompt is not worth keeping together
-// with others: it takes the better of its two places, idle or not. It does not
-// take the best of all, since load reports are the same for every entry box and
-// lag: all boxes would send to the runner that was idle when it reported.
+// maxShortTokens is the length up to which a prompt needs no affinity, since little is
+// gained from its cached prefix. A short prompt goes to the cheapest of its candidates,
+// even if that one is not idle. It does not go to the cheapest of all runners: load
+// reports lag and are the same for every entry box, so all boxes would send to the
+// runner that was idle at the time of its report.
 const maxShortTokens = 1024
 
 // Choose implements Policy.
@@ -52,11 +53,12 @@
 	return best
 }
 
-// homes finds the two eligible runners of lowest home rank, and the one that
-// holds the most of the prompt if that is more than half: after a runner has
-// gone or come, context may be warm where its home no longer is. A smaller part,
-// such as the beginning that all contexts of an organisation share, is no reason
-// to go anywhere; it would draw an organisation's new contexts to one runner.
+// findCandidates returns the two eligible runners of lowest home rank, and the runner
+// that has the most of the prompt in its cache if that is more than half of it: when
+// runners join or leave, the homes change, and the context is still cached at a former
+// home. A smaller part, such as a prefix that all contexts of an organisation share,
+// does not count, since it would send all new contexts of an organisation to the same
+// runner.
 func findCandidates(query Query, runners []Runner) (first, second, warmest int) {
 	first, second, warmest = NoRunner, NoRunner, NoRunner
 	warmestTokens := query.PromptTokens / 2
@@ -79,8 +81,8 @@
 	return first, second, warmest
 }
 
-// weigh gives the better of running a query on a runner with and without a
-// fetch, by a cost in seconds of waiting.
+// bestOn returns the cheaper decision of running a query on a runner with and without
+// a fetch.
 func (t TwoHomes) bestOn(query Query, runners []Runner, index int) Decision {
 	runner := &runners[index]
 	best := t.estimateCost(query, runner, false)
@@ -93,6 +95,8 @@
 	return best
 }
 
+// estimateCost returns the estimate of a query on a runner with a cost in seconds of
+// waiting.
 func (t TwoHomes) estimateCost(query Query, runner *Runner, withFetch bool) Decision {
 	decision := Estimate(query, runner, withFetch)
 	factor := t.RecomputeFactor * math.Max(1, query.RecomputeWeight/query.FirstTokenWeight)
