--- a/internal/zone/advise.go
+++ b/internal/zone/advise.go
@@ -8,7 +8,7 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// ApplyAdvisory takes over what an answer says of the engine at an address.
+// ApplyAdvisory applies the advisory headers of a response from the engine at an address.
 func (v *View) ApplyAdvisory(address string, answer advisory.Answer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -19,7 +19,7 @@
 	}
 }
 
-// AdvisoryReports gives what runners said of themselves in answers to this box, by name.
+// AdvisoryReports returns the advisories that this box received from runners, by the runner's name.
 func (v *View) AdvisoryReports() map[string]*advisory.Report {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -33,7 +33,7 @@
 	return reports
 }
 
-// ApplyAdvisoryReports takes over what another box reports, by name.
+// ApplyAdvisoryReports applies the advisories that another box received, by the runner's name.
 func (v *View) ApplyAdvisoryReports(reports map[string]*advisory.Report) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -45,7 +45,8 @@
 	}
 }
 
-// position gives where this box stands among those that share a runner's rate limit. The caller holds mu.
+// limitPositionFor returns the position of this box among the boxes that share a runner's rate limit.
+// The caller holds mu.
 func (v *View) limitPositionFor(srv *server, now time.Time) advisory.Position {
 	if _, _, limited := srv.advisoryState.Limit(now); !limited || v.limitPosition == nil {
 		return advisory.Position{}
@@ -53,19 +54,19 @@
 	return v.limitPosition(srv.config.Name)
 }
 
-// takesRun reports whether a runner takes a run of this box now by what it says of itself. The caller
+// acceptsRun reports whether a runner's advisories allow this box to send it a run now. The caller
 // holds mu.
 func (v *View) acceptsRun(srv *server, now time.Time) bool {
 	return srv.advisoryState.PausedFor(now) == 0 && srv.advisoryState.HasRoom(now, v.limitPositionFor(srv, now))
 }
 
-// noteRun counts a run of this box against a runner's rate limit. The caller holds mu.
+// noteRun counts a run of this box towards a runner's rate limit. The caller holds mu.
 func (v *View) noteRun(srv *server, now time.Time) {
 	srv.advisoryState.NoteSent(now, v.limitPositionFor(srv, now))
 }
 
-// UnavailableFor is how long no runner of the zone takes a run of this box by what it says of itself; zero while
-// one does, or where that is not known.
+// UnavailableFor returns how long the advisories of all runners of a model forbid this box to send
+// them runs. It is zero if one of them allows it, or if no runner of the model is in use.
 func (v *View) UnavailableFor(model string) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/zone/advise_test.go
+++ b/internal/zone/advise_test.go
@@ -12,12 +12,12 @@
 	"github.com/cometlock/cometlock/internal/engine"
 )
 
-// answerWith is an answer that came just now.
+// answerWith returns a response with an advisory that was received just now.
 func answerWith(said advisory.Advisory) advisory.Answer {
 	return advisory.Answer{Advisory: said, Sent: time.Now(), Received: time.Now(), Genuine: true}
 }
 
-// placedIn counts the runs that each runner gets within a time, if there is one each 10 ms.
+// countPlaced sends a request every 10 ms for the given time and counts the runs on each runner.
 func countPlaced(view *View, length time.Duration) map[string]int {
 	counts := map[string]int{}
 	policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
@@ -53,11 +53,11 @@
 		other := newView(2)
 		other.limitPosition = func(string) advisory.Position { return advisory.Position{Rank: 9, Present: 10, Listed: 10} }
 		other.ApplyAdvisoryReports(view.AdvisoryReports())
-		g.Expect(countPlaced(other, time.Second)).To(BeEmpty(), "other boxes learn of it, and this one has no share")
+		g.Expect(countPlaced(other, time.Second)).To(BeEmpty(), "the limit must apply to other boxes, and this one has no share of it")
 
 		view.ApplyStatus("r000", engine.Status{Incarnation: "a", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
 		view.ApplyStatus("r000", engine.Status{Incarnation: "b", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}})
-		g.Expect(countPlaced(view, time.Second)["r000"]).To(BeNumerically(">", 50), "the next incarnation has no limit")
+		g.Expect(countPlaced(view, time.Second)["r000"]).To(BeNumerically(">", 50), "the limit must not apply to the next incarnation")
 	})
 }
 
@@ -69,7 +69,7 @@
 		g.Expect(countPlaced(view, time.Second)).To(Equal(map[string]int{"r001": 100}))
 		other := newView(2)
 		other.ApplyAdvisoryReports(view.AdvisoryReports())
-		g.Expect(countPlaced(other, time.Second)).To(Equal(map[string]int{"r001": 100}), "other boxes learn of it")
+		g.Expect(countPlaced(other, time.Second)).To(Equal(map[string]int{"r001": 100}), "other boxes must exclude it too")
 
 		loaded := []engine.LoadedWeights{{Model: "m", Version: "v1"}}
 		takes := func() bool {
@@ -80,7 +80,7 @@
 		view.ApplyStatus("r000", engine.Status{Leaving: true, Weights: loaded})
 		g.Expect(takes()).To(BeFalse())
 		view.ApplyStatus("r000", engine.Status{Weights: loaded})
-		g.Expect(takes()).To(BeTrue(), "it says that it stays")
+		g.Expect(takes()).To(BeTrue(), "the runner reports that it is no longer leaving")
 	})
 }
 
--- a/internal/zone/choose.go
+++ b/internal/zone/choose.go
@@ -9,27 +9,27 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-// Choosing: what is known of each server is written down as plain data, the
-// policy decides on it, and the request is counted where it goes.
+// This file chooses a runner for a request: it converts the state of each server into
+// the policy's input, calls the policy, and counts the request on the chosen server.
 
-// Handle is a request's hold on a server; Done gives it back.
+// Handle counts a request on a server until Done is called.
 type Handle struct {
 	view   *View
 	server *server
 	model  string
-	// tokens is the prompt work that the decision expected; counted says that
-	// it is still part of the server's sentTokens.
+	// tokens is the number of tokens that the server has to prefill by the decision's
+	// estimate. counted is true while they are part of the server's sentTokens.
 	tokens  int
 	class   int
 	counted bool
-	// idle says that nothing was ahead, so that the time to first token is the
-	// time of the prefill alone.
+	// idle is true if no prefill was queued and no fetch was needed, so that the time
+	// to first token is the prefill time.
 	idle  bool
 	since time.Time
 	done  bool
 }
 
-// Choice is a decision about servers instead of indexes.
+// Choice is a decision with the server in place of its index.
 type Choice struct {
 	Server     *config.BackendServer
 	Decision   decide.Decision
@@ -37,24 +37,24 @@
 	Handle     *Handle
 }
 
-// Query is a request for a runner.
+// Query describes the request for which to choose a runner.
 type Query struct {
 	Model   string
 	Weights string
 	Chain   prefix.Chain
-	// Instant says that the request goes before those that are not.
+	// Instant is set for requests that engines prefill before all others.
 	Instant bool
-	// RequestHash gives a prompt without a whole block its homes; it differs from
-	// request to request.
+	// RequestHash differs between requests. It determines the homes of a prompt that
+	// is shorter than a block.
 	RequestHash uint64
-	// Fetch is the best way to bring kept context to any runner of the zone.
+	// Fetch is the best transfer of stored context to a runner of the zone.
 	Fetch decide.Fetch
-	// Exclude names servers that were tried already.
+	// Exclude contains the names of servers that were already tried.
 	Exclude []string
 }
 
-// Choose decides by a policy where a request runs, and counts it there. It
-// reports false when no runner can take it.
+// Choose chooses a runner for a request by a policy, and counts the request on it. It
+// returns false if no runner can take the request.
 func Choose[P decide.Policy](view *View, policy P, query Query) (Choice, bool) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -83,7 +83,7 @@
 	return Choice{Server: chosen.config, Decision: decision, WarmTokens: view.warm[decision.Runner], Handle: handle}, true
 }
 
-// fill writes what is known of each server for one query into the scratch space.
+// fillRunners sets runners and warm to the state of each server for one query.
 func (v *View) fillRunners(query Query) {
 	if cap(v.runners) < len(v.servers) {
 		v.runners = make([]decide.Runner, MaxRunners)
@@ -104,10 +104,11 @@
 	}
 }
 
-// homeDepth is the depth of the block that gives a prompt its home. Prompts that
-// share their first thousands of tokens share a home.
+// affinityDepth is the depth of the block whose key determines the homes of a prompt.
+// Prompts that share their first 8 blocks (2048 tokens) have the same homes.
 const affinityDepth = 8
 
+// affinityKey returns the hash that determines the homes of a request.
 func affinityKey(query Query) uint64 {
 	keys := query.Chain.Keys()
 	if len(keys) == 0 {
@@ -134,8 +135,9 @@
 	return !s.failedAt.IsZero() && now.Sub(s.failedAt) < coolDown
 }
 
-// holds reports whether the server has the wanted weights. Before the first
-// report the configuration is believed: the engine checks for itself.
+// hasWeights reports whether the server has loaded the given weight version. Before
+// the first load report it goes by the configuration, since the engine checks the
+// version itself.
 func (s *server) hasWeights(model, weights string) bool {
 	if s.reportedAt.IsZero() {
 		for _, name := range s.config.Models {
@@ -153,8 +155,8 @@
 	return false
 }
 
-// rate gives the prefill rate of a model on a server: what was learnt, or the
-// operators' first guess.
+// rate returns the prefill rate of a model on a server: the learned rate, or before
+// the first sample the configured estimate.
 func (v *View) rate(srv *server, model string) float64 {
 	if rate := srv.rates[model]; rate > 0 {
 		return rate
@@ -170,8 +172,8 @@
 	queued := float64(s.sentTokens.ahead(class))
 	running := s.sent
 	if age < staleAfter {
-		// The report counts the work of all entry boxes, also this one's, and
-		// what it counted has been worked on since.
+		// The reported tokens include those that this box has sent, and the server has
+		// prefilled some of them since the report.
 		reported := classTokens{s.status.QueuedInstantTokens, s.status.QueuedTokens - s.status.QueuedInstantTokens}
 		others := float64(reported.ahead(class) - s.sentAtReport.ahead(class))
 		queued += max(0, others-rate*age.Seconds())
@@ -180,12 +182,12 @@
 	return decide.Runner{
 		Eligible: true, QueuedTokens: queued, Running: running, Slots: s.config.Slots,
 		PrefillRate: rate, RunSeconds: s.runSeconds, WarmTokens: warm,
-		// Rendezvous hashing: every pair of prompt and server has a rank.
+		// The rendezvous hash of the prompt and the server.
 		HomeRank: mix(home ^ s.hash),
 	}
 }
 
-// mix spreads the bits of a hash (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -194,10 +196,11 @@
 	return x ^ x>>31
 }
 
-// minLearningTokens is the least prefill work that says something of the rate.
+// minSampleTokens is the minimum number of prefilled tokens for a sample of the prefill
+// rate; the rate of a shorter prefill is not representative.
 const minSampleTokens = 4 * prefix.BlockTokens
 
-// FirstToken notes that the prefill is done, and learns its rate.
+// FirstToken records the end of the prefill, and updates the prefill rate.
 func (h *Handle) FirstToken() {
 	h.view.mu.Lock()
 	defer h.view.mu.Unlock()
@@ -219,8 +222,8 @@
 	}
 }
 
-// Done gives back the hold on a server. A run that went through teaches how
-// long runs take.
+// Done ends the count of a request on its server. If the run completed, Done updates
+// the average run time.
 func (h *Handle) Done(ran bool) {
 	h.view.mu.Lock()
 	defer h.view.mu.Unlock()
--- a/internal/zone/index.go
+++ b/internal/zone/index.go
@@ -5,11 +5,11 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-// MaxRunners is how many runners of one zone the index tells apart. The
-// two-year size has 82 a zone.
+// MaxRunners is the maximum number of runners of a zone in the index. The planned size
+// in two years is 82 runners a zone.
 const MaxRunners = 128
 
-// runnerSet holds one bit a runner.
+// runnerSet is a set of runners with one bit for each.
 type runnerSet [MaxRunners / 64]uint64
 
 func (s *runnerSet) add(runner int)     { s[runner/64] |= 1 << (runner % 64) }
@@ -17,23 +17,24 @@
 func (s runnerSet) has(runner int) bool { return s[runner/64]&(1<<(runner%64)) != 0 }
 func (s runnerSet) empty() bool         { return s == runnerSet{} }
 
-// Index knows which runner is thought to hold which kept context. It keeps only
-// landmark blocks (see prefix.Landmark): a context of 400 blocks costs 16
-// entries, and one that shares most of its prompt with another costs the few
-// that differ.
+// Index is an approximate index of the blocks in the runners' prefix caches. It contains
+// blocks at some depths only (see prefix.IsIndexedDepth): a context of 400 blocks takes
+// 16 entries, and a context that shares a prefix with another one takes additional
+// entries only for the rest.
 //
-// What it says is a hint. A wrong one costs prefill work, never a wrong answer.
+// The index is a hint. An error in it leads to unnecessary prefill work but never to a
+// wrong response.
 type Index struct {
 	blocks map[uint64]runnerSet
 }
 
-// NewIndex makes an empty index.
+// NewIndex creates an empty index.
 func NewIndex() *Index { return &Index{blocks: map[uint64]runnerSet{}} }
 
-// Len is the number of blocks in the index.
+// Len returns the number of blocks in the index.
 func (x *Index) Len() int { return len(x.blocks) }
 
-// ApplyEvent takes over one cache event of a runner.
+// ApplyEvent updates the index by one cache event of a runner.
 func (x *Index) ApplyEvent(runner int, event engine.CacheEvent) {
 	if !prefix.IsIndexedDepth(event.Depth) {
 		return
@@ -48,8 +49,8 @@
 	}
 }
 
-// AddExpected records what a runner will hold once it has prefilled a chain, ahead
-// of its events.
+// AddExpected adds the blocks that a runner will have cached once it has prefilled a
+// prompt, before the cache events for them arrive.
 func (x *Index) AddExpected(runner int, chain prefix.Chain) {
 	for i, key := range chain.Keys() {
 		if prefix.IsIndexedDepth(i + 1) {
@@ -77,7 +78,7 @@
 	x.blocks[block] = set
 }
 
-// Clear forgets all that a runner holds.
+// Clear removes all blocks of a runner.
 func (x *Index) Clear(runner int) {
 	for block, set := range x.blocks {
 		if !set.has(runner) {
@@ -92,9 +93,9 @@
 	}
 }
 
-// WarmTokens writes into tokens, for each runner, how many tokens of the chain it is
-// thought to hold. It looks at the deepest landmarks first, since a runner that
-// holds a block holds all before it.
+// WarmTokens sets tokens[i] to the number of tokens of the chain that runner i has in its
+// cache according to the index. It looks up the deepest blocks first, since a runner
+// that has a block also has all blocks before it.
 func (x *Index) WarmTokens(chain prefix.Chain, tokens []int) {
 	clear(tokens)
 	keys := chain.Keys()
--- a/internal/zone/state.go
+++ b/internal/zone/state.go
@@ -34,7 +34,7 @@
 	Resyncs uint64        `json:"event_resyncs"`
 }
 
-// State describes what is known now.
+// State returns the current state of the view.
 func (v *View) State() State {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -58,7 +58,7 @@
 	return state
 }
 
-// Runners lists the runners of the zone with their addresses, for the watchers.
+// Runners returns the runners of the zone, which the watchers poll.
 func (v *View) Runners() []*config.BackendServer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -71,8 +71,9 @@
 	return runners
 }
 
-// Reports gives the last load report of each runner that answers. One that has
-// failed is left out: its last report may say for ever that it is loading.
+// Reports returns the last load report of each runner that responds. It omits runners
+// that have failed, since the last report of such a runner may show it as loading
+// indefinitely.
 func (v *View) Reports() []rollout.Report {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -86,7 +87,7 @@
 	return reports
 }
 
-// Slots sums the batch slots of the runners that may get new work.
+// Slots returns the total number of batch slots of the runners that accept requests.
 func (v *View) Slots() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -100,7 +101,8 @@
 	return slots
 }
 
-// Incarnation gives the life of a server by its last report, and whether it is to end.
+// Incarnation returns the incarnation of a server from its last report, and whether the
+// server is leaving.
 func (v *View) Incarnation(name string) (life string, leaving bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -111,7 +113,7 @@
 	return srv.incarnation, srv.isLeaving()
 }
 
-// Available reports whether a plain service's server may get new work.
+// Available reports whether the server of a plain service accepts requests.
 func (v *View) Available(name string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -119,7 +121,7 @@
 	return ok && !srv.isLeaving() && !srv.coolingDown(boottime.Now()) && v.acceptsRun(srv, boottime.Now())
 }
 
-// NoteCall counts a call of a plain service against its server's rate limit.
+// NoteCall counts a call to a plain service towards its server's rate limit.
 func (v *View) NoteCall(name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/zone/suspended_test.go
+++ b/internal/zone/suspended_test.go
@@ -11,8 +11,8 @@
 	"github.com/cometlock/cometlock/internal/suspendtest"
 )
 
-// Answers come with the times of the clock that counts suspensions. A zone that compared them with the
-// runtime's clock, which stands still meanwhile, kept runs from runners for as long again after waking.
+// Responses carry times of the clock that includes suspensions. A view that compared them with the
+// runtime's clock, which stops during a suspension, extended a pause by the time of the suspension.
 func TestAPauseEndsWhileTheMachineIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,11 +1,12 @@
-// Package zone holds what an entry box knows of the backend servers of its own
-// availability zone.
+// Package zone is an entry box's view of the backend servers of its own availability
+// zone: their load, their cached context and whether they accept requests. It chooses
+// the runner of each request with a policy of package decide.
 //
-// Everything here is a hint: load reports lag, cache events come late and with
-// gaps, another entry box sends work of its own. So the box adds what it has
-// itself sent since the last report, lets old reports fade, and trusts what it
-// sees itself (a refused connection, a server that says it is leaving) before
-// any list, though only for taking servers out.
+// The view is only approximate: load reports lag, cache events arrive late and with
+// gaps, and other entry boxes send requests too. So the box adds what it has sent
+// itself since the last report, and ignores a report once it is stale. What the box
+// observes itself (a refused connection, a server that reports that it is leaving)
+// takes precedence over any list, but only to exclude servers.
 package zone
 
 import (
@@ -22,73 +23,75 @@
 	"github.com/cometlock/cometlock/internal/engine"
 )
 
-// Timing of what is known of a server.
+// Timeouts and parameters of the estimates of a server's state.
 const (
-	// coolDown is for how long a server that failed gets no new work, unless a
-	// report shows it alive.
+	// coolDown is how long a server receives no requests after a failure, unless a load
+	// report arrives earlier.
 	coolDown = time.Second
-	// staleAfter is the age at which a load report says nothing any more.
+	// staleAfter is the age from which on a load report is ignored.
 	staleAfter = 10 * time.Second
-	// learning is the weight of the newest observation in a learnt rate.
+	// smoothingFactor is the weight of the newest sample in the exponential moving
+	// averages of prefill rates and run times.
 	smoothingFactor = 0.1
-	// firstRunSeconds is the guess for a run's time before any was seen.
+	// firstRunSeconds is the initial estimate of a run's time.
 	firstRunSeconds = 1.0
 )
 
-// Config sets up a View.
+// Config configures a View.
 type Config struct {
 	// Zone is the availability zone of this entry box.
 	Zone string
-	// LimitPosition says where this box stands among those of the zone that share the rate limit of a
-	// runner; nil stands for a box alone.
+	// LimitPosition returns the position of this box among the boxes of the zone that share the rate
+	// limit of a runner. If it is nil, this box is the only one.
 	LimitPosition func(runner string) advisory.Position
 }
 
-// View is what is known of the zone. It is safe for concurrent use.
+// View is the state of the zone's backend servers as this box sees it. It is safe for
+// concurrent use.
 type View struct {
 	zone          string
 	limitPosition func(runner string) advisory.Position
 
 	mu       sync.Mutex
-	servers  []*server // by index; a removed server leaves a free place
+	servers  []*server // by index; the entry of a removed server is nil and can be reused
 	byName   map[string]*server
 	index    *Index
 	snapshot *config.Snapshot
-	// scratch space of the decision, so that it allocates nothing
+	// buffers of the decision, reused so that it does not allocate
 	runners []decide.Runner
 	warm    []int
 	gaps    uint64
 	resyncs uint64
 }
 
-// server is what is known of one backend server.
+// server is the state of one backend server.
 type server struct {
-	config *config.BackendServer
-	runnerIndex  int
-	hash   uint64
+	config      *config.BackendServer
+	runnerIndex int
+	hash        uint64
 
 	status     engine.Status
 	reportedAt time.Time
 	failedAt   time.Time
-	// leaving is what the server said itself, listedLeaving what the platform
-	// lists; either takes it out.
+	// leaving is from the server's own report, listedLeaving from the platform's list.
+	// Either excludes the server.
 	leaving       bool
 	listedLeaving bool
-	// evacuated says that its zone is.
+	// evacuated reports whether the server's zone is evacuated.
 	evacuated bool
-	// advised is what the server says of itself in its answers.
+	// advisoryState holds the advisories of the server's responses: rate limit, pause, draining.
 	advisoryState advisory.Server
 
-	// sent counts the runs that this box has sent and that are not finished,
-	// sentTokens their prompt work that has not led to a first token yet.
+	// sent is the number of unfinished runs that this box has sent, sentTokens the
+	// tokens that the server still has to prefill for them.
 	sent       int
 	sentTokens classTokens
-	// sentAtReport is what sentTokens was when the last report came: the part
-	// of the report that this box counts itself.
+	// sentAtReport is sentTokens at the time of the last report: the part of the
+	// reported tokens that sentTokens already includes.
 	sentAtReport classTokens
-	// eventsTo is the sequence number up to which cache events are folded.
+	// eventCursor is the sequence number of the last applied cache event.
 	eventCursor int64
-	// syncedAt is when the last snapshot came.
+	// syncedAt is the time of the last snapshot.
 	syncedAt    time.Time
 	incarnation string
 
@@ -96,8 +99,8 @@
 	rates      map[string]float64 // prefill tokens per second of each model
 }
 
-// work is prompt work in tokens, by class: an engine prefills instant requests
-// before all others, so only theirs is ahead of another instant one.
+// classTokens is a number of tokens to prefill, by class of request. An engine prefills
+// instant requests before all others, so an instant request waits only for those.
 type classTokens [classes]int
 
 const (
@@ -113,7 +116,7 @@
 	return classOther
 }
 
-// ahead sums the work that goes before a new request of a class.
+// ahead returns the tokens that are prefilled before a new request of a class.
 func (w classTokens) ahead(class int) int {
 	tokens := 0
 	for _, part := range w[:class+1] {
@@ -122,16 +125,16 @@
 	return tokens
 }
 
-// New makes a knowledge of nothing.
+// New creates an empty view.
 func New(cfg Config) *View {
 	return &View{zone: cfg.Zone, limitPosition: cfg.LimitPosition, byName: map[string]*server{}, index: NewIndex()}
 }
 
-// Zone names the availability zone.
+// Zone returns the name of the availability zone.
 func (v *View) Zone() string { return v.zone }
 
-// Configure takes over the servers of a new configuration. What is known of
-// servers that stay is kept.
+// Configure replaces the set of servers by that of a new configuration. The state of
+// servers that are in both is retained.
 func (v *View) Configure(snapshot *config.Snapshot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -188,7 +191,7 @@
 	delete(v.byName, srv.config.Name)
 }
 
-// ApplyStatus takes over a load report.
+// ApplyStatus stores a load report.
 func (v *View) ApplyStatus(name string, status engine.Status) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -214,7 +217,7 @@
 	srv.sentAtReport = srv.sentTokens
 }
 
-// NoteFailure notes that a server was not to be reached.
+// NoteFailure records that a server could not be reached or gave no response.
 func (v *View) NoteFailure(name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -223,9 +226,9 @@
 	}
 }
 
-// SetListedLeaving takes over which servers the platform lists as leaving. The list may
-// only take servers out: one that says itself that it leaves stays out, whatever
-// the list says, and one that the list calls live gets nothing for that.
+// SetListedLeaving sets the servers that the platform lists as leaving. The list can
+// only exclude servers: a server that itself reports that it is leaving stays excluded
+// even if it is listed as live.
 func (v *View) SetListedLeaving(leaving []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -236,7 +239,7 @@
 	}
 }
 
-// EventCursor gives the sequence number after which cache events are wanted.
+// EventCursor returns the sequence number after which to request cache events.
 func (v *View) EventCursor(name string) int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -250,13 +253,14 @@
 	return srv.eventCursor
 }
 
-// resyncEvery is the time after which a runner's whole cache is asked for anew. A
-// box expects a runner to hold what it sends there; what then does not come to be
-// is never reported as removed.
+// resyncInterval is the time after which a box requests a snapshot of a runner's cache.
+// The index includes blocks that the runner is expected to store for the requests sent
+// to it. If it never stores them, it sends no removal event either, and only a
+// snapshot removes them from the index.
 const resyncInterval = 10 * time.Minute
 
-// ApplyCacheEvents takes over cache events. Where events are missing in between, it asks for
-// a snapshot the next time, since nobody knows which blocks went in the gap.
+// ApplyCacheEvents applies cache events to the index. If events are missing, it requests
+// a snapshot next time, since the missing events may have removed any block.
 func (v *View) ApplyCacheEvents(name string, events engine.CacheEvents) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -288,7 +292,8 @@
 	srv.eventCursor = events.Last
 }
 
-// snapshotWanted is a sequence number that no engine holds events after.
+// snapshotCursor requests a snapshot: engines never have all events after this sequence
+// number.
 const snapshotCursor = -1
 
 func (v *View) noteGap(srv *server) {
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -15,14 +15,14 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-// newKnowledge knows a zone with so many runners of one model.
+// newView returns a view of a zone with the given number of runners of one model.
 func newView(runners int) *View {
 	view := New(Config{Zone: "a"})
 	view.Configure(snapshotOf(runners, false))
 	return view
 }
 
-// snapshotOf is a configuration of a zone with so many runners.
+// snapshotOf returns a configuration of a zone with the given number of runners.
 func snapshotOf(runners int, evacuated bool) *config.Snapshot {
 	file := &config.File{
 		Objectives: config.Objectives{FirstTokenWeight: 1, RecomputeWeight: 1},
@@ -115,7 +115,7 @@
 	g.Expect(view.EventCursor("r000")).To(Equal(int64(40)))
 	warm := make([]int, 2)
 	view.index.WarmTokens(chain, warm)
-	g.Expect(warm).To(Equal([]int{0, 0}), "what was known before the gap is forgotten")
+	g.Expect(warm).To(Equal([]int{0, 0}), "a snapshot must replace the blocks from before the gap")
 }
 
 func TestARestartClearsTheCacheIndex(t *testing.T) {
@@ -171,9 +171,9 @@
 	}
 	g.Expect(only()).To(Equal("map[r000:true]"))
 	view.SetListedLeaving([]string{"r000"})
-	g.Expect(only()).To(Equal("map[]"), "a list that calls r001 live does not bring it back")
+	g.Expect(only()).To(Equal("map[]"), "r001 must stay excluded although the list has it as live")
 	view.ApplyStatus("r000", status)
-	g.Expect(only()).To(Equal("map[]"), "nor does a report bring back what the list takes out")
+	g.Expect(only()).To(Equal("map[]"), "a load report must not include a server that the list excludes")
 	view.SetListedLeaving(nil)
 	g.Expect(only()).To(Equal("map[r000:true]"))
 }
@@ -189,8 +189,9 @@
 	g.Expect(view.Reports()).To(HaveLen(1))
 }
 
-// What a box expected of runs that never came to be is never reported as
-// removed. Without a snapshot now and then the index would only grow.
+// The index includes the blocks that a runner is expected to store. If a run fails, they
+// are never stored, and no event removes them. Without periodic snapshots the index would
+// grow without bound.
 func TestUnfulfilledExpectedBlocksAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -209,8 +210,8 @@
 	})
 }
 
-// Herding: with reports that lag, a box that trusts them alone sends everything
-// to the runner that was idle when they were made.
+// Load reports lag. A box that relied on them alone would send all requests to the runner
+// that was idle at the time of the reports (herding).
 func TestStaleReportsDoNotCauseHerding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -218,7 +219,7 @@
 		for i := range 10 {
 			status := engine.Status{Incarnation: "i", Weights: []engine.LoadedWeights{{Model: "m", Version: "v1"}}, QueuedTokens: 5000}
 			if i == 3 {
-				status.QueuedTokens = 0 // was idle a while ago
+				status.QueuedTokens = 0 // the runner was idle at the time of the report
 			}
 			view.ApplyStatus(fmt.Sprintf("r%03d", i), status)
 		}
@@ -226,12 +227,12 @@
 		for i := range 200 {
 			sent[choose(view, chainOf(fmt.Sprint("prompt ", i), 8)).Server.Name]++
 		}
-		most := 0
+		busiest := 0
 		for _, count := range sent {
-			most = max(most, count)
+			busiest = max(busiest, count)
 		}
-		t.Logf("200 requests on reports that never change: the busiest of 10 runners got %d", most)
-		g.Expect(most).To(BeNumerically("<=", 40), "twice the mean")
+		t.Logf("200 requests with unchanged reports: the busiest of 10 runners received %d", busiest)
+		g.Expect(busiest).To(BeNumerically("<=", 40), "twice the mean")
 	})
 }
 
@@ -250,7 +251,7 @@
 	g.Expect(view.State().Servers[0].SentTokens).To(BeZero())
 }
 
-// The index against a plain map of sets.
+// The index must return the same result as a search in a map of sets.
 func TestTheIndexMatchesBruteForce(t *testing.T) {
 	const seed = 20261202
 	random := rand.New(rand.NewPCG(seed, 0))
