--- a/internal/kept/export.go
+++ b/internal/kept/export.go
@@ -9,10 +9,10 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-// Exports: contexts on their way from a runner into a store box, and the room
-// that is made for them.
+// This file exports contexts from runners to store boxes, and evicts blocks from full
+// store boxes.
 
-// Loop exports contexts until ctx ends.
+// Loop exports contexts until ctx is cancelled.
 func (o *Offloader) Loop(ctx context.Context) {
 	for {
 		next, err := o.exports.Pop(ctx)
@@ -23,24 +23,24 @@
 	}
 }
 
-// export has a runner put a context into the store box of its home. Blocks that
-// are there already, such as a beginning that several contexts share, are kept
-// once: they have the same names.
+// export has a runner write a context to its store box. Blocks that the store box already
+// has, such as a prefix that several contexts share, have the same keys and are stored
+// once.
 func (o *Offloader) export(ctx context.Context, job exportJob) {
-	to := o.storeFor(job.keys[len(job.keys)-1])
-	if to == nil || !to.waitForBudget(ctx, job.bytes) {
+	box := o.storeFor(job.keys[len(job.keys)-1])
+	if box == nil || !box.waitForBudget(ctx, job.bytes) {
 		o.countDropped()
 		return
 	}
-	answer, err := o.cfg.Engines.Export(ctx, job.server.Address, engine.Transfer{Store: to.server.Address, Keys: job.keys})
-	whole := err == nil && answer.Blocks == len(job.keys)
-	if answer.Full {
-		o.makeRoom(ctx, to)
+	result, err := o.cfg.Engines.Export(ctx, job.server.Address, engine.Transfer{Store: box.server.Address, Keys: job.keys})
+	complete := err == nil && result.Blocks == len(job.keys)
+	if result.Full {
+		o.makeRoom(ctx, box)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.counts.Exports++
-	if !whole {
+	if !complete {
 		o.counts.ExportsDropped++
 		return
 	}
@@ -49,22 +49,23 @@
 			o.removeContext(oldest.last)
 		}
 	}
-	stored := storedContext{last: job.keys[len(job.keys)-1], keys: job.keys, store: to.server.Name}
+	stored := storedContext{last: job.keys[len(job.keys)-1], keys: job.keys, store: box.server.Name}
 	o.contexts[stored.last] = o.lru.PushFront(stored)
 }
 
-// maxExportWait is how long an export may wait for its link. Meanwhile others
-// queue up behind it, and those that find no room are dropped.
+// maxExportWait is how long an export may wait for its link. Other exports queue behind
+// it, and are dropped when the queue is full.
 const maxExportWait = 5 * time.Second
 
-// awaitBudget waits until the link has room for an export.
+// waitForBudget waits until the link's budget for exports covers the given size, and
+// reports whether it does within maxExportWait.
 func (s *storeBox) waitForBudget(ctx context.Context, size int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, maxExportWait)
 	defer cancel()
 	return s.exports.WaitN(ctx, int(size)) == nil
 }
 
-// home gives the store box of a context, by rendezvous hashing.
+// storeFor returns the store box of a context by rendezvous hashing.
 func (o *Offloader) storeFor(last prefix.Key) *storeBox {
 	now := time.Now()
 	o.mu.Lock()
@@ -82,24 +83,25 @@
 	return best
 }
 
-// rankOf ranks a store box for a context.
+// rendezvousRank returns the rank of a store box for a context; the highest wins.
 func rendezvousRank(name string, last prefix.Key) uint64 {
 	return xxhash.Sum64String(name + last.String())
 }
 
-// maxFreed is how many blocks make room at once, about one long context.
+// maxFreedBlocks is the maximum number of blocks to evict at once, about the size of one
+// long context.
 const maxFreedBlocks = 64
 
-// makeRoom frees what was looked up least lately in a full store box. The box
-// itself tells what that is: blocks of contexts that this entry box never knew,
-// because another one had them put there and was replaced, must go too.
-func (o *Offloader) makeRoom(ctx context.Context, in *storeBox) {
-	keys, err := o.cfg.Stores.LeastRecent(ctx, in.server.Address, maxFreedBlocks)
+// makeRoom evicts the least recently used blocks of a full store box. It requests their
+// keys from the store box: this entry box has no record of blocks that were stored by
+// an entry box that has since been replaced, and they must be evicted too.
+func (o *Offloader) makeRoom(ctx context.Context, box *storeBox) {
+	keys, err := o.cfg.Stores.LeastRecent(ctx, box.server.Address, maxFreedBlocks)
 	if err != nil {
 		return
 	}
 	for _, key := range keys {
-		if err := o.cfg.Stores.Free(ctx, in.server.Address, key); err != nil {
+		if err := o.cfg.Stores.Free(ctx, box.server.Address, key); err != nil {
 			return
 		}
 		o.mu.Lock()
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -1,13 +1,13 @@
-// Package kept looks after contexts that no longer fit the runners' memory but
-// will return: it has runners put them into store boxes, and fetch them back
-// when that is quicker than computing them anew.
+// Package kept offloads contexts (KV cache) from the runners' memory to store boxes: it
+// has runners export contexts that are likely to be needed again, and fetch them when
+// that is faster than recomputing them.
 //
-// Every transfer takes from the budget of its link. A fetch for a waiting request
-// always goes before an export: exports have a part of the budget and wait for
-// it, and are dropped when too many wait.
+// Every transfer uses up some of the budget of its link. Fetches have priority over
+// exports, since a request waits for them: exports may only use a fraction of the
+// budget, wait for it, and are dropped when too many are waiting.
 //
-// What this box knows of the store boxes is a hint, like all it knows: a block
-// that is not there is a miss, and the runner computes it.
+// This box's record of the contents of the store boxes is a hint. A block that is not
+// there is a cache miss, and the runner computes it.
 package kept
 
 import (
@@ -27,16 +27,16 @@
 	"github.com/cometlock/cometlock/internal/storebox"
 )
 
-// Config sets up a Keeper.
+// Config configures an Offloader.
 type Config struct {
 	Engines *engine.Client
 	Stores  *storebox.Client
 	Logger  zerolog.Logger
 	// Zone is the availability zone of this entry box.
 	Zone string
-	// MinTokens is the least length of a context that is worth keeping.
+	// MinTokens is the minimum length of a context to export.
 	MinTokens int
-	// MaxContexts bounds what is remembered.
+	// MaxContexts is the maximum number of stored contexts on record.
 	MaxContexts int
 }
 
@@ -47,47 +47,47 @@
 	exportsCapacity    = 256
 )
 
-// exportPart is the part of a link's budget that exports may take.
+// exportFraction is the fraction of a link's bandwidth that exports may use.
 const exportFraction = 0.3
 
-// Offloader looks after kept contexts.
+// Offloader exports contexts to store boxes and fetches them back.
 type Offloader struct {
 	cfg     Config
 	exports *ring.Ring[exportJob]
 
 	mu       sync.Mutex
 	stores   map[string]*storeBox
-	contexts map[prefix.Key]*list.Element // the last block of each kept context
-	lru      *list.List                   // of context, most recently used first
+	contexts map[prefix.Key]*list.Element // by the key of the context's last block
+	lru      *list.List                   // of storedContext, most recently used first
 	counts   Counts
 }
 
-// store is a store box with the link to it.
+// storeBox is a store box with the link from it to this zone.
 type storeBox struct {
 	server *config.BackendServer
-	// bytesPerSecond is the link's budget; busyUntil is when all that was
-	// taken from it has gone through.
+	// bytesPerSecond is the bandwidth of the link; busyUntil is the expected end of
+	// all fetches that have been reserved on it.
 	bytesPerSecond float64
 	busyUntil      time.Time
 	exports        *rate.Limiter
 	failedAt       time.Time
 }
 
-// keptContext is a context in a store box: where it is, and which blocks it has.
+// storedContext is the record of a context in a store box.
 type storedContext struct {
 	last  prefix.Key
 	keys  []prefix.Key
 	store string
 }
 
-// export is a context that a runner is to put into a store box.
+// exportJob is a context that a runner is to write to a store box.
 type exportJob struct {
 	server *config.BackendServer
 	keys   []prefix.Key
 	bytes  int64
 }
 
-// Counts counts what the keeper did.
+// Counts contains the counters of an Offloader.
 type Counts struct {
 	Exports        int64 `json:"exports"`
 	ExportsDropped int64 `json:"exports_dropped"`
@@ -96,7 +96,7 @@
 	FetchedBlocks  int64 `json:"fetched_blocks"`
 }
 
-// New makes a keeper that knows no store boxes.
+// New creates an Offloader without store boxes.
 func New(cfg Config) *Offloader {
 	if cfg.MinTokens == 0 {
 		cfg.MinTokens = DefaultMinTokens
@@ -110,7 +110,7 @@
 	}
 }
 
-// Configure takes over the store boxes that have a link to this zone.
+// Configure sets the store boxes: those that have a link to this zone.
 func (o *Offloader) Configure(snapshot *config.Snapshot) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -130,29 +130,30 @@
 	}
 }
 
-// newStore makes a store box with the budget of its link.
+// newStoreBox creates a store box with the budget of its link.
 func newStoreBox(bytesPerSecond float64) *storeBox {
 	return &storeBox{bytesPerSecond: bytesPerSecond, exports: rate.NewLimiter(rate.Limit(exportFraction*bytesPerSecond), int(bytesPerSecond))}
 }
 
-// storePause is for how long a store box that failed is left alone.
+// storeCooldown is how long a store box is not used after a failure.
 const storeCooldown = 5 * time.Second
 
 func (s *storeBox) usable(now time.Time) bool {
 	return s.failedAt.IsZero() || now.Sub(s.failedAt) > storeCooldown
 }
 
-// FetchOption is a way to fetch kept context.
+// FetchOption is a possible fetch of stored context.
 type FetchOption struct {
 	Fetch decide.Fetch
-	// Store is where from, Keys the blocks in prompt order, Bytes their size.
+	// Store is the name of the store box, Keys the blocks in prompt order, Bytes their
+	// total size.
 	Store string
 	Keys  []prefix.Key
 	Bytes int64
 }
 
-// BestFetch gives the best way to fetch a prompt's context: the longest part that is
-// kept, and how long the link takes for it.
+// BestFetch returns the fetch of the longest stored prefix of a prompt, with the
+// estimated time on the link.
 func (o *Offloader) BestFetch(chain prefix.Chain, bytesPerToken int) (FetchOption, bool) {
 	now := time.Now()
 	o.mu.Lock()
@@ -163,74 +164,75 @@
 		if !ok {
 			continue
 		}
-		found, ok := element.Value.(storedContext)
+		stored, ok := element.Value.(storedContext)
 		if !ok {
 			continue
 		}
-		from, ok := o.stores[found.store]
-		if !ok || !from.usable(now) {
+		box, ok := o.stores[stored.store]
+		if !ok || !box.usable(now) {
 			continue
 		}
 		o.lru.MoveToFront(element)
 		size := int64(depth) * prefix.BlockTokens * int64(bytesPerToken)
-		wait := max(0, from.busyUntil.Sub(now)).Seconds()
+		wait := max(0, box.busyUntil.Sub(now)).Seconds()
 		return FetchOption{
-			Fetch: decide.Fetch{Tokens: depth * prefix.BlockTokens, Seconds: wait + float64(size)/from.bytesPerSecond},
-			Store: found.store, Keys: keys[:depth], Bytes: size,
+			Fetch: decide.Fetch{Tokens: depth * prefix.BlockTokens, Seconds: wait + float64(size)/box.bytesPerSecond},
+			Store: stored.store, Keys: keys[:depth], Bytes: size,
 		}, true
 	}
 	return FetchOption{}, false
 }
 
-// reserve takes a transfer from a link's budget.
+// reserveLink reserves the time of a fetch on the link of a store box, and returns the
+// address of the store box.
 func (o *Offloader) reserveLink(name string, size int64) (address string, ok bool) {
 	now := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	from, ok := o.stores[name]
+	box, ok := o.stores[name]
 	if !ok {
 		return "", false
 	}
-	if from.busyUntil.Before(now) {
-		from.busyUntil = now
+	if box.busyUntil.Before(now) {
+		box.busyUntil = now
 	}
-	from.busyUntil = from.busyUntil.Add(time.Duration(float64(size) / from.bytesPerSecond * float64(time.Second)))
-	return from.server.Address, true
+	box.busyUntil = box.busyUntil.Add(time.Duration(float64(size) / box.bytesPerSecond * float64(time.Second)))
+	return box.server.Address, true
 }
 
-// fetchSlack is how much longer than estimated a fetch may take; a link that is
-// slower than that is given up, and the runner computes.
+// A fetch times out after its estimated time times fetchSlack, plus fetchGrace. The
+// runner then computes the context.
 const (
 	fetchSlack = 2
 	fetchGrace = 200 * time.Millisecond
 )
 
-// Fetch has a runner fetch kept context. A failure is a miss: the runner computes
-// what did not come.
+// Fetch has a runner fetch stored context. A failure is a cache miss: the runner computes
+// the blocks that were not transferred.
 func (o *Offloader) Fetch(ctx context.Context, server *config.BackendServer, option FetchOption) {
 	address, ok := o.reserveLink(option.Store, option.Bytes)
 	if !ok {
 		return
 	}
-	limit := fetchSlack*time.Duration(option.Fetch.Seconds*float64(time.Second)) + fetchGrace
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	timeout := fetchSlack*time.Duration(option.Fetch.Seconds*float64(time.Second)) + fetchGrace
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answer, err := o.cfg.Engines.Import(ctx, server.Address, engine.Transfer{Store: address, Keys: option.Keys})
+	result, err := o.cfg.Engines.Import(ctx, server.Address, engine.Transfer{Store: address, Keys: option.Keys})
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.counts.Fetches++
-	o.counts.FetchedBlocks += int64(answer.Blocks)
-	if err == nil && answer.Blocks == len(option.Keys) {
+	o.counts.FetchedBlocks += int64(result.Blocks)
+	if err == nil && result.Blocks == len(option.Keys) {
 		return
 	}
 	o.counts.FetchMisses++
 	o.removeContext(option.Keys[len(option.Keys)-1])
-	if from, ok := o.stores[option.Store]; ok && err != nil {
-		from.failedAt = time.Now()
+	if box, ok := o.stores[option.Store]; ok && err != nil {
+		box.failedAt = time.Now()
 	}
 }
 
-// forget drops a context. The caller holds mu.
+// removeContext removes the record of a context. The caller holds mu.
 func (o *Offloader) removeContext(last prefix.Key) {
 	if element, ok := o.contexts[last]; ok {
 		o.lru.Remove(element)
@@ -238,7 +240,8 @@
 	}
 }
 
-// OfferExport hands over a context that a runner has just computed. It never waits.
+// OfferExport queues the export of a context that a runner has just computed. It never
+// blocks: if the queue is full, it drops the context.
 func (o *Offloader) OfferExport(server *config.BackendServer, chain prefix.Chain, bytesPerToken int) {
 	keys := chain.Keys()
 	if len(keys)*prefix.BlockTokens < o.cfg.MinTokens || o.skipsExport(keys[len(keys)-1]) {
@@ -250,6 +253,8 @@
 	}
 }
 
+// skipsExport reports whether a context need not be exported: it is already stored, or
+// there is no store box.
 func (o *Offloader) skipsExport(last prefix.Key) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -263,7 +268,7 @@
 	o.counts.ExportsDropped++
 }
 
-// State is the part of a state dump that describes the keeper.
+// State is the part of a state dump that describes the Offloader.
 type State struct {
 	Counts
 	Contexts int        `json:"contexts"`
@@ -271,7 +276,7 @@
 	Queue    ring.State `json:"queue"`
 }
 
-// State describes what is kept, as far as this box knows.
+// State returns the counters and a summary of the stored contexts on record.
 func (o *Offloader) State() State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,4 +1,4 @@
-// Package place is the stage that chooses the backend server of a request.
+// Package place is the pipeline stage that chooses the backend server of a request.
 package place
 
 import (
@@ -17,24 +17,24 @@
 	"github.com/cometlock/cometlock/internal/zone"
 )
 
-// Config sets up a Stage.
+// Config configures a Stage.
 type Config[P decide.Policy] struct {
-	// View is what is known of the zone.
+	// View is the state of the zone's backend servers.
 	View *zone.View
 	// Policy chooses among the runners.
 	Policy P
-	// Offloader knows what is kept in store boxes; nil where there are none.
+	// Offloader finds stored contexts in the store boxes; nil if there are none.
 	Offloader *kept.Offloader
 }
 
-// Stage places requests by a policy.
+// Stage chooses the runners of requests by a policy.
 type Stage[P decide.Policy] struct {
 	view      *zone.View
 	policy    P
 	offloader *kept.Offloader
 }
 
-// New makes the stage.
+// New creates the stage.
 func New[P decide.Policy](cfg Config[P]) *Stage[P] {
 	return &Stage[P]{view: cfg.View, policy: cfg.Policy, offloader: cfg.Offloader}
 }
@@ -49,7 +49,7 @@
 
 func (s *Stage[P]) place(request *flow.Request) *apierror.Error {
 	if request.Kind == flow.KindService {
-		return nil // dispatch tries the service's servers in turn
+		return nil // the dispatch stage tries the servers of the service in turn
 	}
 	model, ok := request.Snapshot.Model(request.Model)
 	if !ok {
@@ -65,10 +65,10 @@
 	return rejectLate(request)
 }
 
-// Choose places a request anew, on none of the excluded servers. It takes the
-// weight version in force, or while no runner of the zone has it yet, one that
-// the operators accept meanwhile. The chain is seeded with the version, so kept
-// context of one version is never taken for that of another.
+// Choose chooses a runner for a request that is not one of the excluded servers. It uses
+// the current weight version, or one of the versions that the operators accept if no
+// runner of the zone has loaded the current one yet. The hash chain is seeded with the
+// version, so stored context of one version never matches a prompt for another.
 func (s *Stage[P]) Choose(request *flow.Request, exclude []string) *apierror.Error {
 	model, ok := request.Snapshot.Model(request.Model)
 	if !ok {
@@ -83,7 +83,8 @@
 	return apierror.NotReady("no_runner", max(time.Second, s.view.UnavailableFor(request.Model)), "no runner of the availability zone can serve %q now", request.Model)
 }
 
-// setWeights seeds the request's chain anew when its version changes.
+// setWeights sets the weight version of a request, and recomputes its hash chain if the
+// version has changed.
 func (s *Stage[P]) setWeights(request *flow.Request, version string) {
 	salt := prefix.NewSalt(request.Organisation.Name, request.Model, version)
 	if salt == request.Salt {
@@ -113,7 +114,7 @@
 	return true
 }
 
-// find gives the best way to fetch the request's context from a store box.
+// bestFetch returns the best fetch of the request's context from a store box.
 func (s *Stage[P]) bestFetch(request *flow.Request, model *config.Model) (kept.FetchOption, bool) {
 	if s.offloader == nil {
 		return kept.FetchOption{}, false
@@ -121,8 +122,8 @@
 	return s.offloader.BestFetch(request.Chain, model.KVBytesPerToken)
 }
 
-// refuseLate refuses a request whose first token would come after its deadline:
-// to run it would take room from those that can still make theirs.
+// rejectLate rejects a request whose first token is expected after its deadline: running
+// it would take capacity from requests that can still meet theirs.
 func rejectLate(request *flow.Request) *apierror.Error {
 	if request.Deadline.IsZero() {
 		return nil
