--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// connection is a kept connection to one peer.
+// connection is a persistent connection to one peer.
 type connection struct {
 	mu     sync.Mutex
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// call sends a message to a peer and gives its answer. A failed connection is
-// made anew the next time; messages may be repeated without harm.
+// call sends a message to a peer and returns its reply. After a failure the next call
+// reconnects. Messages are idempotent, so they may be sent again.
 func (g *Gossiper) call(ctx context.Context, address string, message Message) (Message, error) {
 	c := g.connectionTo(address)
 	c.mu.Lock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// close ends the connection, if there is one. The caller holds mu.
+// close closes the connection if it is open. The caller holds mu.
 func (c *connection) close() {
 	if c.conn != nil {
 		_ = c.conn.Close()
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,9 +1,10 @@
-// Package peer lets entry boxes tell each other what they know.
+// Package peer implements a gossip protocol between entry boxes.
 //
-// The exchange is a hint service: a box that cannot reach the log learns newer
-// configurations from boxes that can, and a new box learns the one in force when
-// the log is down. Every second a box exchanges its status with a few others;
-// content travels only to a box that is behind and has been for a while.
+// A box that cannot reach the log gets newer configurations from boxes that can, and a
+// new box gets the current one while the log is down. What peers report is only a hint.
+// Every second a box exchanges its status with a few others. The configuration itself
+// is sent only to a box that cannot reach the log, or that has had an older version
+// for a while.
 //
 // On the wire a message is a frame of package frame.
 package peer
@@ -17,31 +18,31 @@
 	"github.com/cometlock/cometlock/internal/frame"
 )
 
-// Status is what a box tells of itself.
+// Status is the state of a box that it sends to its peers.
 type Status struct {
 	Box         string `msgpack:"b" json:"box"`
 	Zone        string `msgpack:"z" json:"zone"`
 	Incarnation string `msgpack:"i" json:"incarnation"`
-	// Version is the configuration in force.
+	// Version is the version of the box's configuration.
 	Version int64 `msgpack:"v" json:"version"`
-	// Leaving says that the box is about to stop.
+	// Leaving is set when the box is about to stop.
 	Leaving bool `msgpack:"l" json:"leaving"`
-	// AdvisoryReports is what backend servers said of themselves in answers to the box, by server.
+	// AdvisoryReports contains the advisories that the box received from backend servers, by server.
 	AdvisoryReports map[string]*advisory.Report `msgpack:"a,omitempty" json:"advised,omitempty"`
 }
 
-// Message is one message in either direction.
+// Message is a request or a reply.
 type Message struct {
 	Status Status `msgpack:"s"`
-	// WantsConfig asks for what leads on from the sender's version.
+	// WantsConfig requests the configuration changes since the sender's version.
 	WantsConfig bool `msgpack:"w,omitempty"`
-	// Changes lead on from the receiver's version, when they are all known.
+	// Changes are the changes since the receiver's version, if the sender has all of them.
 	Changes []follow.Change `msgpack:"c,omitempty"`
-	// State is the whole configuration, where changes do not do.
+	// State is the complete configuration, sent if the sender lacks some of the changes.
 	State *configlog.State `msgpack:"f,omitempty"`
 }
 
-// maxMessageBytes bounds what is read from a peer.
+// maxMessageBytes is the maximum size of a message from a peer.
 const maxMessageBytes = 16 << 20
 
 func writeMessage(writer io.Writer, message Message) (int, error) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -16,43 +16,44 @@
 	"github.com/cometlock/cometlock/internal/follow"
 )
 
-// ConfigSource is what peers are told about: the configuration in force.
+// ConfigSource provides the current configuration, and accepts newer ones from peers.
 type ConfigSource interface {
-	// State gives the configuration in force.
+	// State returns the current configuration.
 	State() configlog.State
-	// Since gives the changes that lead on from a version.
+	// Since returns the changes since a version, and false if some are missing.
 	Since(version int64) ([]follow.Change, bool)
-	// Offer and OfferChanges hand over what a peer knows.
+	// Offer and OfferChanges pass on the configuration or changes from a peer.
+	// OfferChanges returns false if the changes could not be applied.
 	Offer(state configlog.State)
 	OfferChanges(changes []follow.Change) bool
-	// LogReachable reports whether the log answers.
+	// LogReachable reports whether the log responds.
 	LogReachable() bool
 }
 
-// Config sets up an Exchange.
+// Config configures a Gossiper.
 type Config struct {
-	// Self describes this box; its version is filled in.
+	// Self is the status of this box. Its version is set for each message.
 	Self Status
-	// Address is where this box listens for peers, as others reach it.
+	// Address is the address at which peers reach this box.
 	Address string
 	// Seeds are addresses of peers from the settings.
 	Seeds []string
-	// BoxList is the platform's list.
+	// BoxList is the platform's list of entry boxes.
 	BoxList boxlist.List
-	// OnBoxList is told of each reading of the list.
+	// OnBoxList is called with the list each time it has been read.
 	OnBoxList func([]boxlist.Box)
-	// Source is the configuration in force.
+	// Source provides the current configuration.
 	Source ConfigSource
-	// AdvisoryReports gives what backend servers said of themselves in answers to this box, and ApplyAdvisoryReports
-	// takes over what they said to another one; both may be nil.
+	// AdvisoryReports returns the advisories that this box received from backend servers, and
+	// ApplyAdvisoryReports applies those that another box received; both may be nil.
 	AdvisoryReports      func() map[string]*advisory.Report
 	ApplyAdvisoryReports func(map[string]*advisory.Report)
 	Logger               zerolog.Logger
-	// Interval is the time between two rounds; Fanout the peers of a round.
+	// Interval is the time between two rounds, Fanout the number of peers per round.
 	Interval time.Duration
 	Fanout   int
-	// ServerTLS and ClientTLS, when set, secure the connections; ClientTLS is
-	// asked at each dial, since files may have changed.
+	// ServerTLS and ClientTLS, if set, enable TLS. ClientTLS is called for each dial,
+	// since the certificate files may have changed.
 	ServerTLS *tls.Config
 	ClientTLS func() *tls.Config
 }
@@ -63,20 +64,20 @@
 	DefaultFanout   = 3
 )
 
-// Timing of the exchange.
+// Timeouts and intervals.
 const (
-	// ioTimeout bounds one exchange.
+	// ioTimeout is the timeout of one exchange of messages.
 	ioTimeout = 2 * time.Second
-	// patience is how long a box that reaches the log waits for it before it
-	// asks a peer for a version it has heard of.
+	// logGracePeriod is how long a box that can reach the log waits for a newer version
+	// to arrive from there before it requests the version from a peer.
 	logGracePeriod = 1500 * time.Millisecond
-	// forgetAfter is how long a peer that is not heard of is counted.
+	// peerTimeout is the age of its last status from which on a peer counts as down.
 	peerTimeout = 10 * time.Second
-	// listEvery is the time between two looks at the platform's list.
+	// listInterval is the time between two reads of the platform's list.
 	listInterval = 5 * time.Second
 )
 
-// Gossiper talks to the other entry boxes.
+// Gossiper exchanges status and configuration with the other entry boxes.
 type Gossiper struct {
 	cfg Config
 
@@ -89,13 +90,13 @@
 	connections map[string]*connection
 }
 
-// known is a peer that was heard of.
+// peerInfo is the last status of a peer.
 type peerInfo struct {
 	status     Status
 	receivedAt time.Time
 }
 
-// New makes an exchange that knows no peers.
+// New creates a Gossiper without peers.
 func New(cfg Config) *Gossiper {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
@@ -106,7 +107,7 @@
 	return &Gossiper{cfg: cfg, peers: map[string]*peerInfo{}, connections: map[string]*connection{}}
 }
 
-// SetLeaving tells peers from now on that this box is about to stop.
+// SetLeaving marks this box as leaving in the status that it sends.
 func (g *Gossiper) SetLeaving() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,7 +126,7 @@
 	return status
 }
 
-// Loop exchanges with peers until ctx ends.
+// Loop exchanges messages with peers until ctx is cancelled.
 func (g *Gossiper) Loop(ctx context.Context) {
 	ticker := time.NewTicker(g.cfg.Interval)
 	defer ticker.Stop()
@@ -145,15 +146,15 @@
 	}
 }
 
-// alone reports whether no peer has been heard of yet. The list lags, so a box
-// that starts into an empty one looks again in every round.
+// hasNoPeers reports whether no peer has sent a status yet. The platform's list lags, so
+// a box without peers reads it in every round.
 func (g *Gossiper) hasNoPeers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.peers) == 0
 }
 
-// look reads the platform's list. A list that cannot be read leaves the last.
+// readBoxList reads the platform's list. If that fails, the previous list stays in use.
 func (g *Gossiper) readBoxList(ctx context.Context) {
 	boxes, err := g.cfg.BoxList.Boxes(ctx)
 	if err != nil {
@@ -169,12 +170,12 @@
 	g.removeStale(time.Now())
 }
 
-// dropAfter is how long a peer that is not heard of is remembered at all. Boxes
-// are replaced hundreds of times a day, under other names.
+// peerRetention is how long the record of a peer is retained after its last status. Boxes
+// are replaced hundreds of times a day, by boxes with other names.
 const peerRetention = 10 * time.Minute
 
-// dropGone forgets peers that are long gone, and connections to addresses that
-// nobody names any more. The caller holds mu.
+// removeStale removes peers that have sent no status for peerRetention, and connections
+// to addresses that are neither seeds nor on the platform's list. The caller holds mu.
 func (g *Gossiper) removeStale(now time.Time) {
 	for name, peer := range g.peers {
 		if now.Sub(peer.receivedAt) > peerRetention {
@@ -192,8 +193,8 @@
 	}
 }
 
-// round exchanges with a few peers, chosen anew each time, so that what one box
-// knows reaches all within a few rounds whatever is cut off.
+// round exchanges messages with a few peers. They are chosen at random in each round, so
+// that an update spreads to all boxes within a few rounds despite unreachable boxes.
 func (g *Gossiper) round(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, address := range g.choose() {
@@ -208,7 +209,8 @@
 	return candidates[:min(g.cfg.Fanout, len(candidates))]
 }
 
-// addresses lists where peers may be: the platform's list and the seeds.
+// addresses returns the addresses of possible peers, from the platform's list and the
+// seeds.
 func (g *Gossiper) addresses() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -226,24 +228,24 @@
 	return addresses
 }
 
-// exchange tells one peer this box's status and takes over what it knows.
+// exchange sends this box's status to one peer, and applies its reply.
 func (g *Gossiper) exchange(ctx context.Context, address string) {
 	answer, err := g.call(ctx, address, Message{Status: g.selfStatus(), WantsConfig: g.shouldRequestConfig()})
 	if err != nil {
-		return // the peer may be gone; another round asks others
+		return // the peer may be down; other rounds choose other peers
 	}
 	g.handleStatus(answer.Status)
 	g.applyConfig(answer)
 	if answer.WantsConfig {
-		// The peer is behind and wants what leads on from its version.
+		// The peer has an older version and requests the changes.
 		message := Message{Status: g.selfStatus()}
 		g.addConfig(&message, answer.Status.Version)
 		_, _ = g.call(ctx, address, message)
 	}
 }
 
-// wants reports whether this box should ask for content: it has no log, or has
-// been behind for longer than the log takes.
+// shouldRequestConfig reports whether this box should request the configuration from
+// peers: it cannot reach the log, or a peer has had a newer version for logGracePeriod.
 func (g *Gossiper) shouldRequestConfig() bool {
 	if !g.cfg.Source.LogReachable() {
 		return true
@@ -253,6 +255,7 @@
 	return !g.behindSince.IsZero() && time.Since(g.behindSince) >= logGracePeriod
 }
 
+// handleStatus records the status of a peer.
 func (g *Gossiper) handleStatus(status Status) {
 	if g.cfg.ApplyAdvisoryReports != nil && status.Box != g.cfg.Self.Box {
 		g.cfg.ApplyAdvisoryReports(status.AdvisoryReports)
@@ -283,8 +286,8 @@
 	return false
 }
 
-// addContent adds what leads on from a version: the changes when all are known,
-// or else everything.
+// addConfig adds the changes since a version to a message, or the complete configuration
+// if some of the changes are missing.
 func (g *Gossiper) addConfig(message *Message, version int64) {
 	state := g.cfg.Source.State()
 	if state.Version <= version {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,7 +14,7 @@
 	"github.com/cometlock/cometlock/internal/follow"
 )
 
-// quietSource is a box without any configuration.
+// emptySource is a ConfigSource without a configuration.
 type emptySource struct{}
 
 func (emptySource) State() configlog.State              { return configlog.Empty() }
@@ -23,8 +23,8 @@
 func (emptySource) OfferChanges([]follow.Change) bool   { return false }
 func (emptySource) LogReachable() bool                  { return true }
 
-// Boxes are replaced hundreds of times a day: what is known of those that are
-// gone must not grow.
+// Boxes are replaced hundreds of times a day. The records of stopped boxes must be
+// removed, or they would accumulate.
 func TestStalePeersAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -38,7 +38,7 @@
 		}
 		g.Expect(x.BoxesInZone()).To(Equal(2))
 		time.Sleep(peerTimeout)
-		g.Expect(x.BoxesInZone()).To(Equal(1), "not counted soon after it fell silent")
+		g.Expect(x.BoxesInZone()).To(Equal(1), "a peer must not be counted after peerTimeout without a status")
 		time.Sleep(peerRetention)
 		x.handleStatus(Status{Box: "stays", Zone: "a"})
 		x.readBoxList(t.Context())
@@ -48,19 +48,19 @@
 	})
 }
 
-// Boxes tell each other what backend servers said of themselves, and each knows its place among those
-// that share a server's rate limit.
+// Boxes exchange the advisories of backend servers, and each box computes its position among those that
+// share a server's rate limit.
 func TestBoxesShareAdvisoryReports(t *testing.T) {
 	g := NewWithT(t)
 	boxes := []string{"one", "two", "three"}
-	said := map[string]*advisory.Report{"server": {LimitKnown: true, PerSecond: 2}}
-	var taken map[string]*advisory.Report
+	sent := map[string]*advisory.Report{"server": {LimitKnown: true, PerSecond: 2}}
+	var applied map[string]*advisory.Report
 	exchanges := make([]*Gossiper, len(boxes))
 	for i, box := range boxes {
 		exchanges[i] = New(Config{
 			Self: Status{Box: box, Zone: "a"}, Source: emptySource{}, Logger: zerolog.Nop(),
-			AdvisoryReports:      func() map[string]*advisory.Report { return said },
-			ApplyAdvisoryReports: func(reports map[string]*advisory.Report) { taken = reports },
+			AdvisoryReports:      func() map[string]*advisory.Report { return sent },
+			ApplyAdvisoryReports: func(reports map[string]*advisory.Report) { applied = reports },
 		})
 	}
 	ranks := map[int]bool{}
@@ -74,7 +74,7 @@
 		ranks[position.Rank] = true
 		g.Expect(x.LimitPosition("server", false).Present).To(Equal(len(boxes) + 1))
 	}
-	g.Expect(ranks).To(HaveLen(len(boxes)), "each has a rank of its own")
+	g.Expect(ranks).To(HaveLen(len(boxes)), "each box must have a different rank")
 	exchanges[0].handleStatus(exchanges[1].selfStatus())
-	g.Expect(taken).To(Equal(said))
+	g.Expect(applied).To(Equal(sent))
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -1,4 +1,4 @@
-// The side of the exchange that is asked.
+// The server side of the gossip protocol.
 
 package peer
 
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// answer gives the answer to a peer's message.
+// handleMessage applies a peer's message and returns the reply.
 func (g *Gossiper) handleMessage(message Message) Message {
 	g.handleStatus(message.Status)
 	g.applyConfig(message)
@@ -22,7 +22,7 @@
 	return answer
 }
 
-// Serve answers peers on a listener until ctx ends.
+// Serve accepts connections from peers on a listener until ctx is cancelled.
 func (g *Gossiper) Serve(ctx context.Context, listener net.Listener) {
 	if g.cfg.ServerTLS != nil {
 		listener = tls.NewListener(listener, g.cfg.ServerTLS)
@@ -39,13 +39,13 @@
 	}
 }
 
-// serving is one connection that a peer opened.
+// serverConn is a connection that a peer opened.
 type serverConn struct {
 	exchange *Gossiper
 	conn     net.Conn
 }
 
-// idleTimeout ends connections that peers no longer use.
+// idleTimeout is the time after which an idle connection is closed.
 const idleTimeout = time.Minute
 
 func (s *serverConn) loop(ctx context.Context) {
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -14,14 +14,14 @@
 	StatusAge string `json:"heard_ago"`
 }
 
-// State is the part of a state dump that describes the exchange.
+// State is the part of a state dump that describes the Gossiper.
 type State struct {
 	Listed    int        `json:"listed_boxes"`
 	Peers     []BoxState `json:"peers"`
 	SentBytes int64      `json:"sent_bytes"`
 }
 
-// State describes what is known of the peers.
+// State returns the peers and the bytes sent.
 func (g *Gossiper) State() State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -33,8 +33,8 @@
 	return state
 }
 
-// BoxesInZone counts the entry boxes of this box's zone that were heard of
-// lately, this one included.
+// BoxesInZone returns the number of live entry boxes in this box's zone, including this
+// one.
 func (g *Gossiper) BoxesInZone() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,8 +47,8 @@
 	return count
 }
 
-// LiveBoxes lists the boxes that were heard of lately and do not leave, this one
-// included, in name order.
+// LiveBoxes returns the sorted names of the boxes that sent a status within peerTimeout
+// and are not leaving, including this one.
 func (g *Gossiper) LiveBoxes() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,15 +65,15 @@
 	return live
 }
 
-// LimitPosition says where this box stands among those that share the rate limit of a server: those of
-// this box's zone, or all.
+// LimitPosition returns the position of this box among the live boxes that share the rate limit of a
+// server: those of this box's zone, or all boxes.
 func (g *Gossiper) LimitPosition(server string, inZone bool) advisory.Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var others []string
 	for name, peer := range g.peers {
-		live := !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout
-		if live && (!inZone || peer.status.Zone == g.cfg.Self.Zone) {
+		isLive := !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout
+		if isLive && (!inZone || peer.status.Zone == g.cfg.Self.Zone) {
 			others = append(others, name)
 		}
 	}
@@ -83,15 +83,15 @@
 			listed++
 		}
 	}
-	// In a round a box reaches some of the others, and as many reach it.
+	// In each round a box contacts Fanout others, and on average as many contact it.
 	rounds := 1 + len(g.peers)/(2*g.cfg.Fanout)
 	return advisory.Position{
 		Rank: advisory.Rank(g.cfg.Self.Box, others, server), Present: len(others) + 1, Listed: listed, ReportLag: time.Duration(rounds) * g.cfg.Interval,
 	}
 }
 
-// FirstInZone reports whether this box is the first by name of the boxes of its
-// zone that are believed to be live. Two boxes may both believe it for a while.
+// FirstInZone reports whether this box has the lowest name of the live boxes of its zone.
+// It is a leader election without guarantee: for a while two boxes may both be first.
 func (g *Gossiper) FirstInZone() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,8 +99,8 @@
 		return false
 	}
 	for name, peer := range g.peers {
-		live := !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout
-		if live && peer.status.Zone == g.cfg.Self.Zone && name < g.cfg.Self.Box {
+		isLive := !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout
+		if isLive && peer.status.Zone == g.cfg.Self.Zone && name < g.cfg.Self.Box {
 			return false
 		}
 	}
