--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,16 +1,17 @@
-// Package rollout brings the runners of a zone to the weight versions of the
-// configuration in force.
+// Package rollout rolls out the configured weight versions to the runners of a zone.
 //
-// An order states the whole wanted state of a runner and carries the version of
-// the configuration as its fence. A runner that checks refuses an order whose
-// fence is older than one it has obeyed, so a box that wakes up with an old
-// configuration is harmless. A runner that does not check is given the order
-// again until it reports the wanted state. Either way safety lies elsewhere: every
-// request names the version it wants, and every answer the version it came from.
+// An order contains the complete target state of a runner, with the version of the
+// configuration as a fencing token. A runner that checks the token rejects an order
+// with a lower token than the last one it obeyed, so a box that resumes with an old
+// configuration does no harm. A runner that does not check it gets the order again
+// until it reports the target state. Correctness does not depend on either: every
+// request contains the required weight version, and every response the version that
+// produced it.
 //
-// The weight store bears few loads at once, for the whole deployment, and zones
-// may not see each other. So the loads are shared out by time: with 3 loads and 4
-// zones, three zones may begin a load in each turn, and another one pauses:
+// The weight store supports only a few concurrent loads for the whole deployment, and
+// zones may be unable to communicate. So the loads are limited by time division: with
+// 3 parallel loads and 4 zones, three zones may start a load in each turn, and a
+// different zone pauses each time:
 //
 //	turn   0    1    2    3
 //	zone a  •    •    •    –
@@ -18,7 +19,7 @@
 //	zone c  •    –    •    •
 //	zone d  •    •    –    •
 //
-// Clocks that differ make the store slow for a moment, no more.
+// Clock skew may lead to more concurrent loads, which only slows the store for a moment.
 package rollout
 
 import (
@@ -32,46 +33,47 @@
 	"github.com/cometlock/cometlock/internal/engine"
 )
 
-// Config sets up a Rollout.
+// Config configures a Controller.
 type Config struct {
 	Engines *engine.Client
 	Logger  zerolog.Logger
 	// Zone is the availability zone of this entry box.
 	Zone string
-	// Snapshot gives the configuration in force, or nil.
+	// Snapshot returns the current configuration, or nil.
 	Snapshot func() *config.Snapshot
-	// Reports gives the last load report of each runner of the zone.
+	// Reports returns the last load report of each runner of the zone.
 	Reports func() []Report
-	// IsLeader reports whether this box gives the zone's orders.
+	// IsLeader reports whether this box sends the zone's orders.
 	IsLeader func() bool
-	// Turn is how long one turn lasts; Interval the time between two looks.
+	// Turn is the length of a turn, Interval the time between two checks of the runners.
 	Turn     time.Duration
 	Interval time.Duration
 }
 
-// Defaults of Config. A load takes about a second, so a turn has room for one
-// that begins in its first half.
+// Defaults of Config. A load takes about a second, so a load that starts in the first
+// half of a turn ends within the turn.
 const (
 	DefaultTurn     = 4 * time.Second
 	DefaultInterval = 200 * time.Millisecond
 )
 
-// Report is what a runner said of itself.
+// Report is the loaded weights of a runner by its last load report.
 type Report struct {
 	Server  *config.BackendServer
 	Weights []engine.LoadedWeights
 	Leaving bool
 }
 
-// Controller gives the orders of a zone.
+// Controller sends the orders of a zone.
 type Controller struct {
 	cfg Config
-	// ordered is when each runner was last given an order, and last when any was.
+	// orderedAt is the time of the last order to each runner, lastOrderAt that of the
+	// last order to any.
 	orderedAt   map[string]time.Time
 	lastOrderAt time.Time
 }
 
-// New makes a rollout.
+// New creates a Controller.
 func New(cfg Config) *Controller {
 	if cfg.Turn == 0 {
 		cfg.Turn = DefaultTurn
@@ -82,7 +84,7 @@
 	return &Controller{cfg: cfg, orderedAt: map[string]time.Time{}}
 }
 
-// Loop looks at the runners until ctx ends.
+// Loop checks the runners at each interval until ctx is cancelled.
 func (r *Controller) Loop(ctx context.Context) {
 	ticker := time.NewTicker(r.cfg.Interval)
 	defer ticker.Stop()
@@ -96,10 +98,10 @@
 	}
 }
 
-// settle is how long after an order the runners' reports may not show it yet.
+// reportDelay is how long it may take until the runners' reports show an order.
 const reportDelay = 1200 * time.Millisecond
 
-// look gives one order, if one is due and allowed.
+// step sends an order if one is due and allowed.
 func (r *Controller) step(ctx context.Context) {
 	snapshot := r.cfg.Snapshot()
 	if snapshot == nil || !r.cfg.IsLeader() || time.Since(r.lastOrderAt) < reportDelay {
@@ -121,29 +123,29 @@
 
 func (r *Controller) mayLoad(snapshot *config.Snapshot, now time.Time) bool {
 	file := snapshot.File()
-	names := make([]string, len(file.Zones))
+	zones := make([]string, len(file.Zones))
 	for i, zone := range file.Zones {
-		names[i] = zone.Name
+		zones[i] = zone.Name
 	}
-	slices.Sort(names)
-	return MayLoad(names, r.cfg.Zone, file.WeightStore.ParallelLoads, r.cfg.Turn, now)
+	slices.Sort(zones)
+	return MayLoad(zones, r.cfg.Zone, file.WeightStore.ParallelLoads, r.cfg.Turn, now)
 }
 
-// TargetWeights gives the whole state that the configuration wants a runner to be in.
+// TargetWeights returns the complete target state of a runner by the configuration.
 func TargetWeights(snapshot *config.Snapshot, server *config.BackendServer) []engine.LoadedWeights {
-	var wanted []engine.LoadedWeights
+	var target []engine.LoadedWeights
 	for _, name := range server.Models {
 		if model, ok := snapshot.Model(name); ok {
-			wanted = append(wanted, engine.LoadedWeights{Model: name, Version: model.Weights})
+			target = append(target, engine.LoadedWeights{Model: name, Version: model.Weights})
 		}
 	}
-	return wanted
+	return target
 }
 
-// NextRunner gives the runner that is to load next: none while one of the zone is
-// loading, so that a zone has one load under way and most of its runners serve.
-// Of those that are behind it takes the one that was ordered longest ago, so that
-// a runner which never gets there does not keep the others from it.
+// NextRunner returns the runner that should load next. It returns none while a runner of
+// the zone is loading, so that a zone has one load at a time and its other runners serve
+// requests. Of the outdated runners it returns the one with the oldest order, so that a
+// runner that never reaches the target state does not block the others.
 func NextRunner(snapshot *config.Snapshot, reports []Report, orderedAt map[string]time.Time) (Report, bool) {
 	found := false
 	var next Report
@@ -165,25 +167,26 @@
 	return slices.ContainsFunc(report.Weights, func(w engine.LoadedWeights) bool { return w.Loading != "" })
 }
 
-// behind reports whether a runner holds another version than the wanted one.
+// isOutdated reports whether a runner lacks the target version of one of its models.
 func isOutdated(snapshot *config.Snapshot, report Report) bool {
-	for _, wanted := range TargetWeights(snapshot, report.Server) {
-		held := slices.ContainsFunc(report.Weights, func(w engine.LoadedWeights) bool {
-			return w.Model == wanted.Model && w.Version == wanted.Version
+	for _, target := range TargetWeights(snapshot, report.Server) {
+		loaded := slices.ContainsFunc(report.Weights, func(w engine.LoadedWeights) bool {
+			return w.Model == target.Model && w.Version == target.Version
 		})
-		if !held {
+		if !loaded {
 			return true
 		}
 	}
 	return false
 }
 
-// MayLoad reports whether a zone may begin a load now. With at least as many
-// loads as zones every zone always may; otherwise each pauses in its turns, and
-// all only begin in the first half of a turn, so that a load ends within it.
+// MayLoad reports whether a zone may start a load now. If there are at least as many
+// parallel loads as zones, every zone always may. Otherwise the zones take turns to
+// pause, and may start loads only in the first half of a turn, so that a load ends
+// within it.
 func MayLoad(zones []string, zone string, parallel int, turn time.Duration, now time.Time) bool {
-	at := slices.Index(zones, zone)
-	if at < 0 {
+	index := slices.Index(zones, zone)
+	if index < 0 {
 		return false
 	}
 	if parallel >= len(zones) {
@@ -193,5 +196,5 @@
 	if time.Duration(now.UnixNano()%int64(turn)) > turn/2 {
 		return false
 	}
-	return (at+int(number%int64(len(zones))))%len(zones) < parallel
+	return (index+int(number%int64(len(zones))))%len(zones) < parallel
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -34,7 +34,7 @@
 				g.Expect(allowed).To(Equal(min(c.parallel, c.zones)))
 			}
 			for _, zone := range zones {
-				g.Expect(turns[zone]).To(BeNumerically(">=", 2), "every zone has its turns")
+				g.Expect(turns[zone]).To(BeNumerically(">=", 2), "every zone must have turns")
 			}
 			late := time.Unix(0, 0).Add(turn * 3 / 4)
 			g.Expect(rollout.MayLoad(zones, zones[0], c.parallel, turn, late)).To(Equal(c.parallel >= c.zones))
@@ -61,11 +61,11 @@
 		reports []rollout.Report
 		want    string
 	}{
-		{"nobody", nil, ""},
-		{"all there", []rollout.Report{report("a", "v2", "", false)}, ""},
-		{"the first that is behind", []rollout.Report{report("a", "v2", "", false), report("b", "v1", "", false), report("c", "v1", "", false)}, "b"},
-		{"none while one loads", []rollout.Report{report("a", "v1", "v2", false), report("b", "v1", "", false)}, ""},
-		{"not one that leaves", []rollout.Report{report("a", "v1", "", true), report("b", "v1", "", false)}, "b"},
+		{"no runners", nil, ""},
+		{"all up to date", []rollout.Report{report("a", "v2", "", false)}, ""},
+		{"the first outdated runner", []rollout.Report{report("a", "v2", "", false), report("b", "v1", "", false), report("c", "v1", "", false)}, "b"},
+		{"none while a runner loads", []rollout.Report{report("a", "v1", "v2", false), report("b", "v1", "", false)}, ""},
+		{"not a leaving runner", []rollout.Report{report("a", "v1", "", true), report("b", "v1", "", false)}, "b"},
 	} {
 		next, ok := rollout.NextRunner(snapshot, c.reports, nil)
 		g.Expect(ok).To(Equal(c.want != ""), c.name)
@@ -74,7 +74,7 @@
 		}
 	}
 
-	// A runner that never gets there must not keep the others from it.
+	// A runner that never reaches the target state must not block the others.
 	stuck := []rollout.Report{report("a", "v1", "", false), report("b", "v1", "", false)}
 	next, _ := rollout.NextRunner(snapshot, stuck, map[string]time.Time{"a": time.Unix(5, 0)})
 	g.Expect(next.Server.Name).To(Equal("b"))
