--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -1,5 +1,6 @@
-// Requests that end the servers which run them: such a request is handed to no server after the
-// third, however often it is sent or, as a review that waits, run again (package quarantine).
+// This file quarantines requests that crash the servers that run them (see package quarantine): after
+// three crashes a request is sent to no server, even if the caller sends it again or it is a review that
+// is retried while it waits.
 
 package dispatch
 
@@ -18,10 +19,10 @@
 	"github.com/cometlock/cometlock/internal/quarantine"
 )
 
-// codeEndsServers is why a request is refused that ends servers.
+// codeCrashesServers is the error code for a quarantined request.
 const codeCrashesServers = "ends_servers"
 
-// endings knows which requests end servers.
+// crashTracker detects and quarantines requests that crash servers.
 type crashTracker struct {
 	quarantined *quarantine.Set
 	detector    *crash.Detector
@@ -29,17 +30,18 @@
 }
 
 func newCrashTracker(cfg Config) *crashTracker {
-	e := &crashTracker{incarnation: cfg.Incarnation}
-	if e.incarnation == nil {
-		e.incarnation = func(string) (string, bool) { return "", false }
+	t := &crashTracker{incarnation: cfg.Incarnation}
+	if t.incarnation == nil {
+		t.incarnation = func(string) (string, bool) { return "", false }
 	}
-	e.quarantined = quarantine.New(quarantine.Config{
-		// Boxes of this program do not tell each other, so each tries for itself.
+	t.quarantined = quarantine.New(quarantine.Config{
+		// The boxes of this program do not share their quarantines, so each box decides on retries
+		// itself.
 		MayRetry: func(quarantine.Request) bool { return true },
 		OnChange: func(change quarantine.Change) { logChange(cfg.Logger, change) },
 	})
-	e.detector = crash.New(crash.Config{Logger: cfg.Logger, Connect: crash.Connect, Fate: e.registryStatus, OnCrash: e.noteCrash})
-	return e
+	t.detector = crash.New(crash.Config{Logger: cfg.Logger, Connect: crash.Connect, Fate: t.registryStatus, OnCrash: t.noteCrash})
+	return t
 }
 
 func logChange(logger zerolog.Logger, change quarantine.Change) {
@@ -51,7 +53,7 @@
 	}
 }
 
-// identify names the request.
+// fingerprintOf returns the fingerprint of a request.
 func fingerprintOf(request *flow.Request) fingerprint.Fingerprint {
 	caller := ""
 	if request.Organisation != nil {
@@ -60,49 +62,50 @@
 	return fingerprint.Of(fingerprint.Request{Caller: caller, Method: request.Method, Target: request.Path, Body: request.EngineBody()})
 }
 
-// fate says what is known of a server by its name.
-func (e *crashTracker) registryStatus(server string) fleet.RegistryStatus {
-	if _, leaving := e.incarnation(server); leaving {
+// registryStatus returns the status of a server by its name.
+func (t *crashTracker) registryStatus(server string) fleet.RegistryStatus {
+	if _, leaving := t.incarnation(server); leaving {
 		return fleet.StatusLeft
 	}
 	return fleet.StatusListed
 }
 
-func (e *crashTracker) noteCrash(loss crash.BrokenCall) {
-	life, _ := e.incarnation(loss.Server.Incarnation)
-	e.quarantined.NoteCrash(quarantine.Crash{Request: loss.Request, Caller: loss.Caller, Incarnation: xxhash.Sum64String(loss.Server.Incarnation + "@" + life)})
+func (t *crashTracker) noteCrash(loss crash.BrokenCall) {
+	life, _ := t.incarnation(loss.Server.Incarnation)
+	t.quarantined.NoteCrash(quarantine.Crash{Request: loss.Request, Caller: loss.Caller, Incarnation: xxhash.Sum64String(loss.Server.Incarnation + "@" + life)})
 }
 
-// admit gives the refusal of a request that is held.
-func (e *crashTracker) admit(request *flow.Request) *apierror.Error {
-	if _, admitted := e.quarantined.Admit(request.Fingerprint); admitted {
+// admit returns the error for a quarantined request, or nil if the request may run.
+func (t *crashTracker) admit(request *flow.Request) *apierror.Error {
+	if _, admitted := t.quarantined.Admit(request.Fingerprint); admitted {
 		return nil
 	}
-	return e.refusal(request)
+	return t.refusal(request)
 }
 
-// leastPause is the time to come back where none is known.
+// minRetryAfter is the minimum time after which the caller may retry, used if the end of the
+// quarantine is not known.
 const minRetryAfter = time.Second
 
-// refusal is what is said of a request that ends servers.
-func (e *crashTracker) refusal(request *flow.Request) *apierror.Error {
-	left, _ := e.quarantined.HeldFor(request.Fingerprint)
+// refusal returns the error for a request that crashes servers.
+func (t *crashTracker) refusal(request *flow.Request) *apierror.Error {
+	left, _ := t.quarantined.HeldFor(request.Fingerprint)
 	return apierror.NotReady(codeCrashesServers, max(left, minRetryAfter), "servers end when they run this request")
 }
 
-// endsServers finds out whether a server that gave no answer has ended, and reports whether the
-// request is to be handed to no other one for that: it was not the first.
-func (e *crashTracker) crashesServers(request *flow.Request, server *config.BackendServer) bool {
+// crashesServers checks whether a server that gave no response has crashed. It reports whether the
+// request must not be sent to another server because this was not its first crash.
+func (t *crashTracker) crashesServers(request *flow.Request, server *config.BackendServer) bool {
 	loss := crash.BrokenCall{
 		Server: fleet.Server{Incarnation: server.Name, Address: server.Address}, Request: request.Fingerprint,
 	}
 	if request.Organisation != nil {
 		loss.Caller = xxhash.Sum64String(request.Organisation.Name)
 	}
-	return e.detector.Check(request.Context(), loss) && e.quarantined.Crashes(request.Fingerprint) > 1
+	return t.detector.Check(request.Context(), loss) && t.quarantined.Crashes(request.Fingerprint) > 1
 }
 
-// NoteServed notes that a request was answered whole.
+// NoteServed records that a request received its complete response.
 func (d *Dispatcher) NoteServed(request *flow.Request) {
 	d.crashes.quarantined.NoteServed(request.Fingerprint)
 }
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -16,7 +16,8 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// endsUnder starts an engine that ends, with its listener, as soon as it was handed a run.
+// newCrashingServer starts an engine that closes its listener and connection as soon as it receives a
+// run.
 func newCrashingServer(t *testing.T, name string) *config.BackendServer {
 	t.Helper()
 	var server *httptest.Server
@@ -28,14 +29,15 @@
 	return &config.BackendServer{Name: name, Address: server.Listener.Addr().String()}
 }
 
-// A request that may be repeated ended as many engines as it had tries, each time it was sent. A
-// review, which is run again for as long as it waits, ended three each thirty seconds for ever.
+// Without a quarantine a repeatable request that crashes engines crashes one in each attempt, each
+// time it is sent. A review, which is retried as long as it waits, would crash three engines every
+// 30 seconds without end.
 func TestARequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	g := NewWithT(t)
-	ended := 0
+	crashed := 0
 	choose := func(request *flow.Request, _ []string) *apierror.Error {
-		ended++
-		request.Placement.Server = newCrashingServer(t, fmt.Sprint("engine-", ended))
+		crashed++
+		request.Placement.Server = newCrashingServer(t, fmt.Sprint("engine-", crashed))
 		return nil
 	}
 	d := dispatch.New(dispatch.Config{
@@ -46,14 +48,14 @@
 		request := flow.NewRequest(t.Context())
 		request.Path = "/v1/completions"
 		request.OnEncode(func() []byte { return []byte(`{"prompt":"the same"}`) })
-		request.Placement.Server = newCrashingServer(t, fmt.Sprint("placed-", ended))
+		request.Placement.Server = newCrashingServer(t, fmt.Sprint("placed-", crashed))
 		_, last = d.Dispatch(request)
 		g.Expect(last).NotTo(BeNil())
 		if last.Outcome != apierror.NotRun {
-			ended++ // the server of its placement
+			crashed++ // the server of the first placement
 		}
 	}
-	g.Expect(ended).To(BeNumerically("<=", 3))
+	g.Expect(crashed).To(BeNumerically("<=", 3))
 	g.Expect(last.Code).To(Equal("ends_servers"))
 	g.Expect(last.Outcome).To(Equal(apierror.NotRun))
 	g.Expect(last.RetryAfter).To(BeNumerically(">", 0))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,10 +1,10 @@
-// Package dispatch hands a placed request to its backend server, once.
+// Package dispatch sends a placed request to its backend server, and retries it on
+// another one where that is safe.
 //
-// What may follow a failed try depends on one question: can a byte of the
-// request have left this process? If not, another server may be tried, whatever
-// the request is. If it can, only a repeatable request may run elsewhere, and
-// only while nothing of an answer has reached the caller. Everything else ends
-// with "unknown".
+// After a failed attempt, a retry depends on whether a byte of the request may have left
+// this process. If not, any request may be sent to another server. Otherwise only a
+// repeatable request may, and only as long as no part of a response has reached the
+// caller. In all other cases the request fails with the outcome "unknown".
 package dispatch
 
 import (
@@ -24,24 +24,24 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// maxTries bounds the servers that one request is handed to.
+// maxAttempts is the maximum number of servers that a request is sent to.
 const maxAttempts = 3
 
-// Config sets up a Dispatcher.
+// Config configures a Dispatcher.
 type Config struct {
 	Engines *engine.Client
-	// Choose places a request anew, on none of the excluded servers.
+	// Choose places a request on a server that is not one of the excluded ones.
 	Choose func(request *flow.Request, exclude []string) *apierror.Error
-	// OnFailure is told of servers that could not be reached.
+	// OnFailure is called for servers that could not be reached or gave no valid response.
 	OnFailure func(server string)
 	Budget    *retrybudget.Budget
-	// Incarnation gives the life of a server that is there now, and whether it is to end; nil where
-	// nothing is known of either.
+	// Incarnation returns the current incarnation of a server, and whether the server is leaving. It is
+	// nil if neither is known.
 	Incarnation func(server string) (life string, leaving bool)
 	Logger      zerolog.Logger
 }
 
-// Dispatcher hands requests to engines.
+// Dispatcher sends requests to engines.
 type Dispatcher struct {
 	engines   *engine.Client
 	choose    func(request *flow.Request, exclude []string) *apierror.Error
@@ -50,52 +50,54 @@
 	crashes   *crashTracker
 }
 
-// New makes a dispatcher.
+// New creates a Dispatcher.
 func New(cfg Config) *Dispatcher {
 	return &Dispatcher{engines: cfg.Engines, choose: cfg.Choose, onFailure: cfg.OnFailure, budget: cfg.Budget, crashes: newCrashTracker(cfg)}
 }
 
-// Loop finds out later which servers ended, until ctx ends.
+// Loop checks in the background which servers have crashed, until ctx is cancelled.
 func (d *Dispatcher) Loop(ctx context.Context) { d.crashes.detector.Loop(ctx) }
 
-// Attempt is a run that an engine has taken.
+// Attempt is a run that an engine has accepted.
 type Attempt struct {
-	// Server runs it.
+	// Server is the backend server of the run.
 	Server *config.BackendServer
-	// Run is what was asked for, with the run's name.
+	// Run is the request to the engine, with the ID of the run.
 	Run engine.Run
-	// Stream is the engine's answer.
+	// Stream is the engine's response.
 	Stream *engine.Stream
-	// tried names the servers that were asked, this one included.
+	// tried contains the names of the servers tried so far, including this one.
 	tried []string
 }
 
-// Dispatch hands the request to the server of its placement, or to others as far
-// as that is allowed. It counts as a first try.
+// Dispatch sends the request to the server of its placement. If that fails, it retries
+// on other servers as far as the rules of the package allow. A request that is dispatched
+// adds to the retry budget.
 func (d *Dispatcher) Dispatch(request *flow.Request) (*Attempt, *apierror.Error) {
 	d.budget.Deposit()
 	request.Fingerprint = fingerprintOf(request)
 	return d.open(request, nil, false)
 }
 
-// Redispatch runs a request on another server after its run was lost. The caller
-// vouches that nothing of the answer was passed on.
-func (d *Dispatcher) Redispatch(request *flow.Request, lost *Attempt) (*Attempt, *apierror.Error) {
+// Redispatch sends a request to another server after its run was lost. The caller must
+// make sure that no part of the response was passed on.
+func (d *Dispatcher) Redispatch(request *flow.Request, failed *Attempt) (*Attempt, *apierror.Error) {
 	request.Placement.Handle.Done(false)
 	if !request.Repeatable {
 		return nil, apierror.Failed("run_lost", apierror.Unknown, "the run was lost and may not be repeated")
 	}
-	if d.crashes.crashesServers(request, lost.Server) {
+	if d.crashes.crashesServers(request, failed.Server) {
 		return nil, correctOutcome(d.crashes.refusal(request), true)
 	}
-	if !d.placeElsewhere(request, lost.tried) {
+	if !d.placeElsewhere(request, failed.tried) {
 		return nil, noServerLeft(true)
 	}
-	return d.open(request, lost.tried, true)
+	return d.open(request, failed.tried, true)
 }
 
-// open hands the request over, to one server after the other. MayHaveRun says
-// that an earlier try may have run; then no later refusal makes it "not run".
+// open sends the request to one server after the other until one accepts it. mayHaveRun
+// is set if an earlier attempt may have run; the outcome is then never "not run", even if
+// a later server refuses the request.
 func (d *Dispatcher) open(request *flow.Request, tried []string, mayHaveRun bool) (*Attempt, *apierror.Error) {
 	for {
 		if refusal := d.crashes.admit(request); refusal != nil {
@@ -135,8 +137,9 @@
 	}
 }
 
-// start hands a run over. When no answer comes back, the engine may have taken
-// the run all the same; asking it for the run by name is no second run.
+// start sends a run to an engine. If there is no response, the engine may still have
+// accepted the run, so start tries to resume it by its ID, which does not start a second
+// run.
 func (d *Dispatcher) start(ctx context.Context, attempt *Attempt) (*engine.Stream, error) {
 	stream, err := d.engines.Start(ctx, attempt.Server.Address, attempt.Run)
 	if !errors.Is(err, engine.ErrNoResponse) || ctx.Err() != nil {
@@ -149,8 +152,8 @@
 	return resumed, nil
 }
 
-// judge decides whether a request that failed on a server may go to another:
-// nil says that it may.
+// failureOf returns the error with which a request fails after a failed attempt on a
+// server, or nil if the request may be sent to another server.
 func (d *Dispatcher) failureOf(request *flow.Request, server string, err error) *apierror.Error {
 	if request.Gone() {
 		return flow.CallerGone()
@@ -172,27 +175,28 @@
 	return apierror.Failed("no_answer", outcome, "the request was handed to a backend server and may not be repeated")
 }
 
-// moveOn places the request on a server that was not tried, and reports whether
-// there is one and the budget allows it.
+// placeElsewhere places the request on a server that was not tried yet. It returns false
+// if there is none, after maxAttempts, or if the retry budget is exhausted.
 func (d *Dispatcher) placeElsewhere(request *flow.Request, tried []string) bool {
 	if len(tried) >= maxAttempts || !d.budget.TryWithdraw() {
 		return false
 	}
 	if d.choose(request, tried) != nil {
-		d.budget.Refund() // a retry that is not made costs nothing
+		d.budget.Refund() // the retry does not take place
 		return false
 	}
 	return true
 }
 
-// provesNotRun reports whether a failed try certainly had no effect: the engine
-// itself refused, or no connection was made.
+// provesNotRun reports whether a failed attempt certainly had no effect: the engine
+// itself refused the request, or no connection was made.
 func provesNotRun(err error) bool {
 	_, refused := errors.AsType[*engine.RefusedError](err)
 	return refused || errors.Is(err, engine.ErrNotSent)
 }
 
-// honest takes "not run" back from a failure when an earlier try may have run.
+// correctOutcome changes the outcome of a failure from "not run" to "unknown" if an
+// earlier attempt may have run.
 func correctOutcome(failure *apierror.Error, mayHaveRun bool) *apierror.Error {
 	if mayHaveRun && failure.Outcome == apierror.NotRun {
 		failure.Outcome = apierror.Unknown
@@ -200,7 +204,7 @@
 	return failure
 }
 
-// exhausted is the answer when no further server is to be tried.
+// noServerLeft is the error when no other server may be tried.
 func noServerLeft(mayHaveRun bool) *apierror.Error {
 	if mayHaveRun {
 		return apierror.Failed("engine_failed", apierror.Unknown, "the engine failed and no other took the request")
@@ -208,8 +212,8 @@
 	return apierror.NotReady("no_runner", time.Second, "no runner took the request")
 }
 
-// passRefusal gives the caller the engine's own refusal, which is about the
-// request itself.
+// engineRefusal converts an engine's refusal of the request itself to an error for the
+// caller.
 func engineRefusal(refused *engine.RefusedError) *apierror.Error {
 	var body apierror.Body
 	message := "the engine refused the request"
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -15,19 +15,19 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// A way in which an engine deals with a run.
+// The behaviour of an engine when it receives a run.
 const (
-	gone    = "gone"    // nothing listens
-	refuses = "refuses" // answers 503
-	rejects = "rejects" // answers 400
-	drops   = "drops"   // takes the run and closes the connection
+	gone    = "gone"    // refuses connections
+	refuses = "refuses" // responds with status 503
+	rejects = "rejects" // responds with status 400
+	drops   = "drops"   // accepts the run and closes the connection
 )
 
 func newServer(t *testing.T, behaviour string) *config.BackendServer {
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodGet:
-			w.WriteHeader(http.StatusNotFound) // it knows no run by name
+			w.WriteHeader(http.StatusNotFound) // it has no run with this ID
 		case behaviour == refuses:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case behaviour == rejects:
@@ -44,12 +44,12 @@
 	return &config.BackendServer{Name: behaviour, Address: server.Listener.Addr().String()}
 }
 
-// What a caller is told when no engine takes the request hangs on all tries, not
-// on the last one alone.
+// The outcome of a request that no engine accepts depends on all attempts, not only on
+// the last one.
 func TestTheOutcomeDependsOnAllAttempts(t *testing.T) {
 	cases := []struct {
 		name       string
-		ways       []string
+		behaviours []string
 		repeatable bool
 		want       apierror.Outcome
 	}{
@@ -60,7 +60,7 @@
 		{"the first may have run it, the next rejects it", []string{drops, rejects}, true, apierror.Unknown},
 		{"the last may have run it", []string{refuses, gone, drops}, true, apierror.Unknown},
 		{"it may not be repeated, and the first may have run it", []string{drops, refuses}, false, apierror.Unknown},
-		{"it may not be repeated, and nobody took it", []string{gone, refuses, gone}, false, apierror.NotRun},
+		{"it may not be repeated, and no engine accepted it", []string{gone, refuses, gone}, false, apierror.NotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,10 +70,10 @@
 			request.OnEncode(func() []byte { return []byte("{}") })
 			tried := 0
 			choose := func(request *flow.Request, _ []string) *apierror.Error {
-				if tried == len(c.ways) {
+				if tried == len(c.behaviours) {
 					return apierror.NotReady("none", 0, "no more")
 				}
-				request.Placement.Server = newServer(t, c.ways[tried])
+				request.Placement.Server = newServer(t, c.behaviours[tried])
 				tried++
 				return nil
 			}
@@ -88,8 +88,8 @@
 	}
 }
 
-// A request whose engine dropped it took a retry from the budget, and then there was no other
-// engine: the retry was gone, and requests that would have found one a moment later had none.
+// A retry withdrawn from the budget must be refunded if there is no other engine. Otherwise the
+// budget lacks it for requests that could be retried a moment later.
 func TestARetryWithoutAnEngineIsRefunded(t *testing.T) {
 	g := NewWithT(t)
 	request := flow.NewRequest(t.Context())
