--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -19,27 +19,28 @@
 	"github.com/cometlock/cometlock/internal/selfheaders"
 )
 
-// Sizes of the buffers of a connection to an engine. Thousands of streams are
-// open at once and a chunk is a few hundred bytes, so small ones are enough.
+// Limits of sizes. Thousands of streams may be open at once and a chunk is a few hundred
+// bytes, so the buffers of a connection are small.
 const (
 	connectionBufferBytes = 2 << 10
 	maxErrorBytes         = 64 << 10
 	maxControlBytes       = 32 << 20
 )
 
-// ClientConfig sets up a Client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout is the timeout for making a connection.
 	DialTimeout time.Duration
-	// ControlTimeout bounds a control call.
+	// ControlTimeout is the timeout of a control call.
 	ControlTimeout time.Duration
-	// MaxResponseBytes bounds an answer that is not streamed.
+	// MaxResponseBytes is the maximum size of a response that is not streamed.
 	MaxResponseBytes int64
-	// OnAdvisory is told what answers say of the engine at an address; it may be nil.
+	// OnAdvisory is called with the advisory headers of each response and the engine's address; it may be
+	// nil.
 	OnAdvisory func(address string, answer advisory.Answer)
 }
 
-// Client speaks to all engines of a zone.
+// Client is the HTTP client for all engines of a zone.
 type Client struct {
 	http             http.Client
 	controlTimeout   time.Duration
@@ -54,7 +55,7 @@
 	DefaultMaxResponseBytes = 32 << 20
 )
 
-// NewClient makes a client; it connects on first use.
+// NewClient creates a client, which connects to an engine on the first request.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = DefaultDialTimeout
@@ -83,23 +84,23 @@
 
 // Run is a request for an engine.
 type Run struct {
-	// ID names the run; it is unique for ever.
+	// ID identifies the run and is never reused.
 	ID string
 	// Path is /v1/chat/completions or /v1/completions.
 	Path string
 	// Body is the request in the engine's protocol.
 	Body []byte
-	// Weights is the wanted weight version.
+	// Weights is the required weight version.
 	Weights string
-	// Stream says whether the answer is streamed.
+	// Stream is set if the response is streamed.
 	Stream bool
 }
 
-// Start hands a run to an engine, once, and gives its stream. The error is
+// Start sends a run to an engine, at most once, and returns its stream. The error is
 // ErrNotSent, ErrNoResponse, ErrWrongWeights, ErrProtocol or a *RefusedError.
 func (c *Client) Start(ctx context.Context, address string, run Run) (*Stream, error) {
-	// A reader that the HTTP library does not know comes without GetBody, so it
-	// cannot hand the run over a second time.
+	// For a reader of an unknown type the HTTP library does not set GetBody, so it
+	// cannot send the run a second time.
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+run.Path, &onceReader{rest: run.Body})
 	if err != nil {
 		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
@@ -115,7 +116,7 @@
 	return c.openStream(response, run.Weights, run.Stream, 0)
 }
 
-// do sends a request of a run, and passes on what the answer says of the engine.
+// do sends a request of a run, and calls OnAdvisory with the headers of the response.
 func (c *Client) do(request *http.Request) (*http.Response, error) {
 	sent := boottime.Now()
 	response, err := c.http.Do(request)
@@ -123,14 +124,14 @@
 		return nil, sendError(err)
 	}
 	if c.onAdvisory != nil {
-		said := selfheaders.Read(response.StatusCode, response.Header)
-		c.onAdvisory(request.URL.Host, advisory.Answer{Advisory: said, Sent: sent, Received: boottime.Now(), Genuine: true})
+		parsed := selfheaders.Read(response.StatusCode, response.Header)
+		c.onAdvisory(request.URL.Host, advisory.Answer{Advisory: parsed, Sent: sent, Received: boottime.Now(), Genuine: true})
 	}
 	return response, nil
 }
 
-// onceReader reads bytes and lets go of them. The HTTP library holds on to a
-// request's body until the answer has ended, which may take minutes.
+// onceReader reads a byte slice and then releases it. The HTTP library keeps a reference
+// to a request's body until the end of the response, which may take minutes.
 type onceReader struct {
 	rest []byte
 }
@@ -141,12 +142,12 @@
 	if r.rest = r.rest[n:]; len(r.rest) > 0 {
 		return n, nil
 	}
-	r.rest = nil // an empty rest would still hold all that was read
+	r.rest = nil // an empty slice would still refer to the whole array
 	return n, io.EOF
 }
 
-// Resume takes up a run after the chunk with index after; -1 begins at the first
-// chunk. The error is as for Start, or ErrUnknownRun.
+// Resume resumes the stream of a run after the chunk with the given index; -1 starts with
+// the first chunk. The error is one of those of Start, or ErrUnknownRun.
 func (c *Client) Resume(ctx context.Context, address string, run Run, after int) (*Stream, error) {
 	target := runURL(address, run.ID) + "?starting_after=" + strconv.Itoa(after) + "&stream=" + strconv.FormatBool(run.Stream)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
@@ -164,7 +165,7 @@
 	return c.openStream(response, run.Weights, run.Stream, after+1)
 }
 
-// Cancel tells an engine that nobody waits for a run any more.
+// Cancel cancels a run on an engine.
 func (c *Client) Cancel(ctx context.Context, address, runID string) error {
 	return c.control(ctx, http.MethodDelete, runURL(address, runID), nil, nil)
 }
@@ -189,8 +190,8 @@
 	return newStream(response.Body, streamConfig{streamed: stream, next: next, maxBytes: c.maxResponseBytes}), nil
 }
 
-// handoverError tells whether any byte can have left: only a connection that
-// was never made proves that none did.
+// sendError converts an error of the HTTP library to ErrNotSent or ErrNoResponse. Only a
+// connection that was never made proves that no byte of the request was sent.
 func sendError(err error) error {
 	if operation, ok := errors.AsType[*net.OpError](err); ok && operation.Op == "dial" {
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
@@ -198,54 +199,54 @@
 	return merry.Wrap(ErrNoResponse, merry.WithCause(err))
 }
 
-// Status asks an engine for its load report.
+// Status requests the load report of an engine.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
 	var status Status
 	err := c.control(ctx, http.MethodGet, "http://"+address+"/control/status", nil, &status)
 	return status, err
 }
 
-// CacheEvents asks an engine for its cache events after a sequence number.
+// CacheEvents requests the cache events of an engine after a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) (CacheEvents, error) {
 	var events CacheEvents
 	err := c.control(ctx, http.MethodGet, "http://"+address+"/control/cache-events?after="+strconv.FormatInt(after, 10), nil, &events)
 	return events, err
 }
 
-// Order sends an order. A *RefusedError with status 409 says that the engine
-// has obeyed a newer fence.
+// Order sends an order to an engine. The error is a *RefusedError with status 409 if the
+// engine has already obeyed an order with a higher fencing token.
 func (c *Client) Order(ctx context.Context, address string, order Order) error {
 	return c.control(ctx, http.MethodPost, "http://"+address+"/control/orders", order, nil)
 }
 
-// Import asks an engine to fetch kept context from a store box.
+// Import has an engine fetch stored context from a store box.
 func (c *Client) Import(ctx context.Context, address string, transfer Transfer) (TransferResult, error) {
 	var answer TransferResult
 	err := c.control(ctx, http.MethodPost, "http://"+address+"/control/kv/import", transfer, &answer)
 	return answer, err
 }
 
-// Export asks an engine to put kept context into a store box.
+// Export has an engine write cached context to a store box.
 func (c *Client) Export(ctx context.Context, address string, transfer Transfer) (TransferResult, error) {
 	var answer TransferResult
 	err := c.control(ctx, http.MethodPost, "http://"+address+"/control/kv/export", transfer, &answer)
 	return answer, err
 }
 
-// control makes one control call. Control calls may be repeated, so a failure
-// of any kind is just a failure.
-func (c *Client) control(ctx context.Context, method, target string, body, answer any) error {
+// control makes a control call. Control calls are idempotent, so after an error it does
+// not matter whether the call took effect.
+func (c *Client) control(ctx context.Context, method, target string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.controlTimeout)
 	defer cancel()
-	var content io.Reader
+	var reader io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
 			return merry.Wrap(err)
 		}
-		content = bytes.NewReader(data)
+		reader = bytes.NewReader(data)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, target, content)
+	request, err := http.NewRequestWithContext(ctx, method, target, reader)
 	if err != nil {
 		return merry.Wrap(err)
 	}
@@ -257,17 +258,17 @@
 	if response.StatusCode/100 != 2 {
 		return &RefusedError{Status: response.StatusCode}
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxControlBytes)).Decode(answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxControlBytes)).Decode(result); err != nil {
 		return merry.Wrap(ErrProtocol, merry.WithCause(err))
 	}
 	return nil
 }
 
 func closeBody(body io.ReadCloser) {
-	// Draining lets the connection be used again; its errors change nothing.
+	// Reading the rest allows the connection to be reused. Errors do not matter here.
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, 4<<10))
 	_ = body.Close()
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -24,26 +24,26 @@
 	}
 }
 
-// What an engine says of itself stands in the heads of all answers, of refusals too.
+// Engines send advisory headers in all responses, including refusals.
 func TestAdvisoryHeadersAreReported(t *testing.T) {
 	g := NewWithT(t)
 	status := http.StatusServiceUnavailable
-	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(selfheaders.RateLimit, "2.5")
 		w.WriteHeader(status)
 	}))
-	defer served.Close()
-	var said []advisory.Answer
+	defer server.Close()
+	var received []advisory.Answer
 	client := NewClient(ClientConfig{OnAdvisory: func(address string, answer advisory.Answer) {
-		g.Expect(address).To(Equal(served.Listener.Addr().String()))
-		said = append(said, answer)
+		g.Expect(address).To(Equal(server.Listener.Addr().String()))
+		received = append(received, answer)
 	}})
-	_, err := client.Start(t.Context(), served.Listener.Addr().String(), Run{ID: "r", Path: "/v1/completions"})
+	_, err := client.Start(t.Context(), server.Listener.Addr().String(), Run{ID: "r", Path: "/v1/completions"})
 	g.Expect(err).To(HaveOccurred())
-	_, err = client.Resume(t.Context(), served.Listener.Addr().String(), Run{ID: "r"}, 3)
+	_, err = client.Resume(t.Context(), server.Listener.Addr().String(), Run{ID: "r"}, 3)
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(said).To(HaveLen(2))
-	for _, answer := range said {
+	g.Expect(received).To(HaveLen(2))
+	for _, answer := range received {
 		g.Expect(answer.Advisory).To(Equal(advisory.Advisory{Limit: advisory.LimitNamed, PerSecond: 2.5}))
 		g.Expect(answer.Received).To(BeTemporally(">=", answer.Sent))
 	}
--- a/internal/engine/resume.go
+++ b/internal/engine/resume.go
@@ -8,16 +8,17 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Pace of taking a run up again.
+// Limits of the attempts to resume a run.
 const (
-	// MaxResumeAttempts bounds the tries in a row that bring nothing.
+	// MaxResumeAttempts is the maximum number of consecutive attempts without a new chunk.
 	MaxResumeAttempts  = 6
 	initialResumeDelay = 20 * time.Millisecond
 	maxResumeDelay     = 500 * time.Millisecond
 )
 
-// ResumeWithRetry takes a run up after a chunk, trying for a second or two. It gives
-// up at once when the engine says that the run is not there.
+// ResumeWithRetry resumes a run after a chunk, and retries with exponential backoff for one
+// to two seconds. It does not retry if the engine no longer has the run or responds with
+// another weight version.
 func (c *Client) ResumeWithRetry(ctx context.Context, address string, run Run, after int) (*Stream, error) {
 	waits := backoff.NewExponentialBackOff()
 	waits.InitialInterval = initialResumeDelay
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -12,19 +12,19 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxLineBytes bounds one line of a stream.
+// maxLineBytes is the maximum length of a line of a stream.
 const maxLineBytes = 1 << 20
 
-// doneData is the data of the event that ends a stream.
+// doneData is the data of the last event of a stream.
 var doneData = []byte("[DONE]")
 
 // Chunk is one event of a stream.
 type Chunk struct {
-	// Index counts the chunks of a run from 0.
+	// Index is the number of the chunk within the run, from 0.
 	Index int
-	// Data is the event's data; it is valid until the next call of Next.
+	// Data is the event's data. It is valid until the next call to Next.
 	Data []byte
-	// Last says that the answer is whole.
+	// Last is set for the last chunk of a response.
 	Last bool
 }
 
@@ -34,25 +34,25 @@
 	maxBytes int64
 }
 
-// Stream reads the chunks of one run in order, each exactly once. A streamed
-// run gives many; any other gives one that holds the whole answer.
+// Stream returns the chunks of one run in order, each exactly once. A run that is not
+// streamed has a single chunk with the whole response.
 type Stream struct {
 	body     io.ReadCloser
 	reader   *bufio.Reader
 	streamed bool
 	next     int
 	maxBytes int64
-	// data collects the data lines of the event that is being read.
+	// data contains the data lines read so far of the current event.
 	data []byte
-	// long collects a line that is larger than the reader's buffer.
+	// longLine is the buffer for lines longer than the reader's buffer.
 	longLine []byte
-	// early holds chunks that came before their turn, by index.
+	// earlyChunks contains chunks that arrived before their predecessors, by index.
 	earlyChunks map[int][]byte
-	// last is set once the answer is whole.
+	// complete is set after the last chunk.
 	complete bool
 }
 
-// readers holds line buffers, so that an open stream costs no new ones.
+// readers is a pool of line buffers, so that a new stream does not allocate one.
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, connectionBufferBytes) }}
 
 func newStream(body io.ReadCloser, cfg streamConfig) *Stream {
@@ -64,7 +64,8 @@
 	return s
 }
 
-// Close gives the stream back. It must be called once.
+// Close closes the stream and returns its buffer to the pool. It must be called exactly
+// once.
 func (s *Stream) Close() error {
 	reader := s.reader
 	s.reader = nil
@@ -73,15 +74,15 @@
 	return s.body.Close()
 }
 
-// NextIndex is the index of the chunk that Next gives next.
+// NextIndex returns the index of the next chunk.
 func (s *Stream) NextIndex() int { return s.next }
 
-// Next gives the next chunk. The error is io.EOF after the last chunk,
-// ErrStreamBroken, ErrMissingChunk, or ErrProtocol.
+// Next returns the next chunk. The error is io.EOF after the last chunk, or
+// ErrStreamBroken, ErrMissingChunk or ErrProtocol.
 //
-// Chunks that came before are dropped, and ones that come early wait for those
-// before them, since engines repeat and reorder some after a hiccup: of indexes
-// 0 2 1 1 3, the caller sees 0 1 2 3.
+// Next drops duplicate chunks and buffers early ones until those before them have
+// arrived, since engines repeat and reorder some chunks after a disturbance: if chunks
+// arrive with the indexes 0 2 1 1 3, the caller receives 0 1 2 3.
 func (s *Stream) Next() (Chunk, error) {
 	if s.complete {
 		return Chunk{}, io.EOF
@@ -107,10 +108,10 @@
 	}
 }
 
-// maxEarly bounds the chunks that wait for an earlier one.
+// maxEarlyChunks is the maximum number of buffered early chunks.
 const maxEarlyChunks = 16
 
-// keep holds an early chunk, and reports whether there was room.
+// holdEarly buffers an early chunk. It returns false if there are too many.
 func (s *Stream) holdEarly(index int) bool {
 	if len(s.earlyChunks) >= maxEarlyChunks {
 		return false
@@ -125,7 +126,7 @@
 func (s *Stream) emit(data []byte) (Chunk, error) {
 	s.complete = bytes.Equal(data, doneData)
 	if !s.complete && !json.Valid(data) {
-		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("a chunk that is not JSON"))
+		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("a chunk is not valid JSON"))
 	}
 	index := s.next
 	s.next++
@@ -138,17 +139,17 @@
 		return Chunk{}, merry.Wrap(ErrStreamBroken, merry.AppendMessage(err.Error()))
 	}
 	if int64(len(data)) > s.maxBytes {
-		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("the answer is too large"))
+		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("the response is too large"))
 	}
 	if !json.Valid(data) {
-		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("the answer is not JSON"))
+		return Chunk{}, merry.Wrap(ErrProtocol, merry.AppendMessage("the response is not valid JSON"))
 	}
 	s.complete = true
 	s.next = 1
 	return Chunk{Data: data, Last: true}, nil
 }
 
-// readEvent reads one event into s.data and gives its index.
+// readEvent reads one event into s.data and returns its index.
 func (s *Stream) readEvent() (int, error) {
 	s.data = s.data[:0]
 	index := -1
@@ -159,10 +160,10 @@
 		}
 		if len(line) == 0 {
 			if len(s.data) == 0 {
-				continue // comments and keep-alives make no event
+				continue // comments and keep-alives are not events
 			}
 			if index < 0 {
-				return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("an event without an index"))
+				return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("an event has no id"))
 			}
 			return index, nil
 		}
@@ -180,10 +181,10 @@
 			}
 		case "", "event", "retry":
 		default:
-			return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("a line that is no field of an event"))
+			return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("a line is not an event field"))
 		}
 		if len(s.data) > maxLineBytes {
-			return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("an event that is too large"))
+			return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("an event is too large"))
 		}
 	}
 }
@@ -191,12 +192,12 @@
 func parseIndex(value []byte) (int, error) {
 	index, err := strconv.ParseUint(string(value), 10, 31)
 	if err != nil {
-		return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("an index that is no number"))
+		return 0, merry.Wrap(ErrProtocol, merry.AppendMessage("the id of an event is not a chunk index"))
 	}
 	return int(index), nil
 }
 
-// readLine gives a line without its end. The line is valid until the next call.
+// readLine returns a line without the line ending. It is valid until the next call.
 func (s *Stream) readLine() ([]byte, error) {
 	line, err := s.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -214,10 +215,10 @@
 func (s *Stream) readLongLine(begin []byte) ([]byte, error) {
 	s.longLine = append(s.longLine[:0], begin...)
 	for {
-		part, err := s.reader.ReadSlice('\n')
-		s.longLine = append(s.longLine, part...)
+		fragment, err := s.reader.ReadSlice('\n')
+		s.longLine = append(s.longLine, fragment...)
 		if len(s.longLine) > maxLineBytes {
-			return nil, merry.Wrap(ErrProtocol, merry.AppendMessage("a line that is too long"))
+			return nil, merry.Wrap(ErrProtocol, merry.AppendMessage("a line is too long"))
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return s.longLine, err
@@ -225,16 +226,16 @@
 	}
 }
 
-// eventEnd is the end of an event's last line and the blank line after it.
+// eventEnd is the line ending of an event's last line and the empty line after it.
 var eventEnd = []byte("\n\n")
 
-// HasBuffered reports whether the next chunk is here already, so that a relay can
-// write several chunks before it flushes. Part of an event does not count: the
-// rest may be long in coming.
+// HasBuffered reports whether the next chunk has already been received, so that a relay can
+// write several chunks before it flushes. An incomplete event does not count, since the
+// rest of it may take long to arrive.
 func (s *Stream) HasBuffered() bool {
 	if _, ok := s.earlyChunks[s.next]; ok {
 		return true
 	}
-	waiting, err := s.reader.Peek(s.reader.Buffered())
-	return err == nil && bytes.Contains(waiting, eventEnd)
+	buffered, err := s.reader.Peek(s.reader.Buffered())
+	return err == nil && bytes.Contains(buffered, eventEnd)
 }
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -14,7 +14,7 @@
 	return newStream(io.NopCloser(strings.NewReader(text)), streamConfig{streamed: true, next: next, maxBytes: 1 << 20})
 }
 
-// read gives the chunks of a stream joined by spaces, and how it ended.
+// read returns the chunks of a stream joined by spaces, and the error that ended it.
 func read(s *Stream) (string, error) {
 	var parts []string
 	for {
@@ -39,25 +39,25 @@
 		err   error
 	}{
 		{"whole", "id: 0\ndata: 1\n\nid: 1\ndata: [DONE]\n\n", 0, "1 [DONE]", nil},
-		{"line ends of Windows", "id: 0\r\ndata: 1\r\n\r\nid: 1\r\ndata: [DONE]\r\n\r\n", 0, "1 [DONE]", nil},
+		{"CRLF line endings", "id: 0\r\ndata: 1\r\n\r\nid: 1\r\ndata: [DONE]\r\n\r\n", 0, "1 [DONE]", nil},
 		{"keep-alives and other fields", ": hello\n\nevent: x\nretry: 5\nid: 0\ndata: 1\n\nid: 1\ndata: [DONE]\n\n", 0, "1 [DONE]", nil},
 		{"repeated", "id: 0\ndata: 1\n\nid: 0\ndata: 1\n\nid: 1\ndata: [DONE]\n\n", 0, "1 [DONE]", nil},
-		{"older ones first", "id: 0\ndata: 1\n\nid: 1\ndata: 2\n\nid: 2\ndata: [DONE]\n\n", 1, "2 [DONE]", nil},
+		{"older chunks first", "id: 0\ndata: 1\n\nid: 1\ndata: 2\n\nid: 2\ndata: [DONE]\n\n", 1, "2 [DONE]", nil},
 		{"reordered", "id: 1\ndata: 2\n\nid: 0\ndata: 1\n\nid: 2\ndata: [DONE]\n\n", 0, "1 2 [DONE]", nil},
 		{"reordered at the end", "id: 1\ndata: [DONE]\n\nid: 0\ndata: 1\n\n", 0, "1 [DONE]", nil},
-		{"missing until the end", "id: 0\ndata: 1\n\nid: 2\ndata: 3\n\n", 0, "1", ErrStreamBroken},
-		{"missing for long", "id: 0\ndata: 1\n\n" + manyEvents(2, 30), 0, "1", ErrMissingChunk},
-		{"broken off between chunks", "id: 0\ndata: 1\n\n", 0, "1", ErrStreamBroken},
-		{"broken off in a chunk", "id: 0\ndata: 1\n\nid: 1\nda", 0, "1", ErrStreamBroken},
-		{"broken off before the blank line", "id: 0\ndata: 1\n", 0, "", ErrStreamBroken},
+		{"chunk missing until the end", "id: 0\ndata: 1\n\nid: 2\ndata: 3\n\n", 0, "1", ErrStreamBroken},
+		{"chunk missing for more than maxEarlyChunks", "id: 0\ndata: 1\n\n" + manyEvents(2, 30), 0, "1", ErrMissingChunk},
+		{"broken between chunks", "id: 0\ndata: 1\n\n", 0, "1", ErrStreamBroken},
+		{"broken within a chunk", "id: 0\ndata: 1\n\nid: 1\nda", 0, "1", ErrStreamBroken},
+		{"broken before the empty line", "id: 0\ndata: 1\n", 0, "", ErrStreamBroken},
 		{"empty", "", 0, "", ErrStreamBroken},
 		{"several data lines", "id: 0\ndata: [1,\ndata: 2]\n\nid: 1\ndata: [DONE]\n\n", 0, "[1,\n2] [DONE]", nil},
 		{"a line longer than the buffer", "id: 0\ndata: " + long + "\n\nid: 1\ndata: [DONE]\n\n", 0, long + " [DONE]", nil},
-		{"no index", "data: 1\n\n", 0, "", ErrProtocol},
-		{"an index that is none", "id: one\ndata: 1\n\n", 0, "", ErrProtocol},
-		{"a negative index", "id: -1\ndata: 1\n\n", 0, "", ErrProtocol},
-		{"no event stream", "<html>\n\n", 0, "", ErrProtocol},
-		{"no JSON", "id: 0\ndata: {\n\n", 0, "", ErrProtocol},
+		{"no id", "data: 1\n\n", 0, "", ErrProtocol},
+		{"an id that is not a number", "id: one\ndata: 1\n\n", 0, "", ErrProtocol},
+		{"a negative id", "id: -1\ndata: 1\n\n", 0, "", ErrProtocol},
+		{"not an event stream", "<html>\n\n", 0, "", ErrProtocol},
+		{"not JSON", "id: 0\ndata: {\n\n", 0, "", ErrProtocol},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 				g.Expect(err).NotTo(HaveOccurred())
 			} else {
 				g.Expect(errors.Is(err, c.err)).To(BeTrue(), "got %v", err)
-				g.Expect(errors.Is(err, io.EOF)).To(BeFalse(), "a stream that breaks off must not look like its end")
+				g.Expect(errors.Is(err, io.EOF)).To(BeFalse(), "a broken stream must not return io.EOF")
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 	text.WriteString("id: 1\ndata: [DONE]\n\n")
 	input := text.String()
 	perStream := testing.AllocsPerRun(20, func() {
-		s := open(input, 1) // all but the last are older and skipped
+		s := open(input, 1) // all chunks but the last are older and skipped
 		if _, err := read(s); err != nil {
 			t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 				return
 			}
 			if chunk.Index != want {
-				t.Fatalf("chunk %d where %d was due", chunk.Index, want)
+				t.Fatalf("got chunk %d, want %d", chunk.Index, want)
 			}
 			want++
 			if chunk.Last {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -192,9 +192,9 @@
 	if parallel >= len(zones) {
 		return true
 	}
-	number := now.UnixNano() / int64(turn)
+	turnNumber := now.UnixNano() / int64(turn)
 	if time.Duration(now.UnixNano()%int64(turn)) > turn/2 {
 		return false
 	}
-	return (index+int(number%int64(len(zones))))%len(zones) < parallel
+	return (index+int(turnNumber%int64(len(zones))))%len(zones) < parallel
 }
