--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -1,10 +1,10 @@
-// Package fingerprint tells whether two calls are the same request: the same caller asks the
-// same path of the same host in the same way, with the same body. Callers give each sending an
-// id of its own, so ids do not tell.
+// Package fingerprint identifies repeated requests: two calls have the same fingerprint if
+// caller, method, host, path and body are the same. Request IDs cannot be used for this, since
+// callers assign a new ID each time they send a request.
 //
-// A fingerprint is a keyed hash, and the caller is its key. So nobody can make a call that has
-// the fingerprint of another caller's, and nothing of a body can be read from it. Bodies are
-// not kept for it.
+// A fingerprint is a keyed hash with the caller as the key. So no caller can make a call that
+// has the fingerprint of another caller's call, and a fingerprint reveals nothing about the
+// body. Bodies are not stored.
 package fingerprint
 
 import (
@@ -15,22 +15,23 @@
 	"hash"
 )
 
-// size is the length of a fingerprint in bytes: too long for two requests to share one by
-// chance or by search.
+// size is the length of a fingerprint in bytes. It is long enough that collisions neither
+// occur by chance nor can be found by search.
 const size = 16
 
-// Fingerprint names a request.
+// Fingerprint identifies a request.
 type Fingerprint [size]byte
 
-// shownBytes is how much of a fingerprint stands in logs.
+// loggedBytes is the number of bytes of a fingerprint that are written to logs.
 const loggedBytes = 8
 
-// String gives enough of it to find its lines in logs.
+// String returns the first loggedBytes bytes in hexadecimal, enough to find the fingerprint's
+// lines in logs.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:loggedBytes]) }
 
-// Request is what makes a request the same as another.
+// Request contains the parts of a request that the fingerprint depends on.
 type Request struct {
-	// Caller is the organisation that the call belongs to; empty where anybody may call.
+	// Caller is the organisation that sends the call; empty if anyone may send it.
 	Caller string
 	Method string
 	Host   string
@@ -39,7 +40,7 @@
 	Body   []byte
 }
 
-// Of gives the fingerprint of a request.
+// Of returns the fingerprint of a request.
 func Of(request Request) Fingerprint {
 	mac := hmac.New(sha256.New, []byte(request.Caller))
 	for _, text := range []string{request.Method, request.Host, request.Target} {
@@ -49,11 +50,12 @@
 	return Fingerprint(mac.Sum(nil)[:size])
 }
 
-// add adds a field with its length, so that no two requests run together to the same bytes.
+// writeField writes the length of a field and the field, so that different requests never
+// have the same input to the hash.
 func writeField(mac hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 	for _, part := range [][]byte{length[:], field} {
-		_, _ = mac.Write(part) // a hash takes everything
+		_, _ = mac.Write(part) // Write of a hash never returns an error
 	}
 }
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -23,14 +23,14 @@
 		name   string
 		change func(*fingerprint.Request)
 	}{
-		{"of another caller", func(r *fingerprint.Request) { r.Caller = "south" }},
-		{"of nobody", func(r *fingerprint.Request) { r.Caller = "" }},
-		{"by another method", func(r *fingerprint.Request) { r.Method = "PUT" }},
-		{"to another host", func(r *fingerprint.Request) { r.Host = "i.example" }},
-		{"to another path", func(r *fingerprint.Request) { r.Target = "/quick/2" }},
-		{"with another body", func(r *fingerprint.Request) { r.Body = []byte("other") }},
-		{"without a body", func(r *fingerprint.Request) { r.Body = nil }},
-		{"whose path goes on in the body", func(r *fingerprint.Request) { r.Target, r.Body = "/quick/", []byte("1body") }},
+		{"another caller", func(r *fingerprint.Request) { r.Caller = "south" }},
+		{"no caller", func(r *fingerprint.Request) { r.Caller = "" }},
+		{"another method", func(r *fingerprint.Request) { r.Method = "PUT" }},
+		{"another host", func(r *fingerprint.Request) { r.Host = "i.example" }},
+		{"another path", func(r *fingerprint.Request) { r.Target = "/quick/2" }},
+		{"another body", func(r *fingerprint.Request) { r.Body = []byte("other") }},
+		{"no body", func(r *fingerprint.Request) { r.Body = nil }},
+		{"the end of the path moved to the body", func(r *fingerprint.Request) { r.Target, r.Body = "/quick/", []byte("1body") }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkOf is the cost of a long prompt's call.
+// BenchmarkOf measures the time for a call with a long prompt.
 func BenchmarkOf(b *testing.B) {
 	long := request()
 	long.Body = bytes.Repeat([]byte("x"), 20<<10)
