--- a/internal/namespace/namespace.go
+++ b/internal/namespace/namespace.go
@@ -1,6 +1,6 @@
-// Package namespace names what keeps kept context apart: a runner finds only what
-// was made under the same name, so a name holds the model, the version of its
-// weights and, for an isolated organisation, that organisation.
+// Package namespace contains the names of the namespaces of stored context. A runner finds
+// only context that was stored in the same namespace, so the name consists of the model,
+// the weight version and, for an isolated organisation, the organisation.
 package namespace
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Name is a namespace.
+// Name is the name of a namespace.
 type Name struct {
 	Model   string
 	Weights int
-	// Isolated is the organisation that shares with no other, or nothing.
+	// Isolated is the organisation if it shares stored context with no other, else empty.
 	Isolated string
 }
 
-// String writes the name as runners get it.
+// String returns the name in the form that runners receive.
 func (n Name) String() string {
 	if n.Isolated == "" {
 		return fmt.Sprintf("%s/%d", n.Model, n.Weights)
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s/%d/%s", n.Model, n.Weights, n.Isolated)
 }
 
-// Parse reads a name that String wrote.
+// Parse parses a name in the form that String returns.
 func Parse(text string) (Name, error) {
 	fields := strings.SplitN(text, "/", 3)
 	if len(fields) < 2 {
