--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,11 +1,11 @@
-// Package prefix names the blocks of a prompt, so that two processes can speak
-// of the same kept context without sending it.
+// Package prefix computes the keys of the blocks of a prompt in the prefix cache, by which
+// processes refer to stored context without sending it.
 //
-// A block's key is a hash over the block and the key of the block before it,
-// and the chain begins with the organisation, the model and the weight version.
-// A key therefore stands for the whole prompt up to and including its block,
-// for one organisation and one version: context of another organisation or
-// version cannot match, whatever its text.
+// The keys form a hash chain: a block's key is a hash of the block and of the key of the
+// block before it, and the chain starts with a salt of the organisation, the model and
+// the weight version. A key therefore identifies the whole prompt up to the end of its
+// block, for one organisation and one version. Context of another organisation or
+// version never matches, whatever its text.
 //
 //	salt(org, model, v1) ── block 0 ── key 0 ── block 1 ── key 1 ── …
 //	salt(org, model, v2) ── block 0 ── another key 0 ── …
@@ -19,8 +19,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// BytesPerToken is the rough length of a token. The entry box has no tokenizer;
-// only estimates of work depend on it, never what matches.
+// BytesPerToken is the approximate length of a token. The entry box has no tokenizer. Only
+// estimates of work depend on this length; which blocks match does not.
 const BytesPerToken = 4
 
 // BlockTokens is the length of a block in tokens.
@@ -29,19 +29,20 @@
 // BlockBytes is the length of a block in bytes of prompt.
 const BlockBytes = BlockTokens * BytesPerToken
 
-// Key names a block and all before it.
+// Key identifies a block and all blocks before it.
 type Key [16]byte
 
-// String gives the key in hexadecimal.
+// String returns the key in hexadecimal.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Short gives 8 bytes of the key, enough for a hint that is checked later.
+// Short returns the first 8 bytes of the key. They are enough for a hint that is verified
+// later.
 func (k Key) Short() uint64 { return binary.BigEndian.Uint64(k[:8]) }
 
-// MarshalText gives the key to JSON in hexadecimal.
+// MarshalText returns the key in hexadecimal, the form of keys in JSON.
 func (k Key) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads a key from hexadecimal.
+// UnmarshalText parses a key in hexadecimal.
 func (k *Key) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil || len(raw) != len(k) {
@@ -51,14 +52,14 @@
 	return nil
 }
 
-// Salt is the beginning of a chain.
+// Salt is the start value of a chain.
 type Salt [16]byte
 
-// String gives the salt in hexadecimal, the form in which engines take it.
+// String returns the salt in hexadecimal, the form in which it is sent to engines.
 func (s Salt) String() string { return hex.EncodeToString(s[:]) }
 
-// NewSalt derives the salt of an organisation, model and weight version. Each
-// part is hashed with its length, so that ("ab", "c") and ("a", "bc") differ.
+// NewSalt computes the salt of an organisation, model and weight version. Each part is
+// hashed together with its length, so that ("ab", "c") and ("a", "bc") differ.
 func NewSalt(organisation, model, weights string) Salt {
 	hash := sha256.New()
 	for _, part := range []string{organisation, model, weights} {
@@ -70,7 +71,7 @@
 	return Salt(hash.Sum(nil)[:len(Salt{})])
 }
 
-// ParseSalt reads a salt from hexadecimal.
+// ParseSalt parses a salt in hexadecimal.
 func ParseSalt(text string) (Salt, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(Salt{}) {
@@ -79,14 +80,14 @@
 	return Salt(raw), nil
 }
 
-// Chain holds the keys of the whole blocks of one prompt.
+// Chain contains the keys of the complete blocks of one prompt.
 type Chain struct {
 	keys   []Key
 	tokens int
 }
 
-// NewChain names the blocks of a prompt. The part after the last whole block
-// has no key: it is always computed anew.
+// NewChain computes the keys of the blocks of a prompt. The rest after the last complete
+// block has no key and is always recomputed.
 func NewChain(salt Salt, prompt []byte) Chain {
 	chain := Chain{
 		keys:   make([]Key, 0, len(prompt)/BlockBytes),
@@ -105,15 +106,16 @@
 	return chain
 }
 
-// Keys gives the keys in prompt order.
+// Keys returns the keys in prompt order.
 func (c Chain) Keys() []Key { return c.keys }
 
 // Tokens estimates the length of the whole prompt in tokens.
 func (c Chain) Tokens() int { return c.tokens }
 
-// IsIndexedDepth reports whether the key after so many blocks is kept in indexes. Two
-// depths an octave are enough to tell how much of a prompt is warm to within a
-// third, at a small part of the memory:
+// IsIndexedDepth reports whether indexes contain the keys of blocks at a depth, the number of
+// blocks up to and including the block. Two depths for each power of two are enough to
+// determine the cached part of a prompt to within a third, with a small fraction of the
+// memory:
 //
 //	1 2 3 4 6 8 12 16 24 32 48 64 96 128 …
 func IsIndexedDepth(depth int) bool {
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -16,10 +16,10 @@
 	two := bytes.Clone(one)
 	two[3*prefix.BlockBytes] = 'y'
 	a, b := prefix.NewChain(salt, one), prefix.NewChain(salt, two)
-	g.Expect(a.Keys()).To(HaveLen(5), "the part after the last whole block has no key")
+	g.Expect(a.Keys()).To(HaveLen(5), "the rest after the last complete block must have no key")
 	g.Expect(a.Keys()[:3]).To(Equal(b.Keys()[:3]))
 	for i := 3; i < 5; i++ {
-		g.Expect(a.Keys()[i]).NotTo(Equal(b.Keys()[i]), "a key stands for all before it")
+		g.Expect(a.Keys()[i]).NotTo(Equal(b.Keys()[i]), "a key must depend on all blocks before it")
 	}
 	g.Expect(a.Tokens()).To(Equal(5*prefix.BlockTokens + 3))
 }
