--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -140,14 +140,14 @@
 	slices.SortFunc(order, func(a, b decide.Runner) int { return cmp.Compare(a.HomeRank, b.HomeRank) })
 	candidates := order[:min(2, len(order))]
 	candidates = slices.Clone(candidates)
-	held := func(r decide.Runner) int { return min(r.WarmTokens, query.PromptTokens) }
+	cached := func(r decide.Runner) int { return min(r.WarmTokens, query.PromptTokens) }
 	warmest := order[0]
 	for _, runner := range order {
-		if held(runner) > held(warmest) {
+		if cached(runner) > cached(warmest) {
 			warmest = runner
 		}
 	}
-	if 2*held(warmest) > query.PromptTokens {
+	if 2*cached(warmest) > query.PromptTokens {
 		candidates = append(candidates, warmest)
 	}
 	factor := t.RecomputeFactor * math.Max(1, query.RecomputeWeight/query.FirstTokenWeight)
--- a/internal/decide/twohomes.go
+++ b/internal/decide/twohomes.go
@@ -3,8 +3,8 @@
 import "math"
 
 // TwoHomes is the policy in use. Rendezvous hashing assigns every prompt a first and
-// a second home. A request runs on its first home unless another candidate is cheaper
-// and idle.
+// a second home. A request runs on its first home unless another candidate is both idle
+// and cheaper.
 //
 // Cheapest has the lower cost for each single request, but performs far worse over
 // time. Under load it recomputes a context wherever the queue is short. The copies
@@ -21,17 +21,17 @@
 	RecomputeFactor float64
 }
 
-// Defaults of TwoHomes, determined with the policy benchmark.
+// Defaults of TwoHomes.
 const (
 	DefaultIdleWait        = 1.0
 	DefaultRecomputeFactor = 4.0
 )
 
-// maxShortTokens is the length up to which a prompt needs no affinity, since little is
-// gained from its cached prefix. A short prompt goes to the cheapest of its candidates,
-// even if that one is not idle. It does not go to the cheapest of all runners: load
-// reports lag and are the same for every entry box, so all boxes would send to the
-// runner that was idle at the time of its report.
+// maxShortTokens is the length up to which a prompt is not worth sending to the runner
+// that may have its prefix. A short prompt goes to the cheapest of its candidates, even
+// if that one is not idle. It does not go to the cheapest of all runners: load reports
+// lag and are the same for every entry box, so all boxes would send to the runner that
+// was idle at the time of its report.
 const maxShortTokens = 1024
 
 // Choose implements Policy.
@@ -73,9 +73,9 @@
 		case second == NoRunner || runner.HomeRank < runners[second].HomeRank:
 			second = i
 		}
-		held := min(runner.WarmTokens, query.PromptTokens)
-		if held > warmestTokens || (held == warmestTokens && warmest != NoRunner && runner.HomeRank < runners[warmest].HomeRank) {
-			warmest, warmestTokens = i, held
+		cached := min(runner.WarmTokens, query.PromptTokens)
+		if cached > warmestTokens || (cached == warmestTokens && warmest != NoRunner && runner.HomeRank < runners[warmest].HomeRank) {
+			warmest, warmestTokens = i, cached
 		}
 	}
 	return first, second, warmest
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -71,8 +71,8 @@
 }
 
 func (t *crashTracker) noteCrash(loss crash.BrokenCall) {
-	life, _ := t.incarnation(loss.Server.Incarnation)
-	t.quarantined.NoteCrash(quarantine.Crash{Request: loss.Request, Caller: loss.Caller, Incarnation: xxhash.Sum64String(loss.Server.Incarnation + "@" + life)})
+	incarnation, _ := t.incarnation(loss.Server.Incarnation)
+	t.quarantined.NoteCrash(quarantine.Crash{Request: loss.Request, Caller: loss.Caller, Incarnation: xxhash.Sum64String(loss.Server.Incarnation + "@" + incarnation)})
 }
 
 // admit returns the error for a quarantined request, or nil if the request may run.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -37,7 +37,7 @@
 	Budget    *retrybudget.Budget
 	// Incarnation returns the current incarnation of a server, and whether the server is leaving. It is
 	// nil if neither is known.
-	Incarnation func(server string) (life string, leaving bool)
+	Incarnation func(server string) (incarnation string, leaving bool)
 	Logger      zerolog.Logger
 }
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -165,7 +165,7 @@
 	return c.openStream(response, run.Weights, run.Stream, after+1)
 }
 
-// Cancel cancels a run on an engine.
+// Cancel cancels a run on an engine when no caller waits for it any longer.
 func (c *Client) Cancel(ctx context.Context, address, runID string) error {
 	return c.control(ctx, http.MethodDelete, runURL(address, runID), nil, nil)
 }
@@ -221,16 +221,16 @@
 
 // Import has an engine fetch stored context from a store box.
 func (c *Client) Import(ctx context.Context, address string, transfer Transfer) (TransferResult, error) {
-	var answer TransferResult
-	err := c.control(ctx, http.MethodPost, "http://"+address+"/control/kv/import", transfer, &answer)
-	return answer, err
+	var result TransferResult
+	err := c.control(ctx, http.MethodPost, "http://"+address+"/control/kv/import", transfer, &result)
+	return result, err
 }
 
 // Export has an engine write cached context to a store box.
 func (c *Client) Export(ctx context.Context, address string, transfer Transfer) (TransferResult, error) {
-	var answer TransferResult
-	err := c.control(ctx, http.MethodPost, "http://"+address+"/control/kv/export", transfer, &answer)
-	return answer, err
+	var result TransferResult
+	err := c.control(ctx, http.MethodPost, "http://"+address+"/control/kv/export", transfer, &result)
+	return result, err
 }
 
 // control makes a control call. Control calls are idempotent, so after an error it does
--- a/internal/kept/export.go
+++ b/internal/kept/export.go
@@ -62,7 +62,7 @@
 func (s *storeBox) waitForBudget(ctx context.Context, size int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, maxExportWait)
 	defer cancel()
-	return s.exports.WaitN(ctx, int(size)) == nil
+	return s.exportLimiter.WaitN(ctx, int(size)) == nil
 }
 
 // storeFor returns the store box of a context by rendezvous hashing.
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -69,7 +69,7 @@
 	// all fetches that have been reserved on it.
 	bytesPerSecond float64
 	busyUntil      time.Time
-	exports        *rate.Limiter
+	exportLimiter  *rate.Limiter
 	failedAt       time.Time
 }
 
@@ -132,7 +132,7 @@
 
 // newStoreBox creates a store box with the budget of its link.
 func newStoreBox(bytesPerSecond float64) *storeBox {
-	return &storeBox{bytesPerSecond: bytesPerSecond, exports: rate.NewLimiter(rate.Limit(exportFraction*bytesPerSecond), int(bytesPerSecond))}
+	return &storeBox{bytesPerSecond: bytesPerSecond, exportLimiter: rate.NewLimiter(rate.Limit(exportFraction*bytesPerSecond), int(bytesPerSecond))}
 }
 
 // storeCooldown is how long a store box is not used after a failure.
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -29,12 +29,12 @@
 		}
 		c.conn, c.reader = conn, bufio.NewReader(conn)
 	}
-	answer, err := g.roundTrip(c, message)
+	reply, err := g.roundTrip(c, message)
 	if err != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
-	return answer, err
+	return reply, err
 }
 
 func (g *Gossiper) roundTrip(c *connection, message Message) (Message, error) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -68,10 +68,10 @@
 const (
 	// ioTimeout is the timeout of one exchange of messages.
 	ioTimeout = 2 * time.Second
-	// logGracePeriod is how long a box that can reach the log waits for a newer version
-	// to arrive from there before it requests the version from a peer.
+	// logGracePeriod is how long a box that can reach the log waits to receive a newer
+	// version from the log before it requests the version from a peer.
 	logGracePeriod = 1500 * time.Millisecond
-	// peerTimeout is the age of its last status from which on a peer counts as down.
+	// peerTimeout is how long a peer counts as live after its last status.
 	peerTimeout = 10 * time.Second
 	// listInterval is the time between two reads of the platform's list.
 	listInterval = 5 * time.Second
@@ -183,9 +183,9 @@
 		}
 	}
 	for address, c := range g.connections {
-		named := slices.Contains(g.cfg.Seeds, address) ||
+		inUse := slices.Contains(g.cfg.Seeds, address) ||
 			slices.ContainsFunc(g.listed, func(box boxlist.Box) bool { return box.Peer == address })
-		if !named && c.mu.TryLock() {
+		if !inUse && c.mu.TryLock() {
 			c.close()
 			delete(g.connections, address)
 			c.mu.Unlock()
@@ -230,16 +230,16 @@
 
 // exchange sends this box's status to one peer, and applies its reply.
 func (g *Gossiper) exchange(ctx context.Context, address string) {
-	answer, err := g.call(ctx, address, Message{Status: g.selfStatus(), WantsConfig: g.shouldRequestConfig()})
+	reply, err := g.call(ctx, address, Message{Status: g.selfStatus(), WantsConfig: g.shouldRequestConfig()})
 	if err != nil {
 		return // the peer may be down; other rounds choose other peers
 	}
-	g.handleStatus(answer.Status)
-	g.applyConfig(answer)
-	if answer.WantsConfig {
+	g.handleStatus(reply.Status)
+	g.applyConfig(reply)
+	if reply.WantsConfig {
 		// The peer has an older version and requests the changes.
 		message := Message{Status: g.selfStatus()}
-		g.addConfig(&message, answer.Status.Version)
+		g.addConfig(&message, reply.Status.Version)
 		_, _ = g.call(ctx, address, message)
 	}
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -15,11 +15,11 @@
 	g.handleStatus(message.Status)
 	g.applyConfig(message)
 	self := g.selfStatus()
-	answer := Message{Status: self, WantsConfig: message.Status.Version > self.Version && g.shouldRequestConfig()}
+	reply := Message{Status: self, WantsConfig: message.Status.Version > self.Version && g.shouldRequestConfig()}
 	if message.WantsConfig {
-		g.addConfig(&answer, message.Status.Version)
+		g.addConfig(&reply, message.Status.Version)
 	}
-	return answer
+	return reply
 }
 
 // Serve accepts connections from peers on a listener until ctx is cancelled.
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -83,7 +83,7 @@
 			listed++
 		}
 	}
-	// In each round a box contacts Fanout others, and on average as many contact it.
+	// In each round a box contacts Fanout others, and on average Fanout others contact it.
 	rounds := 1 + len(g.peers)/(2*g.cfg.Fanout)
 	return advisory.Position{
 		Rank: advisory.Rank(g.cfg.Self.Box, others, server), Present: len(others) + 1, Listed: listed, ReportLag: time.Duration(rounds) * g.cfg.Interval,
--- a/internal/zone/advise_test.go
+++ b/internal/zone/advise_test.go
@@ -13,8 +13,8 @@
 )
 
 // answerWith returns a response with an advisory that was received just now.
-func answerWith(said advisory.Advisory) advisory.Answer {
-	return advisory.Answer{Advisory: said, Sent: time.Now(), Received: time.Now(), Genuine: true}
+func answerWith(advice advisory.Advisory) advisory.Answer {
+	return advisory.Answer{Advisory: advice, Sent: time.Now(), Received: time.Now(), Genuine: true}
 }
 
 // countPlaced sends a request every 10 ms for the given time and counts the runs on each runner.
--- a/internal/zone/state.go
+++ b/internal/zone/state.go
@@ -103,7 +103,7 @@
 
 // Incarnation returns the incarnation of a server from its last report, and whether the
 // server is leaving.
-func (v *View) Incarnation(name string) (life string, leaving bool) {
+func (v *View) Incarnation(name string) (incarnation string, leaving bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	srv, ok := v.byName[name]
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -28,7 +28,7 @@
 	// coolDown is how long a server receives no requests after a failure, unless a load
 	// report arrives earlier.
 	coolDown = time.Second
-	// staleAfter is the age from which on a load report is ignored.
+	// staleAfter is the age at which a load report becomes too old to be used.
 	staleAfter = 10 * time.Second
 	// smoothingFactor is the weight of the newest sample in the exponential moving
 	// averages of prefill rates and run times.
@@ -79,7 +79,8 @@
 	listedLeaving bool
 	// evacuated reports whether the server's zone is evacuated.
 	evacuated bool
-	// advisoryState holds the advisories of the server's responses: rate limit, pause, draining.
+	// advisoryState is the state from the advisory headers of the server's responses: rate
+	// limit, pause, draining.
 	advisoryState advisory.Server
 
 	// sent is the number of unfinished runs that this box has sent, sentTokens the
@@ -117,9 +118,9 @@
 }
 
 // ahead returns the tokens that are prefilled before a new request of a class.
-func (w classTokens) ahead(class int) int {
+func (t classTokens) ahead(class int) int {
 	tokens := 0
-	for _, part := range w[:class+1] {
+	for _, part := range t[:class+1] {
 		tokens += part
 	}
 	return tokens
@@ -139,24 +140,25 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.snapshot = snapshot
-	wanted := map[string]bool{}
+	configured := map[string]bool{}
 	for i := range snapshot.File().BackendServers {
 		entry := &snapshot.File().BackendServers[i]
 		if entry.Zone != v.zone || entry.Role == config.RoleStoreBox {
 			continue
 		}
-		wanted[entry.Name] = true
+		configured[entry.Name] = true
 		v.putServer(entry)
 	}
 	evacuated := snapshot.Evacuated(v.zone)
 	for name, srv := range v.byName {
-		if !wanted[name] {
+		if !configured[name] {
 			v.removeServer(srv)
 		}
 		srv.evacuated = evacuated
 	}
 }
 
+// putServer adds or updates a server. The caller holds mu.
 func (v *View) putServer(entry *config.BackendServer) {
 	if srv, ok := v.byName[entry.Name]; ok && srv.config.Address == entry.Address {
 		srv.config = entry
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -94,7 +94,7 @@
 	first.Handle.Done(true)
 	again := choose(view, chain)
 	g.Expect(again.Server.Name).To(Equal(first.Server.Name))
-	g.Expect(again.WarmTokens).To(Equal(96*prefix.BlockTokens), "the deepest landmark within 100 blocks")
+	g.Expect(again.WarmTokens).To(Equal(96*prefix.BlockTokens), "96 is the greatest indexed depth within 100 blocks")
 }
 
 func TestAnEventGapRequestsASnapshot(t *testing.T) {
@@ -256,15 +256,15 @@
 	const seed = 20261202
 	random := rand.New(rand.NewPCG(seed, 0))
 	index := NewIndex()
-	naive := map[int]map[prefix.Key]bool{}
+	stored := map[int]map[prefix.Key]bool{}
 	chains := make([]prefix.Chain, 30)
 	for i := range chains {
 		chains[i] = chainOf(fmt.Sprint(i%7), 1+random.IntN(60))
 	}
 	for range 5000 {
 		runner, chain := random.IntN(MaxRunners), chains[random.IntN(len(chains))]
-		if naive[runner] == nil {
-			naive[runner] = map[prefix.Key]bool{}
+		if stored[runner] == nil {
+			stored[runner] = map[prefix.Key]bool{}
 		}
 		kind := engine.BlockStored
 		if random.IntN(3) == 0 {
@@ -272,13 +272,13 @@
 		}
 		for i, key := range chain.Keys() {
 			index.ApplyEvent(runner, engine.CacheEvent{Kind: kind, Key: key, Depth: i + 1})
-			naive[runner][key] = kind == engine.BlockStored
+			stored[runner][key] = kind == engine.BlockStored
 		}
 		query := chains[random.IntN(len(chains))]
 		warm := make([]int, MaxRunners)
 		index.WarmTokens(query, warm)
 		for r := range warm {
-			if want := bruteForceWarm(naive[r], query); warm[r] != want {
+			if want := bruteForceWarm(stored[r], query); warm[r] != want {
 				t.Fatalf("seed %d: runner %d has %d warm tokens, want %d", seed, r, warm[r], want)
 			}
 		}
