--- a/internal/decide/baselines.go
+++ b/internal/decide/baselines.go
@@ -1,9 +1,9 @@
 package decide
 
-// The policies below are what the chosen one is measured against. They are kept
-// because a figure without its baseline says nothing.
+// The policies in this file are the baselines that TwoHomes is compared with. They
+// stay in the code because the figures of a policy mean little without a baseline.
 
-// RoundRobin takes the runners in turn.
+// RoundRobin chooses the eligible runners in turn.
 type RoundRobin struct {
 	next int
 }
@@ -13,32 +13,34 @@
 	for range runners {
 		r.next = (r.next + 1) % len(runners)
 		if runners[r.next].Eligible {
-			return on(query, runners, r.next)
+			return estimateFor(query, runners, r.next)
 		}
 	}
 	return Decision{Runner: NoRunner}
 }
 
-// LeastLoaded takes the runner with the least work before it.
+// LeastLoaded chooses the runner with the shortest wait.
 type LeastLoaded struct{}
 
 // Choose implements Policy.
 func (LeastLoaded) Choose(query Query, runners []Runner) Decision {
-	return lowest(query, runners, func(r *Runner) float64 { return wait(r) })
+	return lowestRank(query, runners, func(r *Runner) float64 { return queueWait(r) })
 }
 
-// Rendezvous takes the home of the prompt, whatever its load.
+// Rendezvous chooses the home of the prompt by rendezvous hashing and ignores load.
 type Rendezvous struct{}
 
 // Choose implements Policy.
 func (Rendezvous) Choose(query Query, runners []Runner) Decision {
-	return lowest(query, runners, func(r *Runner) float64 { return float64(r.HomeRank) })
+	return lowestRank(query, runners, func(r *Runner) float64 { return float64(r.HomeRank) })
 }
 
-// BoundedRendezvous takes the first home in rank whose wait is at most Factor
-// times the mean, or the least loaded runner when there is none.
+// BoundedRendezvous is rendezvous hashing with bounded loads. It chooses the runner
+// of lowest home rank whose wait is at most LoadFactor times the mean wait, or the
+// least loaded runner if all waits are above that.
 type BoundedRendezvous struct {
-	// Factor bounds the wait against the mean; 1.25 is customary.
+	// LoadFactor is the maximum ratio of a runner's wait to the mean wait; 1.25 is a
+	// common value.
 	LoadFactor float64
 }
 
@@ -48,7 +50,7 @@
 	var count int
 	for i := range runners {
 		if runners[i].Eligible {
-			sum += wait(&runners[i])
+			sum += queueWait(&runners[i])
 			count++
 		}
 	}
@@ -56,32 +58,34 @@
 		return Decision{Runner: NoRunner}
 	}
 	limit := b.LoadFactor * sum / float64(count)
-	return lowest(query, runners, func(r *Runner) float64 {
-		if wait(r) > limit {
-			return overLimit + wait(r)
+	return lowestRank(query, runners, func(r *Runner) float64 {
+		if queueWait(r) > limit {
+			return overLimit + queueWait(r)
 		}
 		return float64(r.HomeRank)
 	})
 }
 
-// overLimit is above every home rank.
+// overLimit is greater than every home rank, which is a 64-bit number.
 const overLimit = 1 << 65
 
-// GreedyPrefix takes the runner with the most warm tokens, and among equal ones
-// the least loaded.
+// GreedyPrefix chooses the runner with the most cached tokens of the prompt, and the
+// least loaded one if several have as many.
 type GreedyPrefix struct{}
 
 // Choose implements Policy.
 func (GreedyPrefix) Choose(query Query, runners []Runner) Decision {
-	return lowest(query, runners, func(r *Runner) float64 {
-		return wait(r) - overLimit*float64(min(r.WarmTokens, query.PromptTokens))
+	return lowestRank(query, runners, func(r *Runner) float64 {
+		return queueWait(r) - overLimit*float64(min(r.WarmTokens, query.PromptTokens))
 	})
 }
 
-// wait is the time in seconds that a runner's work takes before a new request.
-func wait(r *Runner) float64 { return r.QueuedTokens/r.PrefillRate + slotWait(r) }
+// queueWait estimates how long a new request waits on a runner, in seconds: for the
+// prefill queue and for a slot of the batch.
+func queueWait(r *Runner) float64 { return r.QueuedTokens/r.PrefillRate + slotWait(r) }
 
-func lowest(query Query, runners []Runner, rank func(*Runner) float64) Decision {
+// lowestRank chooses the eligible runner for which rank returns the lowest value.
+func lowestRank(query Query, runners []Runner, rank func(*Runner) float64) Decision {
 	best, bestRank := NoRunner, 0.0
 	for i := range runners {
 		if !runners[i].Eligible {
@@ -94,10 +98,11 @@
 	if best == NoRunner {
 		return Decision{Runner: NoRunner}
 	}
-	return on(query, runners, best)
+	return estimateFor(query, runners, best)
 }
 
-func on(query Query, runners []Runner, runner int) Decision {
+// estimateFor returns the decision to run a query on the given runner without a fetch.
+func estimateFor(query Query, runners []Runner, runner int) Decision {
 	decision := Estimate(query, &runners[runner], false)
 	decision.Runner = runner
 	return decision
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,4 +1,4 @@
-// Package place is the stage that chooses the backend server of a request.
+// Package place is the pipeline stage that chooses the backend server of a request.
 package place
 
 import (
@@ -17,26 +17,26 @@
 	"github.com/cometlock/cometlock/internal/zone"
 )
 
-// Config sets up a Stage.
+// Config configures a Stage.
 type Config[P decide.Policy] struct {
-	// Knowledge is what is known of the zone.
+	// View is the state of the zone's backend servers.
 	View *zone.View
 	// Policy chooses among the runners.
 	Policy P
-	// Keeper knows what is kept in store boxes; nil where there are none.
+	// Offloader finds stored contexts in the store boxes; nil if there are none.
 	Offloader *kept.Offloader
 }
 
-// Stage places requests by a policy.
+// Stage chooses the runners of requests by a policy.
 type Stage[P decide.Policy] struct {
-	knowledge *zone.View
+	view      *zone.View
 	policy    P
-	keeper    *kept.Offloader
+	offloader *kept.Offloader
 }
 
-// New makes the stage.
+// New creates the stage.
 func New[P decide.Policy](cfg Config[P]) *Stage[P] {
-	return &Stage[P]{knowledge: cfg.View, policy: cfg.Policy, keeper: cfg.Offloader}
+	return &Stage[P]{view: cfg.View, policy: cfg.Policy, offloader: cfg.Offloader}
 }
 
 // Name implements flow.Stage.
@@ -49,7 +49,7 @@
 
 func (s *Stage[P]) place(request *flow.Request) *apierror.Error {
 	if request.Kind == flow.KindService {
-		return nil // dispatch tries the service's servers in turn
+		return nil // the dispatch stage tries the servers of the service in turn
 	}
 	model, ok := request.Snapshot.Model(request.Model)
 	if !ok {
@@ -62,13 +62,13 @@
 		request.Placement.Handle.Done(false)
 		return apierror.BadRequest("context_length_exceeded", "the prompt has about %d tokens, the model takes %d", request.Chain.Tokens(), model.MaxPromptTokens)
 	}
-	return refuseLate(request)
+	return rejectLate(request)
 }
 
-// Choose places a request anew, on none of the excluded servers. It takes the
-// weight version in force, or while no runner of the zone has it yet, one that
-// the operators accept meanwhile. The chain is seeded with the version, so kept
-// context of one version is never taken for that of another.
+// Choose chooses a runner for a request that is not one of the excluded servers. It uses
+// the current weight version, or one of the versions that the operators accept if no
+// runner of the zone has loaded the current one yet. The hash chain is seeded with the
+// version, so stored context of one version never matches a prompt for another.
 func (s *Stage[P]) Choose(request *flow.Request, exclude []string) *apierror.Error {
 	model, ok := request.Snapshot.Model(request.Model)
 	if !ok {
@@ -80,10 +80,11 @@
 			return nil
 		}
 	}
-	return apierror.ServiceUnavailable("no_runner", max(time.Second, s.knowledge.UnavailableFor(request.Model)), "no runner of the availability zone can serve %q now", request.Model)
+	return apierror.ServiceUnavailable("no_runner", max(time.Second, s.view.UnavailableFor(request.Model)), "no runner of the availability zone can serve %q now", request.Model)
 }
 
-// setWeights seeds the request's chain anew when its version changes.
+// setWeights sets the weight version of a request, and recomputes its hash chain if the
+// version has changed.
 func (s *Stage[P]) setWeights(request *flow.Request, version string) {
 	salt := prefix.NewSalt(request.Organisation.Name, request.Model, version)
 	if salt == request.Salt {
@@ -94,9 +95,9 @@
 }
 
 func (s *Stage[P]) choose(request *flow.Request, model *config.Model, exclude []string) bool {
-	option, _ := s.find(request, model)
-	choice, ok := zone.Choose(s.knowledge, s.policy, zone.Query{
-		Model: request.Model, Weights: request.Weights, Chain: request.Chain, Exclude: exclude, Fetch: option.Fetch,
+	fetch, _ := s.bestFetch(request, model)
+	choice, ok := zone.Choose(s.view, s.policy, zone.Query{
+		Model: request.Model, Weights: request.Weights, Chain: request.Chain, Exclude: exclude, Fetch: fetch.Fetch,
 		Instant: request.Priority == config.PriorityInstant, RequestHash: xxhash.Sum64String(request.ID),
 	})
 	if !ok {
@@ -108,22 +109,22 @@
 	}
 	if choice.Decision.WithFetch {
 		server := choice.Server
-		request.Placement.Prepare = func(ctx context.Context) { s.keeper.Fetch(ctx, server, option) }
+		request.Placement.Prepare = func(ctx context.Context) { s.offloader.Fetch(ctx, server, fetch) }
 	}
 	return true
 }
 
-// find gives the best way to fetch the request's context from a store box.
-func (s *Stage[P]) find(request *flow.Request, model *config.Model) (kept.FetchOption, bool) {
-	if s.keeper == nil {
+// bestFetch returns the best fetch of the request's context from a store box.
+func (s *Stage[P]) bestFetch(request *flow.Request, model *config.Model) (kept.FetchOption, bool) {
+	if s.offloader == nil {
 		return kept.FetchOption{}, false
 	}
-	return s.keeper.BestFetch(request.Chain, model.KVBytesPerToken)
+	return s.offloader.BestFetch(request.Chain, model.KVBytesPerToken)
 }
 
-// refuseLate refuses a request whose first token would come after its deadline:
-// to run it would take room from those that can still make theirs.
-func refuseLate(request *flow.Request) *apierror.Error {
+// rejectLate rejects a request whose first token is expected after its deadline: running
+// it would take capacity from requests that can still meet theirs.
+func rejectLate(request *flow.Request) *apierror.Error {
 	if request.Deadline.IsZero() {
 		return nil
 	}
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -9,22 +9,22 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-func TestChainsShareExactlyTheCommonBeginning(t *testing.T) {
+func TestChainsShareOnlyTheCommonPrefix(t *testing.T) {
 	g := NewWithT(t)
 	salt := prefix.NewSalt("o", "m", "v1")
 	one := bytes.Repeat([]byte("x"), 5*prefix.BlockBytes+10)
 	two := bytes.Clone(one)
 	two[3*prefix.BlockBytes] = 'y'
 	a, b := prefix.NewChain(salt, one), prefix.NewChain(salt, two)
-	g.Expect(a.Keys()).To(HaveLen(5), "the part after the last whole block has no key")
+	g.Expect(a.Keys()).To(HaveLen(5), "the rest after the last complete block must have no key")
 	g.Expect(a.Keys()[:3]).To(Equal(b.Keys()[:3]))
 	for i := 3; i < 5; i++ {
-		g.Expect(a.Keys()[i]).NotTo(Equal(b.Keys()[i]), "a key stands for all before it")
+		g.Expect(a.Keys()[i]).NotTo(Equal(b.Keys()[i]), "a key must depend on all blocks before it")
 	}
 	g.Expect(a.Tokens()).To(Equal(5*prefix.BlockTokens + 3))
 }
 
-func TestOtherOrganisationsModelsAndVersionsNeverMatch(t *testing.T) {
+func TestKeysOfOtherOrganisationsModelsAndVersionsNeverMatch(t *testing.T) {
 	g := NewWithT(t)
 	prompt := make([]byte, prefix.BlockBytes)
 	seen := map[prefix.Key]string{}
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestLandmarks(t *testing.T) {
+func TestIndexedDepths(t *testing.T) {
 	g := NewWithT(t)
 	var depths []int
 	for depth := range 130 {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/rollout"
 )
 
-func TestTurnsShareTheLoadsOutWithoutAWord(t *testing.T) {
+func TestTurnsLimitParallelLoadsWithoutCoordination(t *testing.T) {
 	const turn = 4 * time.Second
 	for _, c := range []struct{ zones, parallel int }{{4, 3}, {3, 2}, {4, 1}, {2, 3}, {17, 3}} {
 		t.Run(fmt.Sprintf("%d zones, %d loads", c.zones, c.parallel), func(t *testing.T) {
@@ -34,7 +34,7 @@
 				g.Expect(allowed).To(Equal(min(c.parallel, c.zones)))
 			}
 			for _, zone := range zones {
-				g.Expect(turns[zone]).To(BeNumerically(">=", 2), "every zone has its turns")
+				g.Expect(turns[zone]).To(BeNumerically(">=", 2), "every zone must have turns")
 			}
 			late := time.Unix(0, 0).Add(turn * 3 / 4)
 			g.Expect(rollout.MayLoad(zones, zones[0], c.parallel, turn, late)).To(Equal(c.parallel >= c.zones))
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestOneRunnerAtATime(t *testing.T) {
+func TestOneRunnerLoadsAtATime(t *testing.T) {
 	g := NewWithT(t)
 	file := &config.File{Models: []config.Model{{Name: "m", Weights: "v2"}}}
 	entries, err := file.Entries()
@@ -61,11 +61,11 @@
 		reports []rollout.Report
 		want    string
 	}{
-		{"nobody", nil, ""},
-		{"all there", []rollout.Report{report("a", "v2", "", false)}, ""},
-		{"the first that is behind", []rollout.Report{report("a", "v2", "", false), report("b", "v1", "", false), report("c", "v1", "", false)}, "b"},
-		{"none while one loads", []rollout.Report{report("a", "v1", "v2", false), report("b", "v1", "", false)}, ""},
-		{"not one that leaves", []rollout.Report{report("a", "v1", "", true), report("b", "v1", "", false)}, "b"},
+		{"no runners", nil, ""},
+		{"all up to date", []rollout.Report{report("a", "v2", "", false)}, ""},
+		{"the first outdated runner", []rollout.Report{report("a", "v2", "", false), report("b", "v1", "", false), report("c", "v1", "", false)}, "b"},
+		{"none while a runner loads", []rollout.Report{report("a", "v1", "v2", false), report("b", "v1", "", false)}, ""},
+		{"not a leaving runner", []rollout.Report{report("a", "v1", "", true), report("b", "v1", "", false)}, "b"},
 	} {
 		next, ok := rollout.NextRunner(snapshot, c.reports, nil)
 		g.Expect(ok).To(Equal(c.want != ""), c.name)
@@ -74,7 +74,7 @@
 		}
 	}
 
-	// A runner that never gets there must not keep the others from it.
+	// A runner that never reaches the target state must not block the others.
 	stuck := []rollout.Report{report("a", "v1", "", false), report("b", "v1", "", false)}
 	next, _ := rollout.NextRunner(snapshot, stuck, map[string]time.Time{"a": time.Unix(5, 0)})
 	g.Expect(next.Server.Name).To(Equal("b"))
