--- a/internal/bench/apply.go
+++ b/internal/bench/apply.go
@@ -14,12 +14,12 @@
 
 // applyTime times changes from apply to in force on eight boxes in two zones,
 // with the log reachable and with it cut for the boxes of one zone.
-func applyTime(out io.Writer) error {
-	if err := inRepository(); err != nil {
+func measureApply(out io.Writer) error {
+	if err := checkRepository(); err != nil {
 		return err
 	}
 	for _, cut := range []bool{false, true} {
-		worst, mean, err := timeApplies(cut)
+		worst, mean, err := applyTimes(cut)
 		if err != nil {
 			return err
 		}
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func timeApplies(cut bool) (worst, mean time.Duration, err error) {
+func applyTimes(cut bool) (worst, mean time.Duration, err error) {
 	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a", "zone-a", "zone-a", "zone-a"}})
 	if err != nil {
 		return 0, 0, err
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -40,7 +40,7 @@
 	return []section{
 		{"overhead", "time and CPU added to a streamed request", overhead},
 		{"streams", "memory of open streams", openStreams},
-		{"apply", "time from apply to in force on eight entry boxes", applyTime},
+		{"apply", "time from apply to in force on eight entry boxes", measureApply},
 		{"claims", "claims a second and their latency at a log of 200 appends a second", claims},
 		{"soak", "100,000 requests under faults, held against the stand-ins' ledgers", runSoak},
 		{"slopes", "what one more of everything costs", printSlopes},
@@ -61,12 +61,12 @@
 		subcommands[i].Description = row.help
 		parser.AttachSubcommand(subcommands[i], 1)
 	}
-	for _, reader := range readers() {
+	for _, reader := range reportCommands() {
 		subcommand := flaggy.NewSubcommand(reader.name)
 		subcommand.Description = reader.help
 		parser.AttachSubcommand(subcommand, 1)
 		if len(args) > 0 && args[0] == reader.name {
-			return runReader(reader, args[1:], out, errOut)
+			return runReportCommand(reader, args[1:], out, errOut)
 		}
 	}
 	if err := parser.ParseArgs(args); err != nil {
@@ -109,7 +109,7 @@
 const sampleFile = "examples/local.yaml"
 
 // inRepository reports whether the sample file is there.
-func inRepository() error {
+func checkRepository() error {
 	_, err := os.Stat(sampleFile)
 	return err
 }
--- a/internal/bench/claims.go
+++ b/internal/bench/claims.go
@@ -24,19 +24,19 @@
 // pacedLog lets a limited number of appends through a second.
 type pacedLog struct {
 	logservice.Log
-	mu   sync.Mutex
-	next time.Time
+	mu         sync.Mutex
+	nextAppend time.Time
 }
 
 // Append waits its turn.
 func (p *pacedLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	p.mu.Lock()
 	now := time.Now()
-	if p.next.Before(now) {
-		p.next = now
+	if p.nextAppend.Before(now) {
+		p.nextAppend = now
 	}
-	turn := p.next
-	p.next = p.next.Add(time.Second / logAppendsPerSecond)
+	turn := p.nextAppend
+	p.nextAppend = p.nextAppend.Add(time.Second / logAppendsPerSecond)
 	p.mu.Unlock()
 	time.Sleep(time.Until(turn))
 	return p.Log.Append(ctx, stream, data)
--- a/internal/bench/overhead.go
+++ b/internal/bench/overhead.go
@@ -30,11 +30,11 @@
 	host   string // that of the URL where empty
 	header http.Header
 	// end stands in the last piece of a whole answer.
-	end string
+	terminator string
 }
 
 // measured is what a run of requests came to.
-type measured struct {
+type loadResult struct {
 	firstChunk *hdrhistogram.Histogram // microseconds
 	cpu        time.Duration
 	allocs     uint64
@@ -42,14 +42,14 @@
 	chunks     int
 }
 
-func (m measured) cpuPerRequest() float64 { return m.cpu.Seconds() * 1e6 / float64(m.requests) }
+func (m loadResult) cpuPerRequest() float64 { return m.cpu.Seconds() * 1e6 / float64(m.requests) }
 
-func (m measured) allocsPerRequest() float64 { return float64(m.allocs) / float64(m.requests) }
+func (m loadResult) allocsPerRequest() float64 { return float64(m.allocs) / float64(m.requests) }
 
 // overhead compares a client straight to an engine with the same client through
 // an entry box, in turns, so that both see the same machine.
 func overhead(out io.Writer) error {
-	if err := inRepository(); err != nil {
+	if err := checkRepository(); err != nil {
 		return err
 	}
 	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a"}, Engine: fakeengine.Config{KeepRuns: time.Second}})
@@ -63,33 +63,33 @@
 	box := "http://" + fleet.Box(0).CallerAddress()
 	key := http.Header{"Authorization": {"Bearer " + testfleet.KeyNordlys}}
 	const completions, streamEnd = "/v1/chat/completions", "[DONE]"
-	engine := target{url: "http://" + serverAddress(fleet, baselineEngine) + completions, end: streamEnd}
+	engine := target{url: "http://" + serverAddress(fleet, baselineEngine) + completions, terminator: streamEnd}
 	few, many := 1, overheadChunks
 	for _, chunks := range []int{few, many} {
 		what := fmt.Sprintf("requests of %d chunks", chunks)
-		if err := compareOverhead(out, what, chunks, engine, target{url: box + completions, header: key, end: streamEnd}); err != nil {
+		if err := compareOverhead(out, what, chunks, engine, target{url: box + completions, header: key, terminator: streamEnd}); err != nil {
 			return err
 		}
 	}
 	// The route booking-desk of the sample file leads to the service booking.
 	const desk, answerEnd = "/desk/1", "run="
-	booking := target{url: "http://" + serverAddress(fleet, "booking-zone-a-1") + desk, end: answerEnd}
-	return compareOverhead(out, "calls by route", 1, booking, target{url: box + desk, host: "booking.example", header: key, end: answerEnd})
+	booking := target{url: "http://" + serverAddress(fleet, "booking-zone-a-1") + desk, terminator: answerEnd}
+	return compareOverhead(out, "calls by route", 1, booking, target{url: box + desk, host: "booking.example", header: key, terminator: answerEnd})
 }
 
 // compareOverhead sends the same straight to a server and through an entry box.
 func compareOverhead(out io.Writer, what string, chunks int, direct, through target) error {
 	const warmUp = overheadRequests / 10
 	for _, at := range []target{direct, through} {
-		if _, err := load(at, warmUp, chunks); err != nil {
+		if _, err := sendLoad(at, warmUp, chunks); err != nil {
 			return err
 		}
 	}
-	straight, err := load(direct, overheadRequests, chunks)
+	straight, err := sendLoad(direct, overheadRequests, chunks)
 	if err != nil {
 		return err
 	}
-	boxed, err := load(through, overheadRequests, chunks)
+	boxed, err := sendLoad(through, overheadRequests, chunks)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 	return ""
 }
 
-func printOverhead(out io.Writer, what string, straight, boxed measured) {
+func printOverhead(out io.Writer, what string, straight, boxed loadResult) {
 	fmt.Fprintf(out, "%d %s, %d at a time, client and stand-in in the same process\n", boxed.requests, what, overheadWorkers)
 	fmt.Fprintf(out, "  %-34s %12s %12s %12s\n", "", "straight", "entry box", "added")
 	for _, quantile := range []float64{50, 95, 99} {
@@ -138,10 +138,10 @@
 }
 
 // load sends requests and reads their answers whole.
-func load(at target, requests, chunks int) (measured, error) {
+func sendLoad(at target, requests, chunks int) (loadResult, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: overheadWorkers}}
 	defer client.CloseIdleConnections()
-	result := measured{firstChunk: hdrhistogram.New(1, 60_000_000, 3), requests: requests, chunks: chunks}
+	result := loadResult{firstChunk: hdrhistogram.New(1, 60_000_000, 3), requests: requests, chunks: chunks}
 	var mu sync.Mutex
 	var ended sync.WaitGroup
 	var failure error
@@ -150,7 +150,7 @@
 	cpu := cpuTime()
 	for range overheadWorkers {
 		ended.Go(func() {
-			histogram, err := sendMany(client, at, requests/overheadWorkers, chunks)
+			histogram, err := sendRequests(client, at, requests/overheadWorkers, chunks)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -167,7 +167,7 @@
 	return result, failure
 }
 
-func sendMany(client *http.Client, at target, count, chunks int) (*hdrhistogram.Histogram, error) {
+func sendRequests(client *http.Client, at target, count, chunks int) (*hdrhistogram.Histogram, error) {
 	histogram := hdrhistogram.New(1, 60_000_000, 3)
 	body := requestBody(chunks, "Hello")
 	buffer := make([]byte, 32<<10)
@@ -210,7 +210,7 @@
 	if !errors.Is(err, io.EOF) {
 		return 0, err
 	}
-	if n > 0 && !strings.Contains(string(buffer[:n]), at.end) {
+	if n > 0 && !strings.Contains(string(buffer[:n]), at.terminator) {
 		return 0, errors.New("the answer is not whole")
 	}
 	return took, nil
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -60,7 +60,7 @@
 		}
 		fmt.Fprintf(out, "  %-62s %12.1f %s\n", row.name, row.value, row.unit)
 	}
-	if inRepository() != nil {
+	if checkRepository() != nil {
 		return nil
 	}
 	data, err := json.MarshalIndent(slopes, "", "  ")
@@ -71,7 +71,7 @@
 }
 
 // nanosOf times a function.
-func nanosOf(work func()) float64 {
+func nanosPerCall(work func()) float64 {
 	result := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			work()
@@ -81,7 +81,7 @@
 }
 
 // heapOf gives the heap that what a function makes takes.
-func heapOf(build func() any) float64 {
+func heapBytes(build func() any) float64 {
 	before := settledMemory()
 	kept := build()
 	after := settledMemory()
@@ -90,7 +90,7 @@
 }
 
 // bigFile is a configuration with many organisations.
-func bigFile(organisations, runners int) *config.File {
+func largeConfig(organisations, runners int) *config.File {
 	file := &config.File{
 		Deployment: "bench", Objectives: config.Objectives{FirstTokenWeight: 1, RecomputeWeight: 1},
 		Models: []config.Model{{Name: "m", Weights: "v1", PrefillTokensPerSecond: 8000}},
@@ -140,10 +140,10 @@
 }
 
 func configSlopes(s *capacity.Slopes) []slope {
-	entries := mustEntries(bigFile(manyOrganisations, 0))
+	entries := mustEntries(largeConfig(manyOrganisations, 0))
 	state := configlog.State{Version: 0, ReadTo: 0, Digest: entries.Digest(), Entries: entries}
-	memory := heapOf(func() any {
-		own := mustEntries(bigFile(manyOrganisations, 0))
+	memory := heapBytes(func() any {
+		own := mustEntries(largeConfig(manyOrganisations, 0))
 		return []any{own, mustSnapshot(own)}
 	})
 	changed := config.Change{Set: []config.Entry{{Name: entries[500].Name, Value: bytes.Replace(entries[500].Value, []byte(`"share":1`), []byte(`"share":2`), 1)}}}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil
 	}
-	fold := nanosOf(func() {
+	fold := nanosPerCall(func() {
 		next, _ := configlog.Fold(state, 1, data)
 		mustSnapshot(next.Entries)
 	})
@@ -166,9 +166,9 @@
 }
 
 // knowledge knows a zone with many contexts.
-func knowledge(runners, contexts int) *zone.View {
+func populatedView(runners, contexts int) *zone.View {
 	k := zone.New(zone.Config{Zone: "a"})
-	k.Configure(mustSnapshot(mustEntries(bigFile(1, runners))))
+	k.Configure(mustSnapshot(mustEntries(largeConfig(1, runners))))
 	for i := range contexts {
 		name := fmt.Sprintf("runner-%03d", i%runners)
 		chain := benchChain(i)
@@ -193,7 +193,7 @@
 func decisionNanos(k *zone.View) float64 {
 	policy := decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 	chain := benchChain(7)
-	return nanosOf(func() {
+	return nanosPerCall(func() {
 		if choice, ok := zone.Choose(k, policy, zone.Query{Model: "m", Weights: "v1", Chain: chain}); ok {
 			choice.Handle.Done(true)
 		}
@@ -202,14 +202,14 @@
 
 func zoneSlopes(s *capacity.Slopes) []slope {
 	var big *zone.View
-	memory := heapOf(func() any {
-		big = knowledge(zoneRunners, zoneContexts)
+	memory := heapBytes(func() any {
+		big = populatedView(zoneRunners, zoneContexts)
 		return big
 	})
-	few, some := decisionNanos(knowledge(10, 1000)), decisionNanos(knowledge(100, 1000))
+	few, some := decisionNanos(populatedView(10, 1000)), decisionNanos(populatedView(100, 1000))
 	chain := benchChain(zoneContexts + 1)
 	index := zone.NewIndex()
-	fold := nanosOf(func() {
+	fold := nanosPerCall(func() {
 		for depth, key := range chain.Keys() {
 			index.ApplyEvent(3, engine.CacheEvent{Kind: engine.BlockStored, Key: key, Depth: depth + 1})
 			index.ApplyEvent(3, engine.CacheEvent{Kind: engine.BlockRemoved, Key: key, Depth: depth + 1})
@@ -221,7 +221,7 @@
 	if err != nil {
 		return nil
 	}
-	reportNanos := nanosOf(func() {
+	reportNanos := nanosPerCall(func() {
 		var read engine.Status
 		if json.Unmarshal(data, &read) == nil {
 			big.ApplyStatus("runner-001", read)
@@ -262,7 +262,7 @@
 	if err != nil {
 		return nil
 	}
-	exchange := nanosOf(func() {
+	exchange := nanosPerCall(func() {
 		var read peer.Message
 		if packed, err := msgpack.Marshal(&message); err == nil {
 			_ = msgpack.Unmarshal(packed, &read)
--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -23,14 +23,14 @@
 
 // Size and mix of the soak.
 const (
-	soakRequests = 100_000
-	soakWorkers  = 16
-	soakBoxes    = 3
-	soakSeed     = 20261202
-	chargePart   = 0.25
-	reviewPart   = 0.02
-	faultPause   = 150 * time.Millisecond
-	soakTries    = 4
+	soakRequests  = 100_000
+	soakWorkers   = 16
+	soakBoxes     = 3
+	soakSeed      = 20261202
+	chargeShare   = 0.25
+	reviewShare   = 0.02
+	faultInterval = 150 * time.Millisecond
+	soakMaxTries  = 4
 )
 
 // soak sends requests under faults that come and go, and holds what callers were
@@ -38,19 +38,19 @@
 type soak struct {
 	fleet *testfleet.Fleet
 
-	mu       sync.Mutex
-	answers  map[string]int // by kind and end
-	notRun   map[string]bool
-	keys     []string
-	reviews  map[string]string // id to prompt
-	wrong    int
-	faults   int
-	failures []string
+	mu           sync.Mutex
+	answers      map[string]int // by kind and end
+	notRun       map[string]bool
+	keys         []string
+	reviews      map[string]string // id to prompt
+	wrongAnswers int
+	faults       int
+	failures     []string
 }
 
 // runSoak is the section of the bench.
 func runSoak(out io.Writer) error {
-	if err := inRepository(); err != nil {
+	if err := checkRepository(); err != nil {
 		return err
 	}
 	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a", "zone-b", "zone-a"}, Engine: fakeengine.Config{KeepRuns: 5 * time.Second}})
@@ -66,36 +66,36 @@
 	time.Sleep(time.Second) // the claims' streams are read back
 	s := &soak{fleet: fleet, answers: map[string]int{}, notRun: map[string]bool{}, reviews: map[string]string{}}
 	began := time.Now()
-	s.play()
+	s.run()
 	if err := s.collectReviews(); err != nil {
 		return err
 	}
 	return s.report(out, time.Since(began))
 }
 
-func (s *soak) play() {
+func (s *soak) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var disturbing, working sync.WaitGroup
-	disturbing.Go(func() { s.disturb(ctx) })
+	disturbing.Go(func() { s.injectFaults(ctx) })
 	for worker := range soakWorkers {
-		working.Go(func() { s.work(worker) })
+		working.Go(func() { s.runWorker(worker) })
 	}
 	working.Wait()
 	cancel()
 	disturbing.Wait()
-	s.heal()
+	s.clearFaults()
 }
 
 // disturb sets one fault or two after the other until ctx ends.
-func (s *soak) disturb(ctx context.Context) {
+func (s *soak) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(soakSeed, 99))
 	for ctx.Err() == nil {
 		for range 1 + random.IntN(2) {
 			s.setFault(random)
 		}
-		time.Sleep(faultPause)
-		s.heal()
-		time.Sleep(faultPause)
+		time.Sleep(faultInterval)
+		s.clearFaults()
+		time.Sleep(faultInterval)
 	}
 }
 
@@ -104,7 +104,7 @@
 	s.faults++
 	s.mu.Unlock()
 	set := s.fleet.Set()
-	engine := s.someEngine(random)
+	engine := s.randomEngine(random)
 	switch random.IntN(9) {
 	case 0:
 		set.Log().SetFaults(fakelog.Faults{Down: true})
@@ -128,7 +128,7 @@
 	}
 }
 
-func (s *soak) someEngine(random *rand.Rand) *fakeengine.Engine {
+func (s *soak) randomEngine(random *rand.Rand) *fakeengine.Engine {
 	var runners []string
 	for _, server := range s.fleet.Set().File().BackendServers {
 		if server.Role == config.RoleRunner {
@@ -138,7 +138,7 @@
 	return s.fleet.Set().Engine(runners[random.IntN(len(runners))])
 }
 
-func (s *soak) heal() {
+func (s *soak) clearFaults() {
 	set := s.fleet.Set()
 	set.Log().SetFaults(fakelog.Faults{})
 	for _, server := range set.File().BackendServers {
@@ -151,14 +151,14 @@
 	}
 }
 
-func (s *soak) work(worker int) {
+func (s *soak) runWorker(worker int) {
 	random := rand.New(rand.NewPCG(soakSeed, uint64(worker)))
 	for i := range soakRequests / soakWorkers {
 		box := s.fleet.Box(random.IntN(soakBoxes))
 		switch at := random.Float64(); {
-		case at < reviewPart:
+		case at < reviewShare:
 			s.review(box, fmt.Sprintf("review %d of %d", i, worker))
-		case at < reviewPart+chargePart:
+		case at < reviewShare+chargeShare:
 			s.charge(random)
 		default:
 			s.chat(box, fmt.Sprintf("question %d of %d", i%50, worker))
@@ -172,10 +172,10 @@
 	s.answers[kind+" "+end]++
 }
 
-func (s *soak) wrongAnswer(format string, args ...any) {
+func (s *soak) recordWrong(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrong++
+	s.wrongAnswers++
 	if len(s.failures) < 5 {
 		s.failures = append(s.failures, fmt.Sprintf(format, args...))
 	}
@@ -183,7 +183,7 @@
 
 const soakChunks = 6
 
-func wantedText(text string) string {
+func expectedText(text string) string {
 	var want strings.Builder
 	for i := range soakChunks {
 		want.WriteString(fakeengine.Word(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text), i))
@@ -201,7 +201,7 @@
 func (s *soak) chat(box *testfleet.Box, text string) {
 	answer, err := box.Do(testfleet.Call{Path: "/v1/chat/completions", Body: string(requestBody(soakChunks, text))})
 	if err != nil {
-		s.wrongAnswer("no answer: %v", err)
+		s.recordWrong("no answer: %v", err)
 		return
 	}
 	if answer.Status != http.StatusOK {
@@ -211,7 +211,7 @@
 	if !testfleet.Whole(answer.Body) {
 		s.count("chat", "cut, and told so")
 		if !strings.Contains(answer.Body, `"outcome"`) {
-			s.wrongAnswer("a stream was cut without a word")
+			s.recordWrong("a stream was cut without a word")
 		}
 		return
 	}
@@ -222,8 +222,8 @@
 			got.WriteString(chunk.Choices[0].Delta.Content)
 		}
 	}
-	if got.String() != wantedText(text) {
-		s.wrongAnswer("asked %q, got %q", text, got.String())
+	if got.String() != expectedText(text) {
+		s.recordWrong("asked %q, got %q", text, got.String())
 	}
 	s.count("chat", "whole")
 }
@@ -237,14 +237,14 @@
 	}
 	end := ""
 	allNotRun := true
-	for range 1 + random.IntN(soakTries) {
+	for range 1 + random.IntN(soakMaxTries) {
 		box := s.fleet.Box(random.IntN(soakBoxes))
 		answer, err := box.Do(testfleet.Call{
 			Method: http.MethodPost, Path: "/services/booking/charges", Key: testfleet.KeyLot,
 			Header: map[string]string{"Idempotency-Key": key.String()},
 		})
 		if err != nil {
-			s.wrongAnswer("no answer: %v", err)
+			s.recordWrong("no answer: %v", err)
 			return
 		}
 		end = answer.Header.Get("Cometlock-Outcome")
@@ -267,7 +267,7 @@
 	body := fmt.Sprintf(`{"model":"scene-review","background":true,"max_output_tokens":%d,"input":%q}`, soakChunks, text)
 	answer, err := box.Do(testfleet.Call{Path: "/v1/responses", Body: body})
 	if err != nil {
-		s.wrongAnswer("no answer: %v", err)
+		s.recordWrong("no answer: %v", err)
 		return
 	}
 	if answer.Status != http.StatusOK {
@@ -276,7 +276,7 @@
 	}
 	var accepted struct{ ID string }
 	if json.Unmarshal([]byte(answer.Body), &accepted) != nil {
-		s.wrongAnswer("a review without a name")
+		s.recordWrong("a review without a name")
 		return
 	}
 	s.count("review", "accepted")
@@ -298,8 +298,8 @@
 				return err
 			}
 			if strings.Contains(answer.Body, `"status":"completed"`) {
-				if !strings.Contains(answer.Body, strings.TrimSpace(wantedText(text))) {
-					s.wrongAnswer("review %q has another answer", text)
+				if !strings.Contains(answer.Body, strings.TrimSpace(expectedText(text))) {
+					s.recordWrong("review %q has another answer", text)
 				}
 				break
 			}
@@ -332,8 +332,8 @@
 	for _, kind := range []string{"chat whole", "chat cut, and told so", "chat not-run", "chat unknown", "charge answered", "charge not-run", "charge unknown", "charge ran", "review accepted", "review not-run", "review unknown"} {
 		fmt.Fprintf(out, "  %-24s %7d\n", kind, s.answers[kind])
 	}
-	fmt.Fprintf(out, "  keys that ran twice %d, \"not-run\" that ran %d, wrong answers %d, reviews lost 0 of %d\n", twice, falseNotRun, s.wrong, len(s.reviews))
-	if twice+falseNotRun+s.wrong > 0 {
+	fmt.Fprintf(out, "  keys that ran twice %d, \"not-run\" that ran %d, wrong answers %d, reviews lost 0 of %d\n", twice, falseNotRun, s.wrongAnswers, len(s.reviews))
+	if twice+falseNotRun+s.wrongAnswers > 0 {
 		return errors.New(strings.Join(append(s.failures, "a promise was broken"), "; "))
 	}
 	return nil
--- a/internal/bench/streams.go
+++ b/internal/bench/streams.go
@@ -24,16 +24,16 @@
 
 // openStreams holds many streams open at once and measures what they take.
 func openStreams(out io.Writer) error {
-	if err := inRepository(); err != nil {
+	if err := checkRepository(); err != nil {
 		return err
 	}
-	streams, files := possibleStreams()
+	streams, files := streamLimit()
 	fmt.Fprintf(out, "the rig's limit: %d open files in one process, %d a stream with client and engine; each stream has had its first chunk\n", files, filesPerStream)
 	for _, promptBytes := range []int{shortPrompt, longPrompt} {
 		if promptBytes == longPrompt {
 			streams = longStreams
 		}
-		if err := printHeld(out, streams, promptBytes); err != nil {
+		if err := printStreamMemory(out, streams, promptBytes); err != nil {
 			return err
 		}
 	}
@@ -47,12 +47,12 @@
 	longStreams = 1000
 )
 
-func printHeld(out io.Writer, streams, promptBytes int) error {
-	straight, err := heldMemory(streams, promptBytes, false)
+func printStreamMemory(out io.Writer, streams, promptBytes int) error {
+	straight, err := streamMemory(streams, promptBytes, false)
 	if err != nil {
 		return err
 	}
-	boxed, err := heldMemory(streams, promptBytes, true)
+	boxed, err := streamMemory(streams, promptBytes, true)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func possibleStreams() (streams, files int) {
+func streamLimit() (streams, files int) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return wantedStreams / filesPerStream, 0
@@ -75,11 +75,11 @@
 
 // heldMemory opens streams, straight or through an entry box, and gives the heap
 // and stacks that they take.
-func heldMemory(streams, promptBytes int, throughBox bool) (uint64, error) {
+func streamMemory(streams, promptBytes int, throughBox bool) (uint64, error) {
 	fleet, err := testfleet.Start(testfleet.Config{
 		File: sampleFile, Zones: []string{"zone-a"},
 		Engine: fakeengine.Config{DecodeInterval: time.Hour, FirstAtOnce: true},
-		Change: func(file *config.File) { widen(file, streams) },
+		Change: func(file *config.File) { raiseLimits(file, streams) },
 	})
 	if err != nil {
 		return 0, err
@@ -95,14 +95,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	before := settledMemory()
-	if err := openMany(ctx, fleet, at, streams, promptBytes); err != nil {
+	if err := openAll(ctx, fleet, at, streams, promptBytes); err != nil {
 		return 0, err
 	}
 	return settledMemory() - before, nil
 }
 
 // widen makes room for all streams at once.
-func widen(file *config.File, streams int) {
+func raiseLimits(file *config.File, streams int) {
 	for i := range file.BackendServers {
 		if file.BackendServers[i].Role == config.RoleRunner {
 			file.BackendServers[i].Slots = 2 * streams
@@ -115,24 +115,24 @@
 }
 
 // openMany opens streams and waits until the engines have them all.
-func openMany(ctx context.Context, fleet *testfleet.Fleet, at target, streams, promptBytes int) error {
+func openAll(ctx context.Context, fleet *testfleet.Fleet, at target, streams, promptBytes int) error {
 	client := &http.Client{Transport: &http.Transport{}}
 	gate := make(chan struct{}, 64)
 	for i := range streams {
 		gate <- struct{}{}
-		held := &heldStream{client: client, at: at, text: fmt.Sprintf("%0*d", promptBytes, i), gate: gate}
-		go held.loop(ctx)
+		held := &openStream{client: client, at: at, text: fmt.Sprintf("%0*d", promptBytes, i), connecting: gate}
+		go held.run(ctx)
 	}
 	for range 2000 {
-		if runsAtEngines(fleet) >= streams {
+		if startedRuns(fleet) >= streams {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return fmt.Errorf("%d of %d streams reached the engines", runsAtEngines(fleet), streams)
+	return fmt.Errorf("%d of %d streams reached the engines", startedRuns(fleet), streams)
 }
 
-func runsAtEngines(fleet *testfleet.Fleet) int {
+func startedRuns(fleet *testfleet.Fleet) int {
 	runs := 0
 	for _, server := range fleet.Set().File().BackendServers {
 		if server.Role == config.RoleRunner {
@@ -145,14 +145,14 @@
 }
 
 // heldStream is one request that is left open.
-type heldStream struct {
-	client *http.Client
-	at     target
-	text   string
-	gate   chan struct{}
+type openStream struct {
+	client     *http.Client
+	at         target
+	text       string
+	connecting chan struct{}
 }
 
-func (h *heldStream) loop(ctx context.Context) {
+func (h *openStream) run(ctx context.Context) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, h.at.url, newBody(h.text))
 	if err != nil {
 		return
@@ -160,7 +160,7 @@
 	for name, values := range h.at.header {
 		request.Header[name] = values
 	}
-	time.AfterFunc(20*time.Millisecond, func() { <-h.gate })
+	time.AfterFunc(20*time.Millisecond, func() { <-h.connecting })
 	response, err := h.client.Do(request)
 	if err == nil {
 		_, _ = io.Copy(io.Discard, response.Body) // until the bench ends
@@ -172,7 +172,7 @@
 const (
 	settlePause  = 200 * time.Millisecond
 	settleRounds = 50
-	settleSame   = 4
+	settleStable = 4
 	settleSlack  = 64 << 10
 )
 
@@ -190,7 +190,7 @@
 		if same++; now+settleSlack < last || last+settleSlack < now {
 			same = 0
 		}
-		if last = now; same >= settleSame {
+		if last = now; same >= settleStable {
 			break
 		}
 	}
--- a/internal/bench/worth.go
+++ b/internal/bench/worth.go
@@ -13,14 +13,14 @@
 )
 
 // reader is a command that reads what was measured elsewhere, from paths that it is given.
-type reader struct {
+type reportCommand struct {
 	name string
 	help string
 	run  func(out io.Writer, paths []string) error
 }
 
-func readers() []reader {
-	return []reader{
+func reportCommands() []reportCommand {
+	return []reportCommand{
 		{"worth", "where days lost their worth, by reports of the users' bench (.json) and logs of boxes that follow", printWorth},
 		{"ablation", "what mechanisms are worth, by a folder that bench/ablate.sh filled", printAblation},
 		{"journal", "what was tried, by reason and outcome: the journal's folder, and a text that reasons contain", printJournal},
@@ -28,7 +28,7 @@
 	}
 }
 
-func runReader(r reader, paths []string, out, errOut io.Writer) int {
+func runReportCommand(r reportCommand, paths []string, out, errOut io.Writer) int {
 	if err := r.run(out, paths); err != nil {
 		fmt.Fprintln(errOut, "cometlock-bench:", r.name+":", err)
 		return exitFailed
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -88,25 +88,25 @@
 
 // MechanismCost is one line of the table: what one mechanism takes on one node.
 type MechanismCost struct {
-	Role        string  `json:"role"`
-	Mechanism   string  `json:"mechanism"`
-	State       string  `json:"state"`
-	MemoryMB    float64 `json:"memory_mb"`
+	Role            string  `json:"role"`
+	Mechanism       string  `json:"mechanism"`
+	State           string  `json:"state"`
+	MemoryMB        float64 `json:"memory_mb"`
 	CorePercentUsed float64 `json:"core_percent"`
-	Bytes       float64 `json:"bytes_per_second"`
-	Appends     float64 `json:"log_appends_per_second"`
+	Bytes           float64 `json:"bytes_per_second"`
+	Appends         float64 `json:"log_appends_per_second"`
 }
 
 // Pace of the mechanisms, as the daemon has it by default.
 const (
-	statusFanout    = 3.0 // exchanges a second, each a message both ways, and the same again received
-	reportsPerSec   = 2.0 // looks at each runner a second
-	claimKeepHours  = 2.0
-	checkpointEvery = 200.0
-	day             = 86_400.0
-	mega            = 1e6
-	percent         = 100.0
-	nanos           = 1e-9
+	statusFanout        = 3.0 // exchanges a second, each a message both ways, and the same again received
+	reportsPerSec       = 2.0 // looks at each runner a second
+	claimRetentionHours = 2.0
+	checkpointEvery     = 200.0
+	secondsPerDay       = 86_400.0
+	bytesPerMB          = 1e6
+	percent             = 100.0
+	secondsPerNano      = 1e-9
 )
 
 // plannedClaims is the row of a mechanism that is not built yet.
@@ -119,46 +119,46 @@
 	requests := size.RequestsPerSec / float64(size.Nodes)
 	zoneRequests := size.RequestsPerSec / float64(size.Zones)
 	contexts := float64(size.Contexts) / float64(size.Zones)
-	changes := float64(size.ChangesPerDay) / day
+	changes := float64(size.ChangesPerDay) / secondsPerDay
 	entries := float64(size.Organisations + size.Runners)
 	claims := size.RequestsPerSec * size.ClaimShare
 	events := zoneRequests * size.NewBlocksPerRequest * 2 // stored and evicted
 	rows := []MechanismCost{
 		{
 			Role: "entry box", Mechanism: "configuration by log tail", State: "all organisations and servers",
-			MemoryMB: entries * s.OrganisationBytes / mega, CorePercentUsed: percent * changes * s.ChangeNanosPerEntry * entries * nanos,
+			MemoryMB: entries * s.OrganisationBytes / bytesPerMB, CorePercentUsed: percent * changes * s.ChangeNanosPerEntry * entries * secondsPerNano,
 			Bytes:   changes * (s.ChangeBytes + entries*s.OrganisationLogBytes/checkpointEvery),
 			Appends: changes / checkpointEvery,
 		},
 		{
 			Role: "entry box", Mechanism: "exchange between boxes", State: "one status a peer heard of",
-			MemoryMB: float64(size.Nodes) * s.StatusBytes / mega, CorePercentUsed: percent * 2 * statusFanout * s.StatusNanos * nanos,
+			MemoryMB: float64(size.Nodes) * s.StatusBytes / bytesPerMB, CorePercentUsed: percent * 2 * statusFanout * s.StatusNanos * secondsPerNano,
 			Bytes: 2 * statusFanout * 2 * s.StatusBytes,
 		},
 		{
 			Role: "entry box", Mechanism: "load reports of the zone's runners", State: "one report a runner",
-			CorePercentUsed: percent * runners * reportsPerSec * s.ReportNanos * nanos, Bytes: runners * reportsPerSec * s.ReportBytes,
+			CorePercentUsed: percent * runners * reportsPerSec * s.ReportNanos * secondsPerNano, Bytes: runners * reportsPerSec * s.ReportBytes,
 		},
 		{
 			Role: "entry box", Mechanism: "cache events of the zone's runners", State: "landmark blocks of the zone's contexts",
-			MemoryMB: contexts * s.ContextBytes / mega, CorePercentUsed: percent * events * s.EventNanos * nanos, Bytes: events * s.EventBytes,
+			MemoryMB: contexts * s.ContextBytes / bytesPerMB, CorePercentUsed: percent * events * s.EventNanos * secondsPerNano, Bytes: events * s.EventBytes,
 		},
 		{
-			Role: "entry box", Mechanism: "placement", State: "scratch space", CorePercentUsed: percent * requests * s.DecisionNanos * nanos,
+			Role: "entry box", Mechanism: "placement", State: "scratch space", CorePercentUsed: percent * requests * s.DecisionNanos * secondsPerNano,
 		},
 		{
 			Role: "entry box", Mechanism: "claims, all streams followed by all boxes (today)", State: "keys of two hours",
-			MemoryMB: claims * claimKeepHours * 3600 * s.ClaimBytes / mega, Bytes: claims * 2 * s.ClaimLogBytes,
+			MemoryMB: claims * claimRetentionHours * 3600 * s.ClaimBytes / bytesPerMB, Bytes: claims * 2 * s.ClaimLogBytes,
 			Appends: claims * 2 / float64(size.Nodes),
 		},
 		{
 			Role: "entry box", Mechanism: plannedClaims, State: "keys of two hours of the own streams",
-			MemoryMB: claims * claimKeepHours * 3600 * s.ClaimBytes / mega * 2 / nodesInZone, Bytes: claims * 2 * s.ClaimLogBytes * 2 / nodesInZone,
+			MemoryMB: claims * claimRetentionHours * 3600 * s.ClaimBytes / bytesPerMB * 2 / nodesInZone, Bytes: claims * 2 * s.ClaimLogBytes * 2 / nodesInZone,
 			Appends: claims * 2 / float64(size.Nodes),
 		},
 		{
 			Role: "entry box", Mechanism: "reviews by log tail", State: "waiting reviews, without their requests",
-			MemoryMB: float64(size.ReviewsWaiting) * s.ReviewBytes / mega,
+			MemoryMB: float64(size.ReviewsWaiting) * s.ReviewBytes / bytesPerMB,
 		},
 	}
 	return rows
@@ -178,8 +178,8 @@
 
 // Assumptions about what an event hits.
 const (
-	runnerCacheTokens = 300_000.0 // kept context that a runner's memory holds
-	retentionSeconds  = day       // of the log
+	runnerCacheTokens = 300_000.0     // kept context that a runner's memory holds
+	retentionSeconds  = secondsPerDay // of the log
 	tokensPerBlock    = 256.0
 	claimStreams      = 16.0
 	recordsPerRead    = 1000.0
@@ -207,7 +207,7 @@
 func PrintEventCosts(out io.Writer, events []EventCost) {
 	fmt.Fprintf(out, "\n| event | a day | messages | MB | recomputed tokens |\n|---|---:|---:|---:|---:|\n")
 	for _, e := range events {
-		fmt.Fprintf(out, "| %s | %.0f | %.0f | %.2f | %.0f |\n", e.Name, e.PerDay, e.Messages, e.Bytes/mega, e.Tokens)
+		fmt.Fprintf(out, "| %s | %.0f | %.0f | %.2f | %.0f |\n", e.Name, e.PerDay, e.Messages, e.Bytes/bytesPerMB, e.Tokens)
 	}
 }
 
--- a/internal/policybench/load.go
+++ b/internal/policybench/load.go
@@ -83,10 +83,10 @@
 	organisation int
 	instant      bool
 	// segments are the prefix, in order; question is never cached.
-	segments []segment
-	question int
-	output   int
-	home     uint64
+	segments     []segment
+	question     int
+	output       int
+	affinityHash uint64
 }
 
 func (r *request) tokens() int {
@@ -129,20 +129,20 @@
 	return segment{id: g.nextID, tokens: tokens}
 }
 
-func (g *generator) between(bounds [2]int) int {
+func (g *generator) uniform(bounds [2]int) int {
 	return bounds[0] + g.random.IntN(bounds[1]-bounds[0]+1)
 }
 
 func (g *generator) request(at float64) request {
-	r := request{at: at, organisation: g.organisation(), output: g.between(g.load.OutputTokens), home: g.random.Uint64()}
+	r := request{at: at, organisation: g.organisation(), output: g.uniform(g.load.OutputTokens), affinityHash: g.random.Uint64()}
 	if g.random.Float64() < g.load.InstantShare {
 		r.instant = true
-		r.question = g.between(g.load.InstantTokens)
+		r.question = g.uniform(g.load.InstantTokens)
 		return r
 	}
 	r.segments = g.context(r.organisation)
-	r.home = uint64(r.segments[len(r.segments)-1].id) * 0x9e3779b97f4a7c15
-	r.question = g.between(g.load.QuestionTokens)
+	r.affinityHash = uint64(r.segments[len(r.segments)-1].id) * 0x9e3779b97f4a7c15
+	r.question = g.uniform(g.load.QuestionTokens)
 	return r
 }
 
@@ -163,7 +163,7 @@
 	if len(known) > 0 && g.random.Float64() >= g.load.NewContextShare {
 		return known[g.random.IntN(len(known))]
 	}
-	fresh := []segment{g.shared[organisation], g.segment(g.between(g.load.ContextTokens))}
+	fresh := []segment{g.shared[organisation], g.segment(g.uniform(g.load.ContextTokens))}
 	g.contexts[organisation] = append(known, fresh)
 	return fresh
 }
@@ -171,7 +171,7 @@
 // bound is what a clairvoyant with one cache of the size of all together would
 // have to compute, in tokens, and the part of it that nobody has seen before.
 type bound struct {
-	total, computed, unseen int
+	total, computed, firstUses int
 }
 
 // clairvoyant works the bound out. It keeps the segments whose next use is
@@ -191,10 +191,10 @@
 	for i := range requests {
 		b.total += requests[i].tokens()
 		b.computed += requests[i].question
-		b.unseen += requests[i].question
+		b.firstUses += requests[i].question
 		for _, s := range requests[i].segments {
 			if !seen[s.id] {
-				b.unseen += s.tokens
+				b.firstUses += s.tokens
 				seen[s.id] = true
 			}
 			uses[s.id] = uses[s.id][1:]
@@ -212,9 +212,9 @@
 	return b
 }
 
-func evictFarthest(held map[int]segment, uses map[int][]int, size, capacity int) int {
-	order := make([]segment, 0, len(held))
-	for _, s := range held {
+func evictFarthest(cached map[int]segment, uses map[int][]int, size, capacity int) int {
+	order := make([]segment, 0, len(cached))
+	for _, s := range cached {
 		order = append(order, s)
 	}
 	next := func(s segment) int {
@@ -233,7 +233,7 @@
 		if size <= capacity {
 			break
 		}
-		delete(held, s.id)
+		delete(cached, s.id)
 		size -= s.tokens
 	}
 	return size
--- a/internal/policybench/policybench_test.go
+++ b/internal/policybench/policybench_test.go
@@ -25,13 +25,13 @@
 
 // The bounds below are on figures of virtual time, which the seeds decide, so
 // the verdict is the same on every machine.
-func TestThePolicyInUseHoldsItsBounds(t *testing.T) {
+func TestPolicyInUseMeetsItsBounds(t *testing.T) {
 	const seeds = 3
 	for _, load := range mustLoads(t) {
 		for _, percent := range []int{50, 80} {
 			g := NewWithT(t)
 			rows := rowsOf(t, load, percent, seeds)
-			got, home, least := rows[chosen], rows["rendezvous"], rows["least loaded"]
+			got, home, least := rows[policyInUse], rows["rendezvous"], rows["least loaded"]
 			t.Logf("%s at %d%%: p95 %.2f s (rendezvous %.2f), recomputed %.1f%% (clairvoyant %.1f%%, least loaded %.1f%%), good %.1f%%",
 				load.Deployment, percent, got.P95, home.P95, 100*got.RecomputedShare, 100*got.ClairvoyantShare, 100*least.RecomputedShare, 100*got.InTimeShare)
 			g.Expect(got.InTimeShare).To(BeNumerically(">=", home.InTimeShare), "%s at %d%%", load.Deployment, percent)
@@ -44,13 +44,13 @@
 	}
 }
 
-func TestTheSameSeedGivesTheSameFigures(t *testing.T) {
+func TestSameSeedGivesSameFigures(t *testing.T) {
 	g := NewWithT(t)
 	load := mustLoads(t)[0]
 	g.Expect(compare(load, 80, 1)).To(Equal(compare(load, 80, 1)))
 }
 
-func TestNobodyBeatsTheClairvoyantBound(t *testing.T) {
+func TestNoPolicyBeatsClairvoyantBound(t *testing.T) {
 	for _, load := range mustLoads(t) {
 		for _, row := range compare(load, 50, 2) {
 			NewWithT(t).Expect(row.RecomputedShare).To(BeNumerically(">=", row.UnseenShare-0.03), row.Policy)
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -71,12 +71,12 @@
 // namedPolicy is one row of the comparison. A policy with state is made anew for
 // each run.
 type namedPolicy struct {
-	name string
-	make func() decide.Policy
+	name   string
+	create func() decide.Policy
 }
 
 // chosen names the policy in use.
-const chosen = "two homes (in use)"
+const policyInUse = "two homes (in use)"
 
 func policies() []namedPolicy {
 	return []namedPolicy{
@@ -86,7 +86,7 @@
 		{"bounded rendezvous", func() decide.Policy { return decide.BoundedRendezvous{LoadFactor: 1.25} }},
 		{"greedy prefix", func() decide.Policy { return decide.GreedyPrefix{} }},
 		{"cheapest", func() decide.Policy { return decide.Cheapest{} }},
-		{chosen, func() decide.Policy {
+		{policyInUse, func() decide.Policy {
 			return decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 		}},
 	}
@@ -129,7 +129,7 @@
 		b := clairvoyant(load, requests)
 		scale(load, requests, b, float64(percent)/100)
 		for i, policy := range policies() {
-			rows[i].add(simulate(load, requests, policy.make()), b, float64(seeds))
+			rows[i].add(simulate(load, requests, policy.create()), b, float64(seeds))
 		}
 	}
 	return rows
@@ -143,7 +143,7 @@
 	r.InstantP95 += result.InstantP95 / seeds
 	r.RecomputedShare += result.RecomputedShare / seeds
 	r.ClairvoyantShare += float64(b.computed) / float64(b.total) / seeds
-	r.UnseenShare += float64(b.unseen) / float64(b.total) / seeds
+	r.UnseenShare += float64(b.firstUses) / float64(b.total) / seeds
 	r.InTimeShare += result.InTimeShare / seeds
 	r.FairnessIndex += result.FairnessIndex / seeds
 	r.Refused += float64(result.Refused) / seeds
--- a/internal/policybench/simulate.go
+++ b/internal/policybench/simulate.go
@@ -12,19 +12,19 @@
 // cache is a runner's prefix cache: least recently used segments go first.
 type cache struct {
 	capacity, size int
-	held           map[int]*list.Element
-	recent         *list.List
+	entries        map[int]*list.Element
+	lru            *list.List
 }
 
 func newCache(capacity int) *cache {
-	return &cache{capacity: capacity, held: map[int]*list.Element{}, recent: list.New()}
+	return &cache{capacity: capacity, entries: map[int]*list.Element{}, lru: list.New()}
 }
 
 // warm gives the tokens of the prefix that are there.
-func (c *cache) warm(segments []segment) int {
+func (c *cache) cachedTokens(segments []segment) int {
 	tokens := 0
 	for _, s := range segments {
-		if c.held[s.id] == nil {
+		if c.entries[s.id] == nil {
 			break
 		}
 		tokens += s.tokens
@@ -35,29 +35,29 @@
 func (c *cache) store(segments []segment) {
 	for i := len(segments) - 1; i >= 0; i-- {
 		s := segments[i]
-		if element := c.held[s.id]; element != nil {
-			c.recent.MoveToFront(element)
+		if element := c.entries[s.id]; element != nil {
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.held[s.id] = c.recent.PushFront(s)
+		c.entries[s.id] = c.lru.PushFront(s)
 		c.size += s.tokens
 	}
 	for c.size > c.capacity {
-		last, ok := c.recent.Remove(c.recent.Back()).(segment)
+		last, ok := c.lru.Remove(c.lru.Back()).(segment)
 		if !ok {
 			return
 		}
-		delete(c.held, last.id)
+		delete(c.entries, last.id)
 		c.size -= last.tokens
 	}
 }
 
 // runner is a fake of a model runner.
 type runner struct {
-	cache   *cache
-	queue   []*job // instant ones first
-	filling bool
-	decodes int
+	cache      *cache
+	queue      []*job // instant ones first
+	prefilling bool
+	decodes    int
 	// queued is the prompt work not yet prefilled, by class.
 	queued [classes]int
 	// reported is what the last load report said.
@@ -77,20 +77,20 @@
 
 // job is a request at a runner.
 type job struct {
-	request  *request
-	box      int
-	expected int // prefill tokens that the box expected
-	arrived  float64
+	request         *request
+	box             int
+	predictedTokens int // prefill tokens that the box expected
+	arrived         float64
 	// begun says that the job has its slot, and left is what is not prefilled.
-	begun bool
-	left  int
+	admitted  bool
+	remaining int
 }
 
 // event is something that happens at a time.
 type event struct {
 	at    float64
 	order int
-	do    func()
+	run   func()
 }
 
 type events []event
@@ -146,7 +146,7 @@
 // Deadlines within which a first token counts as good, in seconds.
 const (
 	instantDeadline = 2.0
-	otherDeadline   = 30.0
+	normalDeadline  = 30.0
 )
 
 // simulate plays requests, whose times are scaled, against a policy.
@@ -172,7 +172,7 @@
 			break
 		}
 		s.now = next.at
-		next.do()
+		next.run()
 	}
 	s.result.finish(s.offered, s.served)
 	return s.result
@@ -180,7 +180,7 @@
 
 func (s *simulation) at(at float64, do func()) {
 	s.order++
-	heap.Push(&s.pending, event{at: at, order: s.order, do: do})
+	heap.Push(&s.pending, event{at: at, order: s.order, run: do})
 }
 
 // report brings all boxes the load of all runners, as it is now.
@@ -208,8 +208,8 @@
 			QueuedTokens: own + math.Max(0, others-s.load.PrefillRate*age),
 			Running:      max(b.running[i], r.reportedRunning),
 			RunSeconds:   float64(s.load.OutputTokens[0]+s.load.OutputTokens[1]) / 2 / s.load.DecodeRate,
-			WarmTokens:   r.cache.warm(req.segments),
-			HomeRank:     mix(req.home ^ mix(uint64(i)+1)),
+			WarmTokens:   r.cache.cachedTokens(req.segments),
+			HomeRank:     mix(req.affinityHash ^ mix(uint64(i)+1)),
 		}
 	}
 	return s.scratch
@@ -239,7 +239,7 @@
 	chosen := decision.Runner
 	b.sent[chosen][classOf(req)] += decision.RecomputedTokens
 	b.running[chosen]++
-	s.runners[chosen].add(&job{request: req, box: at, expected: decision.RecomputedTokens, arrived: s.now})
+	s.runners[chosen].add(&job{request: req, box: at, predictedTokens: decision.RecomputedTokens, arrived: s.now})
 	s.advance(chosen)
 }
 
@@ -247,12 +247,12 @@
 	if req.instant {
 		return instantDeadline
 	}
-	return otherDeadline
+	return normalDeadline
 }
 
 // add queues a job, instant ones before all others.
 func (r *runner) add(j *job) {
-	r.queued[classOf(j.request)] += j.expected
+	r.queued[classOf(j.request)] += j.predictedTokens
 	if !j.request.instant {
 		r.queue = append(r.queue, j)
 		return
@@ -271,29 +271,29 @@
 // advance prefills the next chunk of the most urgent job of a runner.
 func (s *simulation) advance(at int) {
 	r := s.runners[at]
-	if r.filling || len(r.queue) == 0 {
+	if r.prefilling || len(r.queue) == 0 {
 		return
 	}
 	next := r.queue[0]
-	if !next.begun {
+	if !next.admitted {
 		if r.decodes >= s.load.Slots {
 			return
 		}
-		next.begun = true
+		next.admitted = true
 		r.decodes++
-		next.left = next.request.tokens() - r.cache.warm(next.request.segments)
-		s.result.computed += next.left
+		next.remaining = next.request.tokens() - r.cache.cachedTokens(next.request.segments)
+		s.result.computed += next.remaining
 	}
-	r.filling = true
-	chunk := min(next.left, chunkTokens)
-	next.left -= chunk
+	r.prefilling = true
+	chunk := min(next.remaining, chunkTokens)
+	next.remaining -= chunk
 	s.at(s.now+float64(chunk)/s.load.PrefillRate, func() { s.chunkDone(at, next) })
 }
 
 func (s *simulation) chunkDone(at int, j *job) {
 	r := s.runners[at]
-	r.filling = false
-	if j.left == 0 {
+	r.prefilling = false
+	if j.remaining == 0 {
 		r.queue = slices.Delete(r.queue, slices.Index(r.queue, j), slices.Index(r.queue, j)+1)
 		s.firstToken(at, j)
 	}
@@ -304,10 +304,10 @@
 	r := s.runners[at]
 	r.cache.store(j.request.segments)
 	class := classOf(j.request)
-	r.queued[class] -= j.expected
+	r.queued[class] -= j.predictedTokens
 	b := s.boxes[j.box]
-	b.sent[at][class] -= j.expected
-	b.sentAtReport[at][class] = max(0, b.sentAtReport[at][class]-j.expected)
+	b.sent[at][class] -= j.predictedTokens
+	b.sentAtReport[at][class] = max(0, b.sentAtReport[at][class]-j.predictedTokens)
 	s.result.add(j.request, s.now-j.arrived)
 	if s.now-j.arrived <= deadline(j.request) {
 		s.served[j.request.organisation]++
--- a/internal/sitebench/events.go
+++ b/internal/sitebench/events.go
@@ -8,16 +8,16 @@
 // event is something that happens at a moment. Events of one moment happen in the order
 // in which they were planned.
 type event struct {
-	at     float64
-	number int
-	do     func()
+	at       float64
+	sequence int
+	run      func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].number < e[j].number
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
@@ -32,16 +32,16 @@
 }
 
 // after plans something for so many milliseconds from now.
-func (w *world) after(millis float64, do func()) {
-	w.count++
-	heap.Push(&w.planned, event{w.now + millis, w.count, do})
+func (sim *simulation) schedule(millis float64, do func()) {
+	sim.sequence++
+	heap.Push(&sim.pending, event{sim.now + millis, sim.sequence, do})
 }
 
 // playAll lets all that is planned happen, and what it plans in turn.
-func (w *world) playAll() {
-	for len(w.planned) > 0 {
-		next := heap.Pop(&w.planned).(event)
-		w.now = next.at
-		next.do()
+func (sim *simulation) runAll() {
+	for len(sim.pending) > 0 {
+		next := heap.Pop(&sim.pending).(event)
+		sim.now = next.at
+		next.run()
 	}
 }
--- a/internal/sitebench/experiment.go
+++ b/internal/sitebench/experiment.go
@@ -33,23 +33,23 @@
 type experiment struct {
 	varied string
 	values []float64
-	set    func(day *Scenario, value float64)
+	set    func(scenario *Scenario, value float64)
 }
 
 func experiments() []experiment {
 	return []experiment{
-		{"load", []float64{0.6, 0.8, 1, 1.2, 1.4}, func(day *Scenario, value float64) { day.Load = value }},
-		{"store room", []float64{0, 0.25, 0.5, 1, 2}, func(day *Scenario, value float64) { day.StoreCapacity = value }},
+		{"load", []float64{0.6, 0.8, 1, 1.2, 1.4}, func(scenario *Scenario, value float64) { scenario.Load = value }},
+		{"store room", []float64{0, 0.25, 0.5, 1, 2}, func(scenario *Scenario, value float64) { scenario.StoreCapacity = value }},
 	}
 }
 
 // compare plays a day by all policies at one value.
-func compare(site Site, day Scenario, varied string, value float64, seeds int) []Row {
+func compare(site Site, scenario Scenario, varied string, value float64, seeds int) []Row {
 	var rows []Row
 	for _, policy := range Policies() {
-		row := Row{Site: site.Name, Day: day.Name, Varied: varied, Value: value, Policy: policy.Name, Figures: map[string]float64{}, WorthMin: 1}
+		row := Row{Site: site.Name, Day: scenario.Name, Varied: varied, Value: value, Policy: policy.Name, Figures: map[string]float64{}, WorthMin: 1}
 		for seed := range seeds {
-			result := Simulate(site, day, policy, uint64(seed))
+			result := Simulate(site, scenario, policy, uint64(seed))
 			for _, figure := range figures() {
 				row.Figures[figure.name] += figure.of(result) / float64(seeds)
 			}
@@ -74,9 +74,9 @@
 	}
 	var all []Row
 	for _, site := range Sites() {
-		for _, day := range Scenarios() {
+		for _, scenario := range Scenarios() {
 			for _, experiment := range experiments() {
-				rows := experiment.run(out, site, day)
+				rows := experiment.run(out, site, scenario)
 				all = append(all, rows...)
 				if err := plotAll(rows); err != nil {
 					return err
@@ -93,7 +93,7 @@
 
 // plotAll writes the plots of one experiment.
 func plotAll(rows []Row) error {
-	for _, figure := range plotted {
+	for _, figure := range plottedFigures {
 		name := fmt.Sprintf("%s-%s-%s-by-%s.svg", rows[0].Site, rows[0].Day, figure, rows[0].Varied)
 		if err := plot(filepath.Join(PlotFolder, strings.ReplaceAll(name, " ", "-")), figure, rows); err != nil {
 			return err
@@ -102,10 +102,10 @@
 	return nil
 }
 
-func (e experiment) run(out io.Writer, site Site, day Scenario) []Row {
+func (e experiment) run(out io.Writer, site Site, scenario Scenario) []Row {
 	var all []Row
 	for _, value := range e.values {
-		varied := day
+		varied := scenario
 		e.set(&varied, value)
 		rows := compare(site, varied, e.varied, value, Seeds)
 		printRows(out, rows)
--- a/internal/sitebench/worst_test.go
+++ b/internal/sitebench/overload_test.go
@@ -17,7 +17,7 @@
 //	refused: sound 21.0 in_flight/sound 23.1 held_tokens/sound 146855 (a runner's memory: 86716)
 //
 // and of the runners: 634 fetches came too late; 12.6 of 30.2 million tokens were read again.
-func TestABurstDoesNotKeepItselfUp(t *testing.T) {
+func TestOverloadEndsAfterBurst(t *testing.T) {
 	for seed := range uint64(3) {
 		g := NewWithT(t)
 		result, alone := Simulate(Large(), OverloadScenario(), InUse(), seed), Simulate(Large(), OverloadScenario(), WithoutOwners(), seed)
--- a/internal/sitebench/plot.go
+++ b/internal/sitebench/plot.go
@@ -26,10 +26,10 @@
 )
 
 // plotted are the figures that get a plot.
-var plotted = []string{"worth", "earned", "price"}
+var plottedFigures = []string{"worth", "earned", "price"}
 
 // lines are the values of one figure, a line a policy.
-type lines struct {
+type series struct {
 	policies []string
 	// labels are what was varied, and values the figure at each, by policy.
 	labels []string
@@ -37,8 +37,8 @@
 }
 
 // linesOf orders the rows of an experiment for a plot.
-func linesOf(figure string, rows []Row) lines {
-	var l lines
+func seriesOf(figure string, rows []Row) series {
+	var l series
 	for _, row := range rows {
 		if row.Policy == rows[0].Policy {
 			l.labels = append(l.labels, fmt.Sprintf("%.2g", row.Value))
@@ -54,9 +54,9 @@
 }
 
 // bounds gives where the axis of the values begins and ends.
-func (l lines) bounds() (first, last float64) {
+func (s series) bounds() (first, last float64) {
 	lowest, highest := math.Inf(1), math.Inf(-1)
-	for _, line := range l.values {
+	for _, line := range s.values {
 		lowest, highest = min(lowest, slices.Min(line)), max(highest, slices.Max(line))
 	}
 	return math.Floor(plotSteps*lowest) / plotSteps, math.Ceil(plotSteps*highest) / plotSteps
@@ -64,7 +64,7 @@
 
 // plot writes a figure of all policies at all values as a picture.
 func plot(path, figure string, rows []Row) error {
-	l := linesOf(figure, rows)
+	l := seriesOf(figure, rows)
 	option := charts.NewLineChartOptionWithData(l.values)
 	option.Title.Text = fmt.Sprintf("%s, day %s: %s by %s", rows[0].Site, rows[0].Day, figure, rows[0].Varied)
 	option.Legend.SeriesNames = l.policies
--- a/internal/sitebench/policy.go
+++ b/internal/sitebench/policy.go
@@ -10,48 +10,50 @@
 
 // Policy chooses runners.
 type Policy struct {
-	Name string
-	pick func(c *call, query placing.Query, candidates []placing.Candidate) int
+	Name         string
+	selectRunner func(c *call, query placing.Query, candidates []placing.Candidate) int
 	// unbounded policies do not judge whether a runner has time and memory.
 	unbounded bool
 	// alone has boxes place by themselves where owners of a zone's runners would.
-	alone bool
+	withoutOwners bool
 	// clairvoyant knows the work of all boxes at once, and that what any runner has read
 	// need not be read again.
 	clairvoyant bool
 }
 
 // InUse is the policy that entry boxes use.
-func InUse() Policy { return Policy{Name: "in use", pick: inUse} }
+func InUse() Policy { return Policy{Name: "in use", selectRunner: inUse} }
 
 // Clairvoyant is no policy but a bound: one pooled memory without limit, whose content
 // needs no moving, and boxes that know everything at once.
 func Clairvoyant() Policy {
-	return Policy{Name: "clairvoyant bound", pick: inUse, clairvoyant: true}
+	return Policy{Name: "clairvoyant bound", selectRunner: inUse, clairvoyant: true}
 }
 
 // WithoutOwners is the policy that entry boxes use where nobody owns runners.
-func WithoutOwners() Policy { return Policy{Name: "each box alone", pick: inUse, alone: true} }
+func WithoutOwners() Policy {
+	return Policy{Name: "each box alone", selectRunner: inUse, withoutOwners: true}
+}
 
 // Policies gives all policies, the one in use first.
 func Policies() []Policy {
 	return []Policy{
 		InUse(),
-		{Name: "without homes", pick: withoutHomes},
-		{Name: "rendezvous", pick: rendezvous, unbounded: true},
-		{Name: "least in flight", pick: leastInFlight, unbounded: true},
+		{Name: "without homes", selectRunner: withoutHomes},
+		{Name: "rendezvous", selectRunner: rendezvous, unbounded: true},
+		{Name: "least in flight", selectRunner: leastInFlight, unbounded: true},
 		Clairvoyant(),
 	}
 }
 
 // choose gives a runner for a call.
 func (p Policy) choose(c *call) *runner {
-	best := p.chooseOf(c, c.world.runners, false)
-	if c.asks = p.asksOwners(c, best); !c.asks {
+	best := p.chooseAmong(c, c.sim.runners, false)
+	if c.viaOwner = p.shouldAskOwner(c, best); !c.viaOwner {
 		return best
 	}
-	for i := range c.world.site.Zones {
-		if chosen := p.chooseOf(c, c.world.zone(c.box+i), true); chosen != nil {
+	for i := range c.sim.site.Zones {
+		if chosen := p.chooseAmong(c, c.sim.zoneRunners(c.box+i), true); chosen != nil {
 			return chosen
 		}
 	}
@@ -60,39 +62,39 @@
 
 // asksOwners reports whether a call gets its place from the owners of runners, by the one that
 // its box would choose; nil for none.
-func (p Policy) asksOwners(c *call, best *runner) bool {
-	if c.world.site.Zones == 0 || p.alone || p.clairvoyant {
+func (p Policy) shouldAskOwner(c *call, best *runner) bool {
+	if c.sim.site.Zones == 0 || p.withoutOwners || p.clairvoyant {
 		return false
 	}
 	if best == nil {
 		return placing.ShouldAskOwner(int(c.tokens()), nil, 0)
 	}
-	candidate := c.describe(best, false)
-	unseen := c.world.arrivals[c.box].unseen(c.world, len(c.world.runners))
+	candidate := c.candidateFor(best, false)
+	unseen := c.sim.arrivals[c.box].unreported(c.sim, len(c.sim.runners))
 	return placing.ShouldAskOwner(int(c.tokens()), &candidate, unseen)
 }
 
 // zone lists the runners of a zone.
-func (w *world) zone(number int) []*runner {
+func (sim *simulation) zoneRunners(number int) []*runner {
 	var runners []*runner
-	for i := number % w.site.Zones; i < len(w.runners); i += w.site.Zones {
-		runners = append(runners, w.runners[i])
+	for i := number % sim.site.Zones; i < len(sim.runners); i += sim.site.Zones {
+		runners = append(runners, sim.runners[i])
 	}
 	return runners
 }
 
 // chooseOf chooses among some runners, as their owner or as the box of the call.
-func (p Policy) chooseOf(c *call, of []*runner, owner bool) *runner {
+func (p Policy) chooseAmong(c *call, pool []*runner, owner bool) *runner {
 	query := c.query()
 	var runners []*runner
 	var candidates []placing.Candidate
-	for _, r := range of {
-		if r.out || r.missed {
+	for _, r := range pool {
+		if r.draining || r.hangDetected {
 			continue
 		}
-		candidate := c.describe(r, owner)
+		candidate := c.candidateFor(r, owner)
 		if p.clairvoyant {
-			candidate = c.describeWhole(r)
+			candidate = c.exactCandidate(r)
 		}
 		if p.unbounded || placing.Admits(query, &candidate) {
 			runners, candidates = append(runners, r), append(candidates, candidate)
@@ -101,10 +103,10 @@
 	if p.clairvoyant {
 		query.AffinityKey = 0
 	}
-	if c.world.site.Zones > 0 && !owner && !p.clairvoyant {
-		query.UnreportedWork = c.world.arrivals[c.box].unseen(c.world, len(candidates))
+	if c.sim.site.Zones > 0 && !owner && !p.clairvoyant {
+		query.UnreportedWork = c.sim.arrivals[c.box].unreported(c.sim, len(candidates))
 	}
-	at := p.pick(c, query, candidates)
+	at := p.selectRunner(c, query, candidates)
 	if at < 0 {
 		return nil
 	}
@@ -113,15 +115,15 @@
 }
 
 // describeWhole writes down a runner as it is.
-func (c *call) describeWhole(r *runner) placing.Candidate {
-	candidate := c.describe(r, false)
+func (c *call) exactCandidate(r *runner) placing.Candidate {
+	candidate := c.candidateFor(r, false)
 	var all boxWork
 	for _, work := range r.work {
 		all.add(work)
 	}
 	candidate.InFlight, candidate.PendingTokens, candidate.HeldTokens = all.calls, all.pending, all.held
-	if c.world.read[c.partOf(r.weights)] {
-		candidate.PrefillTokens = int(c.own)
+	if c.sim.prefilled[c.keyFor(r.weights)] {
+		candidate.PrefillTokens = int(c.ownTokens)
 	}
 	return candidate
 }
@@ -144,9 +146,9 @@
 		return leastInFlight(c, query, candidates)
 	}
 	best, bestScore := -1, 0.0
-	for i, r := range c.world.runners {
+	for i, r := range c.sim.runners {
 		at := slices.IndexFunc(candidates, func(candidate placing.Candidate) bool { return candidate.Name == r.name })
-		if score := share(c.partOf(firstWeights), i); at >= 0 && (best < 0 || score > bestScore) {
+		if score := rendezvousScore(c.keyFor(firstWeights), i); at >= 0 && (best < 0 || score > bestScore) {
 			best, bestScore = at, score
 		}
 	}
--- a/internal/sitebench/result.go
+++ b/internal/sitebench/result.go
@@ -23,13 +23,13 @@
 	// event in milliseconds, by class.
 	P50, P99 []float64
 
-	owed, earned      float64
-	calls, answers    int
-	refused, tooLate  int
-	lateAnswers       int
-	lateFetches       int
-	again, sharedRead float64
-	times             [][]float64
+	offeredWorth, earnedWorth   float64
+	calls, answers              int
+	refused, abandoned          int
+	lateAnswers                 int
+	lateFetches                 int
+	recomputed, sharedPrefilled float64
+	times                       [][]float64
 }
 
 // add notes how long a call waited for its first event.
@@ -41,39 +41,39 @@
 }
 
 // finish makes the shares and quantiles of what was counted.
-func (r *Result) finish(w *world) {
+func (r *Result) finish(sim *simulation) {
 	const thousand, million = 1000, 1e6
-	r.Earned = r.earned / r.owed
-	r.RecomputeCost = r.again / thousand * w.site.RecomputePrice / r.owed
+	r.Earned = r.earnedWorth / r.offeredWorth
+	r.RecomputeCost = r.recomputed / thousand * sim.site.RecomputePrice / r.offeredWorth
 	r.Worth = r.Earned - r.RecomputeCost
-	r.Late, r.Refused = float64(r.lateAnswers)/float64(r.calls), float64(r.refused+r.tooLate)/float64(r.calls)
-	r.RecomputedTokens, r.SharedTokens, r.LateFetches = r.again/million, r.sharedRead/million, float64(r.lateFetches)
-	for _, runner := range w.runners {
-		if runner.weights < w.newest {
+	r.Late, r.Refused = float64(r.lateAnswers)/float64(r.calls), float64(r.refused+r.abandoned)/float64(r.calls)
+	r.RecomputedTokens, r.SharedTokens, r.LateFetches = r.recomputed/million, r.sharedPrefilled/million, float64(r.lateFetches)
+	for _, runner := range sim.runners {
+		if runner.weights < sim.newest {
 			r.OutdatedRunners++
 		}
 	}
 	for _, times := range r.times {
 		r.answers += len(times)
 		slices.Sort(times)
-		r.P50 = append(r.P50, quantile(times, middlePart))
-		r.P99 = append(r.P99, quantile(times, slowPart))
+		r.P50 = append(r.P50, quantile(times, medianQuantile))
+		r.P99 = append(r.P99, quantile(times, p99Quantile))
 	}
 	r.times = nil
 }
 
 // The parts of the calls whose times to the first event are within P50 and within P99.
 const (
-	middlePart = 0.5
-	slowPart   = 0.99
+	medianQuantile = 0.5
+	p99Quantile    = 0.99
 )
 
 // quantile gives the value that the given part of the sorted values does not exceed.
-func quantile(sorted []float64, part float64) float64 {
+func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
 // figure is one number of a result that experiments show.
--- a/internal/sitebench/runner.go
+++ b/internal/sitebench/runner.go
@@ -10,39 +10,39 @@
 
 // runner is one model runner.
 type runner struct {
-	world *world
-	name  string
+	sim  *simulation
+	name string
 	// owner is the box that the headroom of the memory belongs to.
 	owner int
 
 	weights int
 	// out says that boxes send nothing: it is about to load, or loads.
-	out bool
+	draining bool
 	// dark says that the runner does nothing, missed that boxes have noticed it.
-	dark, missed bool
+	hung, hangDetected bool
 	// drained is called when the last run ends; nil while nobody waits for that.
-	drained func()
+	onDrained func()
 
-	reading        bool
-	urgent, others []*job
+	prefilling     bool
+	urgent, normal []*job
 	running        int
 	// runs are the prompts that are read or answered.
-	runs []*job
+	active []*job
 	// held is the memory of runs, kept that of parts, the last used last.
-	held float64
-	kept []keptPart
+	activeTokens float64
+	cached       []cachedContext
 
 	// work is what each box has here now, and told what it last told the others.
-	work, told []boxWork
+	work, reported []boxWork
 	// toldByAll is the sum of told.
-	toldByAll boxWork
+	reportedTotal boxWork
 	// granted is what the owner of the runner gave places to since boxes last told.
-	granted boxWork
+	reserved boxWork
 }
 
 // keptPart is a part in a runner's memory.
-type keptPart struct {
-	part   part
+type cachedContext struct {
+	key    contextKey
 	tokens float64
 }
 
@@ -50,155 +50,155 @@
 type job struct {
 	call *call
 	// shared says that the shared part is to be read unless the runner keeps it.
-	shared bool
+	prefillShared bool
 	// saveTo keeps the shared part when it has been read.
 	saveTo *store
 	// handed is when the runner got it, endsAt when its answer ends if no other prompt is
 	// read meanwhile. Lost ones are on a runner that went dark.
-	handed, endsAt float64
-	answered, lost bool
+	queuedAt, finishAt float64
+	streaming, lost    bool
 }
 
-func newRunner(w *world, number int) *runner {
+func newRunner(sim *simulation, number int) *runner {
 	return &runner{
-		world: w, name: fmt.Sprint("runner-", number), owner: number % w.site.Boxes, weights: firstWeights,
-		work: make([]boxWork, w.site.Boxes), told: make([]boxWork, w.site.Boxes),
+		sim: sim, name: fmt.Sprint("runner-", number), owner: number % sim.site.Boxes, weights: firstWeights,
+		work: make([]boxWork, sim.site.Boxes), reported: make([]boxWork, sim.site.Boxes),
 	}
 }
 
 // tell lets other boxes know what each box has here now.
-func (r *runner) tell() {
-	r.granted = boxWork{}
-	r.toldByAll = boxWork{}
+func (r *runner) report() {
+	r.reserved = boxWork{}
+	r.reportedTotal = boxWork{}
 	for box, work := range r.work {
-		r.told[box] = work
-		r.toldByAll.add(work)
+		r.reported[box] = work
+		r.reportedTotal.add(work)
 	}
 }
 
 // seenBy gives the work here as a box knows it: its own as it is, that of others as told.
-func (r *runner) seenBy(box int) boxWork {
-	seen := r.toldByAll
-	seen.sub(r.told[box])
+func (r *runner) knownTo(box int) boxWork {
+	seen := r.reportedTotal
+	seen.sub(r.reported[box])
 	seen.add(r.work[box])
 	return seen
 }
 
 // take takes a prompt in.
-func (r *runner) take(j *job) {
-	j.handed = r.world.now
-	if r.dark {
-		r.lose(j)
+func (r *runner) enqueue(j *job) {
+	j.queuedAt = r.sim.now
+	if r.hung {
+		r.reroute(j)
 		return
 	}
-	if r.world.site.Classes[j.call.class].Urgent {
+	if r.sim.site.Classes[j.call.class].Urgent {
 		r.urgent = append(r.urgent, j)
 	} else {
-		r.others = append(r.others, j)
+		r.normal = append(r.normal, j)
 	}
-	r.readNext()
+	r.prefillNext()
 }
 
 // readNext begins to read the next prompt, if there are a slot and memory for it.
-func (r *runner) readNext() {
+func (r *runner) prefillNext() {
 	queue := &r.urgent
 	if len(*queue) == 0 {
-		queue = &r.others
+		queue = &r.normal
 	}
-	if r.reading || len(*queue) == 0 || r.running >= r.world.site.Slots {
+	if r.prefilling || len(*queue) == 0 || r.running >= r.sim.site.Slots {
 		return
 	}
 	j := (*queue)[0]
-	if r.running > 0 && r.held+j.call.tokens() > r.world.site.MemoryTokens {
+	if r.running > 0 && r.activeTokens+j.call.tokens() > r.sim.site.MemoryTokens {
 		return
 	}
 	*queue = (*queue)[1:]
-	r.reading = true
+	r.prefilling = true
 	r.running++
-	r.runs = append(r.runs, j)
-	r.held += j.call.tokens()
-	r.makeRoom()
-	if r.world.site.Interleaved && !j.shared && r.world.now-j.handed > fetchMillis {
-		j.shared = true // it waited for so long that what was fetched was thrown away
-		r.world.result.lateFetches++
-	}
-	tokens := j.call.own
-	if j.shared && !r.uses(j.call.partOf(r.weights)) {
-		tokens += j.call.shared()
+	r.active = append(r.active, j)
+	r.activeTokens += j.call.tokens()
+	r.evict()
+	if r.sim.site.Interleaved && !j.prefillShared && r.sim.now-j.queuedAt > fetchMillis {
+		j.prefillShared = true // it waited for so long that what was fetched was thrown away
+		r.sim.result.lateFetches++
+	}
+	tokens := j.call.ownTokens
+	if j.prefillShared && !r.touch(j.call.keyFor(r.weights)) {
+		tokens += j.call.sharedTokens()
 	} else {
-		j.shared = false
+		j.prefillShared = false
 	}
-	reading := tokens / r.world.site.PrefillRate
-	if r.world.site.Interleaved {
-		for _, other := range r.runs {
-			other.endsAt += reading
+	reading := tokens / r.sim.site.PrefillRate
+	if r.sim.site.Interleaved {
+		for _, other := range r.active {
+			other.finishAt += reading
 		}
 	}
-	r.world.after(reading+r.stepMillis(), func() { r.wasRead(j) })
+	r.sim.schedule(reading+r.stepMillis(), func() { r.prefillDone(j) })
 }
 
 // stepMillis is how long a step of the batch takes now.
 func (r *runner) stepMillis() float64 {
-	return r.world.site.StepMillis + r.world.site.StepMillisPerRun*float64(r.running)
+	return r.sim.site.StepMillis + r.sim.site.StepMillisPerRun*float64(r.running)
 }
 
 // wasRead ends the reading of a prompt: its answer begins.
-func (r *runner) wasRead(j *job) {
+func (r *runner) prefillDone(j *job) {
 	if j.lost {
 		return
 	}
-	w := r.world
-	r.reading = false
-	p := j.call.partOf(r.weights)
-	if j.shared {
-		if w.read[p] {
-			w.result.again += j.call.shared()
+	sim := r.sim
+	r.prefilling = false
+	p := j.call.keyFor(r.weights)
+	if j.prefillShared {
+		if sim.prefilled[p] {
+			sim.result.recomputed += j.call.sharedTokens()
 		}
-		w.read[p] = true
-		w.result.sharedRead += j.call.shared()
+		sim.prefilled[p] = true
+		sim.result.sharedPrefilled += j.call.sharedTokens()
 		if j.saveTo != nil {
-			j.saveTo.save(w, p, j.call.shared())
+			j.saveTo.save(sim, p, j.call.sharedTokens())
 		}
 	}
-	r.keep(p, j.call.shared())
-	j.answered = true
-	j.call.answered(r)
-	j.endsAt = w.now + j.call.steps*r.stepMillis()
-	w.after(j.call.steps*r.stepMillis(), func() { r.ended(j) })
-	r.readNext()
+	r.cache(p, j.call.sharedTokens())
+	j.streaming = true
+	j.call.firstEvent(r)
+	j.finishAt = sim.now + j.call.steps*r.stepMillis()
+	sim.schedule(j.call.steps*r.stepMillis(), func() { r.finish(j) })
+	r.prefillNext()
 }
 
 // ended ends a run.
-func (r *runner) ended(j *job) {
+func (r *runner) finish(j *job) {
 	if j.lost {
 		return
 	}
-	if left := j.endsAt - r.world.now; left > 0 {
-		r.world.after(left, func() { r.ended(j) })
+	if left := j.finishAt - r.sim.now; left > 0 {
+		r.sim.schedule(left, func() { r.finish(j) })
 		return
 	}
 	r.running--
-	r.runs = slices.DeleteFunc(r.runs, func(run *job) bool { return run == j })
-	r.held -= j.call.tokens()
+	r.active = slices.DeleteFunc(r.active, func(run *job) bool { return run == j })
+	r.activeTokens -= j.call.tokens()
 	r.work[j.call.box].sub(boxWork{1, 0, int(j.call.tokens())})
-	r.readNext()
-	r.tellDrained()
+	r.prefillNext()
+	r.notifyDrained()
 }
 
 // tellDrained tells who waits for the end of the last run, if that was it.
-func (r *runner) tellDrained() {
-	if r.drained != nil && r.running == 0 && len(r.urgent)+len(r.others) == 0 {
-		drained := r.drained
-		r.drained = nil
+func (r *runner) notifyDrained() {
+	if r.onDrained != nil && r.running == 0 && len(r.urgent)+len(r.normal) == 0 {
+		drained := r.onDrained
+		r.onDrained = nil
 		drained()
 	}
 }
 
 // uses reports whether a part is kept here, which is then the last used.
-func (r *runner) uses(p part) bool {
-	for i, kept := range r.kept {
-		if kept.part == p {
-			r.kept = append(append(r.kept[:i:i], r.kept[i+1:]...), kept)
+func (r *runner) touch(p contextKey) bool {
+	for i, kept := range r.cached {
+		if kept.key == p {
+			r.cached = append(append(r.cached[:i:i], r.cached[i+1:]...), kept)
 			return true
 		}
 	}
@@ -206,22 +206,22 @@
 }
 
 // keep keeps a part that was read or fetched.
-func (r *runner) keep(p part, tokens float64) {
-	if !r.uses(p) {
-		r.kept = append(r.kept, keptPart{p, tokens})
+func (r *runner) cache(p contextKey, tokens float64) {
+	if !r.touch(p) {
+		r.cached = append(r.cached, cachedContext{p, tokens})
 	}
-	r.makeRoom()
+	r.evict()
 }
 
 // makeRoom drops the parts unused for longest.
-func (r *runner) makeRoom() {
-	total := r.held
-	for _, kept := range r.kept {
+func (r *runner) evict() {
+	total := r.activeTokens
+	for _, kept := range r.cached {
 		total += kept.tokens
 	}
-	for len(r.kept) > 0 && total > r.world.site.MemoryTokens {
-		total -= r.kept[0].tokens
-		r.kept = r.kept[1:]
+	for len(r.cached) > 0 && total > r.sim.site.MemoryTokens {
+		total -= r.cached[0].tokens
+		r.cached = r.cached[1:]
 	}
 }
 
--- a/internal/sitebench/day.go
+++ b/internal/sitebench/scenario.go
@@ -28,9 +28,9 @@
 }
 
 // loadAt is how many times the calls of the site come at a moment, in milliseconds.
-func (d Scenario) loadAt(millis float64) float64 {
-	load := d.Load
-	for _, surge := range d.Surges {
+func (s Scenario) loadAt(millis float64) float64 {
+	load := s.Load
+	for _, surge := range s.Surges {
 		if second := millis / millisPerSecond; second >= surge.From && second < surge.Until {
 			load *= surge.Factor
 		}
@@ -39,9 +39,9 @@
 }
 
 // mostLoad bounds loadAt.
-func (d Scenario) mostLoad() float64 {
-	most := d.Load
-	for _, surge := range d.Surges {
+func (s Scenario) maxLoad() float64 {
+	most := s.Load
+	for _, surge := range s.Surges {
 		most *= max(1, surge.Factor)
 	}
 	return most
--- a/internal/sitebench/short_test.go
+++ b/internal/sitebench/short_test.go
@@ -14,7 +14,7 @@
 //	late short prompts: expected 37, first_event 802, placed_by this_box
 //
 // A box asks the owner when more work may have come to a runner unseen than a question costs.
-func TestShortPromptsDoNotWaitBehindLongOnesThatTheirBoxesDoNotKnow(t *testing.T) {
+func TestShortPromptsDoNotQueueBehindUnreportedLongOnes(t *testing.T) {
 	for seed := range uint64(3) {
 		g := NewWithT(t)
 		result := Simulate(Large(), Scenarios()[1], InUse(), seed)
--- a/internal/sitebench/site.go
+++ b/internal/sitebench/site.go
@@ -21,7 +21,7 @@
 	Mean, Deviation, Max float64
 }
 
-func (s Distribution) draw(random *rand.Rand) float64 {
+func (s Distribution) sample(random *rand.Rand) float64 {
 	shift := math.Log(s.Mean) - s.Deviation*s.Deviation/2
 	return max(1, min(s.Max, math.Exp(shift+s.Deviation*random.NormFloat64())))
 }
--- a/internal/sitebench/sitebench_test.go
+++ b/internal/sitebench/sitebench_test.go
@@ -9,7 +9,7 @@
 )
 
 // short gives the sites with shorter days, for tests.
-func short() []Site {
+func shortSites() []Site {
 	sites := Sites()
 	for i := range sites {
 		sites[i].Seconds = 28
@@ -18,15 +18,15 @@
 }
 
 // The seeds decide all figures, so each verdict below is the same on every machine.
-func TestThePolicyInUseIsTheBestOfTheRealOnes(t *testing.T) {
-	for _, site := range short() {
-		for _, day := range Scenarios() {
+func TestPolicyInUseBeatsOtherFeasiblePolicies(t *testing.T) {
+	for _, site := range shortSites() {
+		for _, scenario := range Scenarios() {
 			g := NewWithT(t)
 			worth := map[string]float64{}
-			for _, row := range compare(site, day, "load", day.Load, 1) {
+			for _, row := range compare(site, scenario, "load", scenario.Load, 1) {
 				worth[row.Policy] = row.Figures["worth"]
 			}
-			t.Logf("%s, %s: %v", site.Name, day.Name, worth)
+			t.Logf("%s, %s: %v", site.Name, scenario.Name, worth)
 			inUse := worth[InUse().Name]
 			// A policy that asks for nothing but the home does as well where one is enough.
 			g.Expect(inUse).To(BeNumerically(">=", worth["rendezvous"]-0.01))
@@ -37,54 +37,54 @@
 	}
 }
 
-func TestTheSameSeedGivesTheSameResult(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	g := NewWithT(t)
-	site, day := short()[0], Scenarios()[2]
-	g.Expect(Simulate(site, day, InUse(), 5)).To(Equal(Simulate(site, day, InUse(), 5)))
-	g.Expect(Simulate(site, day, InUse(), 6)).NotTo(Equal(Simulate(site, day, InUse(), 5)))
+	site, scenario := shortSites()[0], Scenarios()[2]
+	g.Expect(Simulate(site, scenario, InUse(), 5)).To(Equal(Simulate(site, scenario, InUse(), 5)))
+	g.Expect(Simulate(site, scenario, InUse(), 6)).NotTo(Equal(Simulate(site, scenario, InUse(), 5)))
 }
 
-func TestEachCallEndsOnceAndAllRunnersChangeWeights(t *testing.T) {
-	for _, site := range short()[:1] {
-		for _, day := range Scenarios() {
+func TestEachCallEndsOnceAndAllRunnersLoadNewWeights(t *testing.T) {
+	for _, site := range shortSites()[:1] {
+		for _, scenario := range Scenarios() {
 			for _, policy := range []Policy{InUse(), Clairvoyant()} {
 				g := NewWithT(t)
-				day.Load = 1.5 // so that some are refused
-				result := Simulate(site, day, policy, 1)
-				g.Expect(result.answers+result.refused).To(Equal(result.calls), "%s, %s, %s", site.Name, day.Name, policy.Name)
+				scenario.Load = 1.5 // so that some are refused
+				result := Simulate(site, scenario, policy, 1)
+				g.Expect(result.answers+result.refused).To(Equal(result.calls), "%s, %s, %s", site.Name, scenario.Name, policy.Name)
 				g.Expect(result.OutdatedRunners).To(BeZero())
 			}
 		}
 	}
 }
 
-func TestStoreBoxesSaveReadingAgain(t *testing.T) {
-	for _, site := range short()[:1] {
+func TestStoreBoxesReduceRecomputation(t *testing.T) {
+	for _, site := range shortSites()[:1] {
 		g := NewWithT(t)
-		day := Scenarios()[0]
+		scenario := Scenarios()[0]
 		before := -1.0
 		for _, room := range []float64{2, 0.5, 0.25, 0} {
-			day.StoreCapacity = room
-			again := Simulate(site, day, InUse(), 1).RecomputedTokens
+			scenario.StoreCapacity = room
+			again := Simulate(site, scenario, InUse(), 1).RecomputedTokens
 			g.Expect(again).To(BeNumerically(">", before), "room %v", room)
 			before = again
 		}
 	}
 }
 
-func TestNewWeightsAndSlowLinksCostWorth(t *testing.T) {
-	for _, site := range short() {
+func TestNewWeightsAndSlowLinksReduceWorth(t *testing.T) {
+	for _, site := range shortSites() {
 		g := NewWithT(t)
-		days := Scenarios()
-		calm, quiet := Simulate(site, days[0], InUse(), 1), Simulate(site, days[2], InUse(), 1)
+		scenarios := Scenarios()
+		calm, quiet := Simulate(site, scenarios[0], InUse(), 1), Simulate(site, scenarios[2], InUse(), 1)
 		g.Expect(quiet.Worth).To(BeNumerically("<", calm.Worth-0.01))
-		slow := days[2]
+		slow := scenarios[2]
 		slow.SlowFactor = 10
 		g.Expect(Simulate(site, slow, InUse(), 1).LateFetches).To(BeNumerically(">", quiet.LateFetches))
 	}
 }
 
-func TestAPlotIsWritten(t *testing.T) {
+func TestPlotIsWritten(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "plot.svg")
 	rows := []Row{}
--- a/internal/worth/ablation.go
+++ b/internal/worth/ablation.go
@@ -11,23 +11,25 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// everything is the folder of the days that were played with all mechanisms on.
-const everything = "none"
+// baselineFolder holds the reports of the days that ran with all mechanisms on.
+const baselineFolder = "none"
 
-// spreadOf is the worth of some days: the mean, the least and the most of single days.
-type spreadOf struct {
-	mean, least, most float64
-	days              int
+// gainStats is the gain in worth over several days: the mean, and the smallest and the largest
+// gain of a single day.
+type gainStats struct {
+	mean, smallest, largest float64
+	days                    int
 }
 
-// PrintAblation prints what mechanisms are worth: the folder has one for each that was
-// switched off, and "none", and in it one for each site, with reports of days.
+// PrintAblation prints how much worth each mechanism adds. The folder has one subfolder for each
+// mechanism that was switched off and one named "none" for the runs with all mechanisms on. Each
+// of these has one subfolder per site, which holds the reports of its days.
 func PrintAblation(out io.Writer, folder string) error {
 	offs, err := subfolders(folder)
 	if err != nil {
 		return err
 	}
-	sites, err := subfolders(filepath.Join(folder, everything))
+	sites, err := subfolders(filepath.Join(folder, baselineFolder))
 	if err != nil {
 		return err
 	}
@@ -52,39 +54,41 @@
 	return table.Flush()
 }
 
-// ablationRow compares the days without one mechanism with those with all, by site. BY DAY
-// tells the least and the most that a single day gained by the mechanism.
+// ablationRow compares the days without one mechanism with those with all mechanisms, for each
+// site. The column BY DAY is the smallest and the largest gain that the mechanism brought on a
+// single day.
 func ablationRow(folder, off string, sites []string) (string, error) {
 	row := off
 	for _, site := range sites {
-		with, err := worths(filepath.Join(folder, everything, site))
+		with, err := readWorths(filepath.Join(folder, baselineFolder, site))
 		if err != nil {
 			return "", err
 		}
-		without, err := worths(filepath.Join(folder, off, site))
+		without, err := readWorths(filepath.Join(folder, off, site))
 		if err != nil {
 			return "", err
 		}
-		gains := spread(with, without)
-		row += fmt.Sprintf("\t%.3f\t%+.3f\t%+.3f to %+.3f", mean(without), gains.mean, gains.least, gains.most)
+		gains := gainsOf(with, without)
+		row += fmt.Sprintf("\t%.3f\t%+.3f\t%+.3f to %+.3f", mean(without), gains.mean, gains.smallest, gains.largest)
 	}
 	return row, nil
 }
 
-// spread gives what days that were played in both ways gained.
-func spread(with, without map[string]float64) spreadOf {
-	var gains spreadOf
-	for day, worth := range with {
+// gainsOf returns how much more worth each day has in baseline than in without. It ignores days that
+// are missing from either.
+func gainsOf(baseline, without map[string]float64) gainStats {
+	var gains gainStats
+	for day, worth := range baseline {
 		other, played := without[day]
 		if !played {
 			continue
 		}
 		gain := worth - other
-		if gains.days == 0 || gain < gains.least {
-			gains.least = gain
+		if gains.days == 0 || gain < gains.smallest {
+			gains.smallest = gain
 		}
-		if gains.days == 0 || gain > gains.most {
-			gains.most = gain
+		if gains.days == 0 || gain > gains.largest {
+			gains.largest = gain
 		}
 		gains.days++
 		gains.mean += gain
@@ -101,8 +105,8 @@
 	return sum / float64(max(len(worths), 1))
 }
 
-// worths reads the worth of each day in a folder, by the name of its report.
-func worths(folder string) (map[string]float64, error) {
+// readWorths reads the worth of each day in a folder, keyed by the file name of its report.
+func readWorths(folder string) (map[string]float64, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
 		return nil, merry.Prepend(err, "list reports")
--- a/internal/worth/causes.go
+++ b/internal/worth/causes.go
@@ -13,44 +13,44 @@
 	"github.com/cometlock/cometlock/internal/explain"
 )
 
-// Causes of calls that were not served in time, as far as their boxes' lines tell.
+// Causes of calls that were not served in time, as far as the log lines of their boxes show them.
 const (
-	causeRefused   = "refused"
-	causeNoAnswer  = "no answer, or a failure"
-	causeWaited    = "waited for room at its box"
-	causeForeseen  = "placed though late was expected"
-	causeFetch     = "first event later than expected, with a fetch"
-	causeRunner    = "first event later than expected, without a fetch"
-	causeInTime    = "in time"
-	causeGone      = "the caller left"
-	waitedLong     = 0.1
-	overdueLeast   = 0.25
-	secondsOfTable = 4
+	causeRefused       = "refused"
+	causeNoAnswer      = "no answer, or a failure"
+	causeQueued        = "waited for room at its box"
+	causePredictedLate = "placed though late was expected"
+	causeFetch         = "first event later than expected, with a fetch"
+	causeRunner        = "first event later than expected, without a fetch"
+	causeInTime        = "in time"
+	causeCallerLeft    = "the caller left"
+	longWaitShare      = 0.1
+	lateByShare        = 0.25
+	windowSeconds      = 4
 )
 
-// Causes counts the calls with prompts in boxes' log lines by why they were not in time,
-// and by the seconds in which they came.
+// Causes counts the calls with prompts in the logs of entry boxes, by the cause of their delay or
+// failure and by the time window in which they arrived.
 type Causes struct {
 	first   time.Time
 	counts  map[string]map[int]int
 	windows int
 }
 
-// NewCauses makes a count of nothing.
+// NewCauses returns an empty count.
 func NewCauses() *Causes { return &Causes{counts: map[string]map[int]int{}} }
 
-// Read takes in the lines of a log.
-func (c *Causes) Read(source io.Reader) error { return explain.Calls(source, c.take) }
+// Read counts the calls in a log.
+func (c *Causes) Read(source io.Reader) error { return explain.Calls(source, c.count) }
 
-// take takes in the line that ended a call.
-func (c *Causes) take(call explain.Call) {
+// count counts the call of one log line. Calls without an objective or a prompt are ignored.
+func (c *Causes) count(call explain.Call) {
 	if call.Objective == 0 || call.PromptTokens == 0 {
 		return
 	}
 	if c.first.IsZero() || call.Time.Before(c.first) {
 		c.first = call.Time
 	}
-	window := int(call.Time.Sub(c.first)/time.Second) / secondsOfTable
+	window := int(call.Time.Sub(c.first)/time.Second) / windowSeconds
 	c.windows = max(c.windows, window+1)
 	cause := causeOf(call)
 	if c.counts[cause] == nil {
@@ -59,34 +59,34 @@
 	c.counts[cause][window]++
 }
 
-// causeOf says why a call was late or not served.
+// causeOf classifies a call by the cause of its delay or failure.
 func causeOf(call explain.Call) string {
 	switch {
 	case call.Outcome == "refused":
 		return causeRefused + ": " + call.Reason
 	case call.Outcome == "gone":
-		return causeGone
+		return causeCallerLeft
 	case call.FirstEvent == 0:
 		return causeNoAnswer
 	case call.FirstEvent <= call.Objective:
 		return causeInTime
-	case call.Waited > waitedLong*call.Objective:
-		return causeWaited
+	case call.Waited > longWaitShare*call.Objective:
+		return causeQueued
 	case call.Waited+call.Expected > call.Objective:
-		return causeForeseen
-	case call.FetchedFrom != "" && call.FirstEvent-call.Waited-call.Expected > overdueLeast*call.Objective:
+		return causePredictedLate
+	case call.FetchedFrom != "" && call.FirstEvent-call.Waited-call.Expected > lateByShare*call.Objective:
 		return causeFetch
 	default:
 		return causeRunner
 	}
 }
 
-// Print prints a table of causes by time.
+// Print prints a table of the causes by time window.
 func (c *Causes) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.AlignRight)
 	var head strings.Builder
 	for window := range c.windows {
-		fmt.Fprintf(&head, "%d s\t", window*secondsOfTable)
+		fmt.Fprintf(&head, "%d s\t", window*windowSeconds)
 	}
 	if _, err := fmt.Fprintln(table, "CALLS WITH PROMPTS\tALL\t"+head.String()); err != nil {
 		return err
--- a/internal/worth/journal_test.go
+++ b/internal/worth/journal_test.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/worth"
 )
 
-func TestTheJournalIsListedByReason(t *testing.T) {
+func TestJournalIsListedByReason(t *testing.T) {
 	g := NewWithT(t)
 	folder := t.TempDir()
 	for name, text := range map[string]string{
--- a/internal/worth/report.go
+++ b/internal/worth/report.go
@@ -1,7 +1,7 @@
-// Package worth says where the worth of days was lost: by kind of call, by moment, by price
-// and, from the logs of the entry boxes, by cause. It reads the reports that the users'
-// bench writes of a day and the boxes' own log lines, so that each figure in docs/ about
-// what binds can be made anew by one command.
+// Package worth reports where the days of the users' bench lost worth: by class of call, by time,
+// by price and, from the logs of the entry boxes, by cause. A day is one run of that bench. The
+// package reads the report that the bench writes for each day and the log lines of the boxes, so
+// that one command reproduces each figure in docs/ on the limiting factors.
 package worth
 
 import (
@@ -17,18 +17,18 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Report is what a report of a day says, as far as it is used here.
+// Report holds the fields of a day's report that are used here.
 type Report struct {
-	Worth   float64  `json:"G"`
-	Parts   []amount `json:"parts"`
-	Prices  []amount `json:"prices"`
-	Classes []group  `json:"classes"`
-	Zones   []group  `json:"zones"`
-	Windows []group  `json:"windows"`
+	Worth   float64       `json:"G"`
+	Parts   []weightedRow `json:"parts"`
+	Prices  []weightedRow `json:"prices"`
+	Classes []callGroup   `json:"classes"`
+	Zones   []callGroup   `json:"zones"`
+	Windows []callGroup   `json:"windows"`
 }
 
-// group is a group of calls: a kind, a zone, or those first sent in some seconds.
-type group struct {
+// callGroup is a group of calls: those of a class, of a zone, or first sent within a time window.
+type callGroup struct {
 	Name    string  `json:"name"`
 	Calls   int     `json:"n"`
 	InTime  int     `json:"in_aim"`
@@ -40,23 +40,24 @@
 	P99     float64 `json:"p99_ms"`
 }
 
-// amount is a row of a name, a quantity or weight, and what it adds or takes.
-type amount struct {
+// weightedRow is a row of a report: a name, a quantity or weight, and the worth that it adds or
+// costs.
+type weightedRow struct {
 	name     string
 	quantity float64
 	worth    float64
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (a *amount) UnmarshalJSON(raw []byte) error {
+func (a *weightedRow) UnmarshalJSON(raw []byte) error {
 	row := []any{&a.name, &a.quantity, &a.worth}
 	return json.Unmarshal(raw, &row)
 }
 
-// leastShown is the least price that has a row, in worth.
-const leastShown = 0.0005
+// minPriceShown is the smallest price, in worth, that gets a row in the table.
+const minPriceShown = 0.0005
 
-// ReadReport reads the report of a day from a file.
+// ReadReport reads a day's report from a file.
 func ReadReport(path string) (Report, error) {
 	var report Report
 	source, err := os.ReadFile(path)
@@ -69,42 +70,43 @@
 	return report, nil
 }
 
-// Print prints where the worth of days was lost, as means over their reports.
+// Print prints where the days lost worth, as means over their reports.
 func Print(out io.Writer, reports []Report) error {
 	if len(reports) == 0 {
 		return nil
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	worths := collect(reports, func(r Report) []amount { return []amount{{name: "worth", worth: r.Worth}} })
+	worths := meanRows(reports, func(r Report) []weightedRow { return []weightedRow{{name: "worth", worth: r.Worth}} })
 	rows := []string{fmt.Sprintf("%d days, mean worth %.3f", len(reports), worths[0].worth), "\nPART\tWEIGHT\tSHARE\t"}
-	for _, part := range collect(reports, func(r Report) []amount { return r.Parts }) {
+	for _, part := range meanRows(reports, func(r Report) []weightedRow { return r.Parts }) {
 		rows = append(rows, fmt.Sprintf("%s\t%.2f\t%.3f\t", part.name, part.quantity, part.worth))
 	}
 	rows = append(rows, "\nPRICE\tQUANTITY\tWORTH\t")
-	prices := collect(reports, func(r Report) []amount { return r.Prices })
-	slices.SortStableFunc(prices, func(a, b amount) int { return cmp.Compare(b.worth, a.worth) })
+	prices := meanRows(reports, func(r Report) []weightedRow { return r.Prices })
+	slices.SortStableFunc(prices, func(a, b weightedRow) int { return cmp.Compare(b.worth, a.worth) })
 	for _, price := range prices {
-		if price.worth >= leastShown {
+		if price.worth >= minPriceShown {
 			rows = append(rows, fmt.Sprintf("%s\t%.1f\t%.4f\t", price.name, price.quantity, price.worth))
 		}
 	}
-	rows = append(rows, groupRows("KIND", reports, func(r Report) []group { return r.Classes })...)
-	rows = append(rows, groupRows("ZONE", reports, func(r Report) []group { return r.Zones })...)
-	rows = append(rows, groupRows("FROM SECOND", reports, func(r Report) []group { return r.Windows })...)
+	rows = append(rows, groupRows("KIND", reports, func(r Report) []callGroup { return r.Classes })...)
+	rows = append(rows, groupRows("ZONE", reports, func(r Report) []callGroup { return r.Zones })...)
+	rows = append(rows, groupRows("FROM SECOND", reports, func(r Report) []callGroup { return r.Windows })...)
 	if _, err := fmt.Fprintln(table, strings.Join(rows, "\n")); err != nil {
 		return err
 	}
 	return table.Flush()
 }
 
-// collect gives the means of rows with the same name, in the order of the first report.
-func collect(reports []Report, rows func(Report) []amount) []amount {
-	var means []amount
+// meanRows returns the means of the rows with the same name, in the order in which the names first
+// occur.
+func meanRows(reports []Report, rows func(Report) []weightedRow) []weightedRow {
+	var means []weightedRow
 	for _, report := range reports {
 		for _, row := range rows(report) {
-			at := slices.IndexFunc(means, func(m amount) bool { return m.name == row.name })
+			at := slices.IndexFunc(means, func(m weightedRow) bool { return m.name == row.name })
 			if at < 0 {
-				at, means = len(means), append(means, amount{name: row.name})
+				at, means = len(means), append(means, weightedRow{name: row.name})
 			}
 			means[at].quantity += row.quantity / float64(len(reports))
 			means[at].worth += row.worth / float64(len(reports))
@@ -113,14 +115,14 @@
 	return means
 }
 
-// groupRows gives the rows of a table of groups, summed over reports.
-func groupRows(title string, reports []Report, groups func(Report) []group) []string {
-	var sums []group
+// groupRows returns the rows of a table of call groups, summed over the reports.
+func groupRows(title string, reports []Report, groups func(Report) []callGroup) []string {
+	var sums []callGroup
 	for _, report := range reports {
 		for _, one := range groups(report) {
-			at := slices.IndexFunc(sums, func(s group) bool { return s.Name == one.Name })
+			at := slices.IndexFunc(sums, func(s callGroup) bool { return s.Name == one.Name })
 			if at < 0 {
-				at, sums = len(sums), append(sums, group{Name: one.Name})
+				at, sums = len(sums), append(sums, callGroup{Name: one.Name})
 			}
 			sums[at].add(one)
 		}
@@ -134,14 +136,14 @@
 	return rows
 }
 
-// add adds a group; shares and times count by the number of calls.
-func (g *group) add(one group) {
-	g.Calls += one.Calls
-	g.InTime += one.InTime
-	g.Late += one.Late
-	g.Refused += one.Refused
-	g.Failed += one.Failed
-	g.Worth += one.Worth * float64(one.Calls)
-	g.P50 += one.P50 * float64(one.Calls)
-	g.P99 += one.P99 * float64(one.Calls)
+// add adds another group. Worth and latencies are weighted by the number of calls.
+func (g *callGroup) add(other callGroup) {
+	g.Calls += other.Calls
+	g.InTime += other.InTime
+	g.Late += other.Late
+	g.Refused += other.Refused
+	g.Failed += other.Failed
+	g.Worth += other.Worth * float64(other.Calls)
+	g.P50 += other.P50 * float64(other.Calls)
+	g.P99 += other.P99 * float64(other.Calls)
 }
--- a/internal/worth/worth_test.go
+++ b/internal/worth/worth_test.go
@@ -11,14 +11,14 @@
 	"github.com/cometlock/cometlock/internal/worth"
 )
 
-// day is a report as the users' bench writes it, cut down to what is read.
-const day = `{"G": 0.5, "parts": [["whole day", 0.32, 0.9]], "prices": [["calls", 100.0, 0.02], ["small", 1.0, 0.0001]],
+// dayReport is a report as the users' bench writes it, reduced to the fields that are read.
+const dayReport = `{"G": 0.5, "parts": [["whole day", 0.32, 0.9]], "prices": [["calls", 100.0, 0.02], ["small", 1.0, 0.0001]],
 "classes": [{"name": "letters", "n": 10, "in_aim": 6, "late": 3, "refused": 1, "failed": 0, "worth": 0.7, "p50_ms": 100, "p99_ms": 900}], "zones": [], "windows": []}`
 
-func TestReportsAreTakenTogether(t *testing.T) {
+func TestReportsAreAveraged(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "day.json")
-	g.Expect(os.WriteFile(path, []byte(day), 0o600)).To(Succeed())
+	g.Expect(os.WriteFile(path, []byte(dayReport), 0o600)).To(Succeed())
 	one, err := worth.ReadReport(path)
 	g.Expect(err).NotTo(HaveOccurred())
 	other := one
@@ -27,7 +27,7 @@
 	g.Expect(worth.Print(&out, []worth.Report{one, other})).To(Succeed())
 	g.Expect(out.String()).To(ContainSubstring("2 days, mean worth 0.600"))
 	g.Expect(out.String()).To(MatchRegexp(`calls +100\.0 +0\.0200`))
-	g.Expect(out.String()).NotTo(ContainSubstring("small"), "too little to have a row")
+	g.Expect(out.String()).NotTo(ContainSubstring("small"), "prices below the threshold get no row")
 	g.Expect(out.String()).To(MatchRegexp(`letters +20 +12 +6 +2 +0 +0\.700`))
 }
 
@@ -39,8 +39,8 @@
 		{"in time", `"outcome":"served","first_event":900`, "in time"},
 		{"refused", `"outcome":"refused","reason":"no_server"`, "refused: no_server"},
 		{"no answer", `"outcome":"unknown"`, "no answer, or a failure"},
-		{"waited", `"outcome":"served","first_event":1100,"waited":240`, "waited for room at its box"},
-		{"foreseen", `"outcome":"served","first_event":1200,"expected":1100`, "placed though late was expected"},
+		{"queued", `"outcome":"served","first_event":1100,"waited":240`, "waited for room at its box"},
+		{"predicted late", `"outcome":"served","first_event":1200,"expected":1100`, "placed though late was expected"},
 		{"slow fetch", `"outcome":"served","first_event":1200,"expected":300,"fetched_from":"s"`, "first event later than expected, with a fetch"},
 		{"slow runner", `"outcome":"served","first_event":1200,"expected":300`, "first event later than expected, without a fetch"},
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAblationComparesTheSameDays(t *testing.T) {
+func TestAblationComparesEqualDays(t *testing.T) {
 	g := NewWithT(t)
 	folder := t.TempDir()
 	write := func(off, day string, worth string) {
