--- a/internal/sitebench/arrivals.go
+++ b/internal/sitebench/arrivals.go
@@ -1,13 +1,15 @@
-// What a box expects to have come to runners unseen, as in package fleet.
+// Estimate of the work that other boxes have sent to runners but not reported yet, as in package
+// fleet.
 
 package sitebench
 
 import "math"
 
-// arrivalsMillis is the time over which a box observes what it places.
+// arrivalDecayMillis is the time constant with which earlier work decays in the estimate.
 const arrivalDecayMillis = 2000.0
 
-// arrivals observes the work in milliseconds that a box places.
+// arrivalRate is an exponentially decaying sum of the work, in milliseconds, that a box has
+// placed.
 type arrivalRate struct{ work, at float64 }
 
 func (a *arrivalRate) record(now, work float64) {
@@ -15,7 +17,8 @@
 	a.at = now
 }
 
-// unseen estimates the work that came to each of some runners from all boxes since these told.
+// unreported estimates the work, in milliseconds, that all boxes have sent to each of the given
+// number of runners since the last load reports.
 func (a *arrivalRate) unreported(sim *simulation, runners int) float64 {
 	a.record(sim.now, 0)
 	return a.work / arrivalDecayMillis * float64(sim.site.Boxes) * sim.site.ReportMillis / float64(max(1, runners))
--- a/internal/sitebench/call.go
+++ b/internal/sitebench/call.go
@@ -1,5 +1,5 @@
-// One call: it is placed by a box, perhaps after a wait for room, its shared part is
-// fetched or read, and its answer is worth what the class says.
+// A call is placed by a box, possibly after waiting for a free runner. Its shared part is fetched
+// or prefilled, and the worth of its answer depends on its class and its latency.
 
 package sitebench
 
@@ -9,51 +9,52 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// What boxes do with a call here as in package gateway.
+// Constants of the boxes, with the same meaning as in package gateway.
 const (
-	// waitStep is the time in milliseconds between two looks for room.
+	// retryMillis is the time in milliseconds between two attempts to place a waiting call.
 	retryMillis = 10.0
-	// outdatedPart is the part of the aim that a call waits longer for the newest
-	// weights, at the end of the time in which older ones are of use.
+	// outdatedCostShare is how much longer a call may wait for the newest weights: the largest
+	// extra cost of a runner with outdated weights, as a share of the call's target latency. The
+	// cost grows to this value over the time in which answers by older weights still have worth.
 	outdatedCostShare = 0.3
 )
 
-// A caller that is refused is told to come back after so many times its aim: at least
-// leastComeBack, and up to comeBackSpread more, so that not all come back at once.
+// A caller that is refused retries after a multiple of its target latency: at least minRetryAfter,
+// and up to retryAfterSpread more, so that the callers do not retry all at once.
 const (
 	minRetryAfter    = 1
 	retryAfterSpread = 2
 )
 
-// call is one call of a caller, with its second try if it has one.
+// call is one call, including its second try if it has one.
 type call struct {
 	sim     *simulation
 	class   int
 	context int
 	box     int
-	// own is the prompt besides its shared part, in tokens, and steps the length of its
-	// answer.
+	// ownTokens is the length of the prompt without its shared part. steps is the length of the
+	// answer in steps of the runner's batch.
 	ownTokens float64
 	steps     float64
-	// spread breaks ties.
+	// tieBreaker breaks ties between runners.
 	tieBreaker uint64
 
 	startedAt float64
-	// lookUntil ends the waiting for room of this try; tries counts them.
+	// waitUntil is when this try stops waiting for a runner. tries counts the tries.
 	waitUntil float64
 	tries     int
-	pending   int // at its runner, until it has been read
-	// workMillis is the work that it brings its runner.
+	pending   int // prompt tokens at its runner, until they are prefilled
+	// workMillis is the prefill time that the call adds to its runner.
 	workMillis float64
-	// asks says that owners give this try its place.
+	// viaOwner means that the owners of the runners place this try.
 	viaOwner bool
 }
 
 func (sim *simulation) newCall(class int) *call {
-	kind := sim.site.Classes[class]
+	config := sim.site.Classes[class]
 	return &call{
-		sim: sim, class: class, context: sim.random.IntN(kind.Contexts), box: sim.random.IntN(sim.site.Boxes),
-		ownTokens: kind.OwnTokens.sample(sim.random), steps: kind.Steps.sample(sim.random), tieBreaker: sim.random.Uint64(),
+		sim: sim, class: class, context: sim.random.IntN(config.Contexts), box: sim.random.IntN(sim.site.Boxes),
+		ownTokens: config.OwnTokens.sample(sim.random), steps: config.Steps.sample(sim.random), tieBreaker: sim.random.Uint64(),
 	}
 }
 
@@ -61,9 +62,9 @@
 func (c *call) sharedTokens() float64         { return c.sim.contexts[c.class][c.context].tokens }
 func (c *call) tokens() float64               { return c.ownTokens + c.sharedTokens() }
 func (c *call) keyFor(weights int) contextKey { return contextKey{c.class, c.context, weights} }
-func (c *call) since(began float64) float64   { return c.sim.now - began }
+func (c *call) since(start float64) float64   { return c.sim.now - start }
 
-// arrive begins a try.
+// arrive starts a try.
 func (c *call) arrive() {
 	if c.tries++; c.tries == 1 {
 		c.startedAt = c.sim.now
@@ -74,7 +75,8 @@
 	c.place()
 }
 
-// look places the call, or waits a little for room, or refuses it.
+// place sends the call to a runner, retries shortly afterwards if there is none, or refuses the
+// call when its waiting time is over.
 func (c *call) place() {
 	sim := c.sim
 	if chosen := sim.policy.choose(c); chosen != nil {
@@ -85,7 +87,7 @@
 		sim.schedule(retryMillis, c.place)
 		return
 	}
-	// The caller comes back once, when it was told to.
+	// A refused caller retries once, after the delay that the box returned.
 	wait := c.classConfig().TargetMillis * (minRetryAfter + retryAfterSpread*sim.random.Float64())
 	if c.tries == 1 && c.since(c.startedAt)+wait < c.classConfig().PatienceMillis {
 		sim.schedule(wait, c.arrive)
@@ -94,23 +96,23 @@
 	sim.result.refused++
 }
 
-// handOver gives the call to a runner.
+// send sends the call to a runner.
 func (c *call) send(r *runner) {
-	j, begins := c.newJob(r)
+	j, delay := c.newJob(r)
 	r.work[c.box].add(c.work())
 	c.sim.arrivals[c.box].record(c.sim.now, c.workMillis)
 	if c.viaOwner {
 		r.reserved.add(c.work())
 	}
-	c.sim.schedule(begins+c.sim.site.FirstEventMillis, func() { r.enqueue(j) })
+	c.sim.schedule(delay+c.sim.site.FirstEventMillis, func() { r.enqueue(j) })
 }
 
-// work is what the call is to its runner when it gets there.
+// work returns the load that the call adds to its runner on arrival.
 func (c *call) work() boxWork { return boxWork{1, c.pending, int(c.tokens())} }
 
-// newJob makes the prompt as a runner gets it, and gives the milliseconds until its shared
-// part is there: it is fetched if a store box keeps it, and otherwise read and saved.
-func (c *call) newJob(r *runner) (j *job, begins float64) {
+// newJob creates the job for a runner and returns the milliseconds until its shared part is
+// available. The part is fetched if a store box holds it, and is otherwise prefilled and saved.
+func (c *call) newJob(r *runner) (j *job, delay float64) {
 	sim := c.sim
 	p := c.keyFor(r.weights)
 	j = &job{call: c}
@@ -119,7 +121,7 @@
 	case sim.policy.clairvoyant && sim.prefilled[p]: // nothing has to be moved
 	case from != nil:
 		ends := from.transfer(sim, c.sharedTokens())
-		begins = min(ends-sim.now, fetchMillis)
+		delay = min(ends-sim.now, fetchMillis)
 		if ends-sim.now > fetchMillis {
 			j.prefillShared = true
 			sim.result.lateFetches++
@@ -133,28 +135,29 @@
 			}
 		}
 	}
-	return j, begins
+	return j, delay
 }
 
-// Worth of answers by older weights: a fifth is lost after a moment, and all in the end.
+// Worth of answers by outdated weights: a fifth is lost after outdatedMillis, and all after
+// worthlessMillis.
 const (
 	outdatedMillis  = 1500.0
 	outdatedLoss    = 0.2
 	worthlessMillis = 12_000.0
 )
 
-// answered ends the wait for the first event.
+// firstEvent records the first event of the answer.
 func (c *call) firstEvent(r *runner) {
-	sim, kind := c.sim, c.classConfig()
+	sim, config := c.sim, c.classConfig()
 	r.work[c.box].sub(boxWork{0, c.pending, 0})
 	took := c.since(c.startedAt)
-	worth := kind.Worth
+	worth := config.Worth
 	switch {
-	case took > kind.PatienceMillis:
+	case took > config.PatienceMillis:
 		worth = 0
 		sim.result.abandoned++
-	case took > kind.TargetMillis:
-		worth = kind.LateWorth
+	case took > config.TargetMillis:
+		worth = config.LateWorth
 		sim.result.lateAnswers++
 	}
 	if newer, named := sim.announcedAt[r.weights+1]; named {
@@ -169,19 +172,20 @@
 	sim.result.add(c.class, took)
 }
 
-// describe writes down a runner as a box knows it, for the policy.
+// candidateFor returns the state of a runner as a box knows it, for the policy. An owner uses the
+// reports of all boxes and its own reservations.
 func (c *call) candidateFor(r *runner, owner bool) placing.Candidate {
-	seen := r.knownTo(c.box)
+	known := r.knownTo(c.box)
 	if owner {
-		seen = r.reportedTotal
-		seen.add(r.reserved)
+		known = r.reportedTotal
+		known.add(r.reserved)
 	}
 	work := c.ownTokens
 	if c.sim.storeHolding(c.keyFor(r.weights)) == nil {
 		work = c.tokens()
 	}
 	candidate := placing.Candidate{
-		Name: r.name, InFlight: seen.calls, Slots: c.sim.site.Slots, PendingTokens: seen.pending, HeldTokens: seen.held, PrefillTokens: int(work),
+		Name: r.name, InFlight: known.calls, Slots: c.sim.site.Slots, PendingTokens: known.pending, HeldTokens: known.held, PrefillTokens: int(work),
 		Headroom: r.owner == c.box || owner,
 	}
 	if newer, named := c.sim.announcedAt[r.weights+1]; named {
@@ -190,7 +194,7 @@
 	return candidate
 }
 
-// query asks the policy for this call as a box does.
+// query returns the placement query that a box makes for this call.
 func (c *call) query() placing.Query {
 	site := c.sim.site
 	query := placing.Query{
@@ -200,7 +204,7 @@
 		query.Memory = int(site.MemoryTokens)
 	}
 	if c.sharedTokens() >= placing.MinAffinityTokens && c.sim.storeHolding(c.keyFor(c.sim.newest)) == nil {
-		query.AffinityKey = c.keyFor(c.sim.newest).hash() | 1 // zero would be no home
+		query.AffinityKey = c.keyFor(c.sim.newest).hash() | 1 // zero would mean no affinity
 	}
 	return query
 }
--- a/internal/sitebench/events.go
+++ b/internal/sitebench/events.go
@@ -1,12 +1,12 @@
-// Virtual time: what is planned happens in its order, and the clock goes from one moment
-// to the next, so that a day takes as long as its events take to compute.
+// Virtual time: events run in the order of their times, and the clock jumps from one event to the
+// next, so that a simulation takes only as long as its events take to compute.
 
 package sitebench
 
 import "container/heap"
 
-// event is something that happens at a moment. Events of one moment happen in the order
-// in which they were planned.
+// event is a function that is scheduled for a given time. Events of the same time run in the order
+// in which they were scheduled.
 type event struct {
 	at       float64
 	sequence int
@@ -31,13 +31,13 @@
 	return last
 }
 
-// after plans something for so many milliseconds from now.
-func (sim *simulation) schedule(millis float64, do func()) {
+// schedule schedules an event after a delay in milliseconds.
+func (sim *simulation) schedule(millis float64, run func()) {
 	sim.sequence++
-	heap.Push(&sim.pending, event{sim.now + millis, sim.sequence, do})
+	heap.Push(&sim.pending, event{sim.now + millis, sim.sequence, run})
 }
 
-// playAll lets all that is planned happen, and what it plans in turn.
+// runAll runs all scheduled events, including those that they schedule.
 func (sim *simulation) runAll() {
 	for len(sim.pending) > 0 {
 		next := heap.Pop(&sim.pending).(event)
--- a/internal/sitebench/experiment.go
+++ b/internal/sitebench/experiment.go
@@ -1,5 +1,5 @@
-// Experiments: a quantity is varied, each policy plays the same days, and the means over
-// some seeds go into a table, a file and a plot.
+// Experiments vary one quantity and run all policies on the same scenarios. The means over several
+// seeds go into a table, a file and a plot.
 
 package sitebench
 
@@ -12,24 +12,24 @@
 	"strings"
 )
 
-// Seeds is how many seeds each row is the mean of.
+// Seeds is the number of seeds that each row averages over.
 const Seeds = 3
 
-// Row is a policy at one value of what an experiment varies.
+// Row is the result of a policy at one value of the varied quantity.
 type Row struct {
 	Site   string  `json:"site"`
 	Day    string  `json:"day"`
 	Varied string  `json:"varied"`
 	Value  float64 `json:"value"`
 	Policy string  `json:"policy"`
-	// Figures are means over the seeds, and WorthMin and WorthMax the spread of the
-	// first.
+	// Figures are means over the seeds. WorthMin and WorthMax are the range of the worth over the
+	// seeds.
 	Figures  map[string]float64 `json:"figures"`
 	WorthMin float64            `json:"worth_least"`
 	WorthMax float64            `json:"worth_most"`
 }
 
-// experiment varies one quantity of a day.
+// experiment varies one quantity of a scenario.
 type experiment struct {
 	varied string
 	values []float64
@@ -43,7 +43,7 @@
 	}
 }
 
-// compare plays a day by all policies at one value.
+// compare runs all policies on a scenario at one value.
 func compare(site Site, scenario Scenario, varied string, value float64, seeds int) []Row {
 	var rows []Row
 	for _, policy := range Policies() {
@@ -60,14 +60,14 @@
 	return rows
 }
 
-// Where Run leaves the rows and the plots.
+// Output paths of Run.
 const (
 	OutputFile = "bench-sites.json"
 	PlotFolder = "bench-plots"
 )
 
-// Run plays all experiments, prints their tables, and writes the rows as JSON and a plot
-// of each.
+// Run runs all experiments, prints their tables, and writes the rows as JSON and several plots per
+// experiment.
 func Run(out io.Writer) error {
 	if err := os.MkdirAll(PlotFolder, 0o755); err != nil {
 		return err
--- a/internal/sitebench/hang.go
+++ b/internal/sitebench/hang.go
@@ -1,14 +1,15 @@
-// Runners that do nothing for a while, as one whose machine hangs: calls there wait until the
-// boxes take them elsewhere.
+// Runners that hang for a while, as when their machine hangs. Their calls wait until the boxes
+// send them to other runners.
 
 package sitebench
 
 import "slices"
 
-// noticeMillis is after how long boxes notice the silence of a runner that has calls.
+// hangDetectionMillis is the time after which boxes detect that a runner with calls no longer
+// responds.
 const hangDetectionMillis = 1200.0
 
-// goDark ends all that the runner does.
+// hang stops all work of the runner and loses its jobs and its cache.
 func (r *runner) hang() {
 	r.hung, r.prefilling = true, false
 	for _, j := range slices.Concat(r.active, r.urgent, r.normal) {
@@ -20,19 +21,20 @@
 	r.notifyDrained()
 }
 
-// comeBack lets the runner work again, with nothing kept.
+// recover lets the runner work again, with an empty cache.
 func (r *runner) recover() { r.hung, r.hangDetected = false, false }
 
-// lose lets the box of a prompt take it elsewhere when it has noticed.
+// reroute marks a job as lost. Once its box detects the hang, it places the call again unless the
+// answer has already started.
 func (r *runner) reroute(j *job) {
 	j.lost = true
 	c := j.call
 	r.sim.schedule(hangDetectionMillis, func() {
-		held := boxWork{1, 0, int(c.tokens())}
+		load := boxWork{1, 0, int(c.tokens())}
 		if !j.streaming {
-			held.pending = c.pending
+			load.pending = c.pending
 		}
-		r.work[c.box].sub(held)
+		r.work[c.box].sub(load)
 		if !j.streaming {
 			c.waitUntil = r.sim.now + retryMillis
 			c.place()
--- a/internal/sitebench/plot.go
+++ b/internal/sitebench/plot.go
@@ -1,5 +1,5 @@
-// Plots of experiments: worth, and what it is made of, by what was varied, one line a
-// policy.
+// Plots of experiments: the worth and its components against the varied quantity, with one line
+// per policy.
 
 package sitebench
 
@@ -12,31 +12,33 @@
 	"github.com/go-analyze/charts"
 )
 
-// plotWidth and plotHeight are in pixels, as a page of docs/ shows them.
+// plotWidth and plotHeight are in pixels and fit a page of docs/.
 const (
 	plotWidth  = 720
 	plotHeight = 400
 )
 
 const (
-	// legendTop places the names of the policies below the title, in pixels.
+	// legendTop is the position of the legend, in pixels from the top, which puts it below the
+	// title.
 	legendTop = "30"
-	// plotSteps is how many parts of 1 there are where an axis may begin or end.
+	// plotSteps is the number of steps per unit to which the limits of the axis are rounded.
 	plotSteps = 20
 )
 
-// plotted are the figures that get a plot.
+// plottedFigures are the figures that get a plot.
 var plottedFigures = []string{"worth", "earned", "price"}
 
-// lines are the values of one figure, a line a policy.
+// series holds the values of one figure, with one line per policy.
 type series struct {
 	policies []string
-	// labels are what was varied, and values the figure at each, by policy.
+	// labels are the values of the varied quantity. values holds the figure at each of them, by
+	// policy.
 	labels []string
 	values [][]float64
 }
 
-// linesOf orders the rows of an experiment for a plot.
+// seriesOf groups the rows of an experiment by policy.
 func seriesOf(figure string, rows []Row) series {
 	var l series
 	for _, row := range rows {
@@ -53,7 +55,7 @@
 	return l
 }
 
-// bounds gives where the axis of the values begins and ends.
+// bounds returns the limits of the value axis.
 func (s series) bounds() (first, last float64) {
 	lowest, highest := math.Inf(1), math.Inf(-1)
 	for _, line := range s.values {
@@ -62,7 +64,7 @@
 	return math.Floor(plotSteps*lowest) / plotSteps, math.Ceil(plotSteps*highest) / plotSteps
 }
 
-// plot writes a figure of all policies at all values as a picture.
+// plot writes an SVG plot of a figure for all policies and values.
 func plot(path, figure string, rows []Row) error {
 	l := seriesOf(figure, rows)
 	option := charts.NewLineChartOptionWithData(l.values)
--- a/internal/sitebench/policy.go
+++ b/internal/sitebench/policy.go
@@ -1,4 +1,4 @@
-// The policies that are compared. Each chooses a runner for a call, or none.
+// The placement policies that are compared. Each chooses a runner for a call, or none.
 
 package sitebench
 
@@ -8,34 +8,35 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// Policy chooses runners.
+// Policy is a placement policy.
 type Policy struct {
 	Name         string
 	selectRunner func(c *call, query placing.Query, candidates []placing.Candidate) int
-	// unbounded policies do not judge whether a runner has time and memory.
+	// unbounded policies do not check whether a runner has time and memory for the call.
 	unbounded bool
-	// alone has boxes place by themselves where owners of a zone's runners would.
+	// withoutOwners makes each box place its calls itself, even those that the owners of a zone's
+	// runners would place.
 	withoutOwners bool
-	// clairvoyant knows the work of all boxes at once, and that what any runner has read
-	// need not be read again.
+	// clairvoyant policies know the current work of all boxes without delay, and a part that any
+	// runner has prefilled is never prefilled again.
 	clairvoyant bool
 }
 
 // InUse is the policy that entry boxes use.
 func InUse() Policy { return Policy{Name: "in use", selectRunner: inUse} }
 
-// Clairvoyant is no policy but a bound: one pooled memory without limit, whose content
-// needs no moving, and boxes that know everything at once.
+// Clairvoyant is an upper bound rather than a feasible policy: all runners share one unlimited
+// cache without transfer times, and all boxes know the current state.
 func Clairvoyant() Policy {
 	return Policy{Name: "clairvoyant bound", selectRunner: inUse, clairvoyant: true}
 }
 
-// WithoutOwners is the policy that entry boxes use where nobody owns runners.
+// WithoutOwners is the policy that entry boxes use where runners have no owners.
 func WithoutOwners() Policy {
 	return Policy{Name: "each box alone", selectRunner: inUse, withoutOwners: true}
 }
 
-// Policies gives all policies, the one in use first.
+// Policies returns all policies, the one in use first.
 func Policies() []Policy {
 	return []Policy{
 		InUse(),
@@ -46,7 +47,7 @@
 	}
 }
 
-// choose gives a runner for a call.
+// choose returns a runner for a call, or nil.
 func (p Policy) choose(c *call) *runner {
 	best := p.chooseAmong(c, c.sim.runners, false)
 	if c.viaOwner = p.shouldAskOwner(c, best); !c.viaOwner {
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// asksOwners reports whether a call gets its place from the owners of runners, by the one that
-// its box would choose; nil for none.
+// shouldAskOwner reports whether the owners of the runners place the call. best is the runner that
+// the call's box would choose itself, or nil.
 func (p Policy) shouldAskOwner(c *call, best *runner) bool {
 	if c.sim.site.Zones == 0 || p.withoutOwners || p.clairvoyant {
 		return false
@@ -70,11 +71,11 @@
 		return placing.ShouldAskOwner(int(c.tokens()), nil, 0)
 	}
 	candidate := c.candidateFor(best, false)
-	unseen := c.sim.arrivals[c.box].unreported(c.sim, len(c.sim.runners))
-	return placing.ShouldAskOwner(int(c.tokens()), &candidate, unseen)
+	unreported := c.sim.arrivals[c.box].unreported(c.sim, len(c.sim.runners))
+	return placing.ShouldAskOwner(int(c.tokens()), &candidate, unreported)
 }
 
-// zone lists the runners of a zone.
+// zoneRunners returns the runners of a zone.
 func (sim *simulation) zoneRunners(number int) []*runner {
 	var runners []*runner
 	for i := number % sim.site.Zones; i < len(sim.runners); i += sim.site.Zones {
@@ -83,7 +84,7 @@
 	return runners
 }
 
-// chooseOf chooses among some runners, as their owner or as the box of the call.
+// chooseAmong chooses one of the runners in pool, as their owner or as the box of the call.
 func (p Policy) chooseAmong(c *call, pool []*runner, owner bool) *runner {
 	query := c.query()
 	var runners []*runner
@@ -114,7 +115,7 @@
 	return runners[at]
 }
 
-// describeWhole writes down a runner as it is.
+// exactCandidate returns the actual state of a runner.
 func (c *call) exactCandidate(r *runner) placing.Candidate {
 	candidate := c.candidateFor(r, false)
 	var all boxWork
@@ -128,19 +129,19 @@
 	return candidate
 }
 
-// inUse chooses as entry boxes do.
+// inUse chooses a runner as entry boxes do.
 func inUse(_ *call, query placing.Query, candidates []placing.Candidate) int {
 	return placing.Choose(query, candidates)
 }
 
-// withoutHomes chooses as entry boxes would if calls that share a part met nowhere.
+// withoutHomes chooses as entry boxes do, but without affinity for calls that share a part.
 func withoutHomes(_ *call, query placing.Query, candidates []placing.Candidate) int {
 	query.AffinityKey = 0
 	return placing.Choose(query, candidates)
 }
 
-// rendezvous sends calls with the same shared part to the same runner, whatever waits
-// there, and those without one to the least busy.
+// rendezvous sends all calls with the same shared part to the same runner, whatever its load.
+// Short calls go to the runner with the fewest calls.
 func rendezvous(c *call, query placing.Query, candidates []placing.Candidate) int {
 	if query.Tokens < placing.MinAffinityTokens {
 		return leastInFlight(c, query, candidates)
@@ -155,7 +156,7 @@
 	return best
 }
 
-// leastInFlight chooses the runner with the fewest calls, whatever they bring.
+// leastInFlight chooses the runner with the fewest calls, whatever their size.
 func leastInFlight(_ *call, _ placing.Query, candidates []placing.Candidate) int {
 	best := -1
 	for i := range candidates {
--- a/internal/sitebench/result.go
+++ b/internal/sitebench/result.go
@@ -1,26 +1,28 @@
-// What a play came to.
+// Results of a simulation.
 
 package sitebench
 
 import "slices"
 
-// Result is what one play came to. Shares are of the worth of all calls, or of all calls.
+// Result is the result of one simulation. Shares are relative to the worth of all calls, or to
+// their number.
 type Result struct {
-	// Earned is the share of the worth that answers brought, RecomputeCost what reading
-	// shared parts again costs of it, and Worth the first less the second.
+	// Earned is the share of the worth that answers earned. RecomputeCost is the share that the
+	// repeated prefill of shared parts costs, and Worth is the difference.
 	Earned, RecomputeCost, Worth float64
-	// Late and Refused are shares of the calls; those refused or answered after their
+	// Late and Refused are shares of the number of calls. Calls that were answered after their
 	// callers had left count as refused.
 	Late, Refused float64
-	// RecomputedTokens are the shared tokens, in millions, that were read although some runner
-	// had read them for the same weights, and SharedTokens all that were read.
+	// RecomputedTokens are the shared tokens, in millions, that were prefilled although a runner
+	// had already prefilled them with the same weights. SharedTokens are all shared tokens that
+	// were prefilled, in millions.
 	RecomputedTokens, SharedTokens float64
-	// LateFetches counts fetches that were thrown away.
+	// LateFetches counts the fetches whose result was discarded because it came too late.
 	LateFetches float64
-	// OutdatedRunners counts the runners that did not hold the newest weights in the end.
+	// OutdatedRunners counts the runners without the newest weights at the end.
 	OutdatedRunners int
-	// P50 and P99 are the median and the 99th percentile of the time to the first
-	// event in milliseconds, by class.
+	// P50 and P99 are the median and the 99th percentile of the time to the first event in
+	// milliseconds, by class.
 	P50, P99 []float64
 
 	offeredWorth, earnedWorth   float64
@@ -32,7 +34,7 @@
 	times                       [][]float64
 }
 
-// add notes how long a call waited for its first event.
+// add records the time from a call's arrival to its first event.
 func (r *Result) add(class int, took float64) {
 	for len(r.times) <= class {
 		r.times = append(r.times, nil)
@@ -40,7 +42,7 @@
 	r.times[class] = append(r.times[class], took)
 }
 
-// finish makes the shares and quantiles of what was counted.
+// finish computes the shares and quantiles from the counts.
 func (r *Result) finish(sim *simulation) {
 	const thousand, million = 1000, 1e6
 	r.Earned = r.earnedWorth / r.offeredWorth
@@ -62,13 +64,13 @@
 	r.times = nil
 }
 
-// The parts of the calls whose times to the first event are within P50 and within P99.
+// The quantiles that P50 and P99 report.
 const (
 	medianQuantile = 0.5
 	p99Quantile    = 0.99
 )
 
-// quantile gives the value that the given part of the sorted values does not exceed.
+// quantile returns the q-quantile of sorted values.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -76,7 +78,7 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// figure is one number of a result that experiments show.
+// figure is one number of a result that experiments print or plot.
 type figure struct {
 	name string
 	of   func(Result) float64
--- a/internal/sitebench/runner.go
+++ b/internal/sitebench/runner.go
@@ -1,5 +1,5 @@
-// Runners: they read one prompt after the other, urgent ones first, answer in batches,
-// and keep shared context until its memory is wanted.
+// Runners prefill one prompt at a time, urgent ones first, decode in batches, and cache shared
+// parts as long as their memory is not needed for runs.
 
 package sitebench
 
@@ -8,39 +8,43 @@
 	"slices"
 )
 
-// runner is one model runner.
+// runner is a model of one model runner.
 type runner struct {
 	sim  *simulation
 	name string
-	// owner is the box that the headroom of the memory belongs to.
+	// owner is the box that may use the headroom of the memory.
 	owner int
 
 	weights int
-	// out says that boxes send nothing: it is about to load, or loads.
+	// draining means that boxes send no calls, because the runner is about to load weights or is
+	// loading them.
 	draining bool
-	// dark says that the runner does nothing, missed that boxes have noticed it.
+	// hung means that the runner does nothing, and hangDetected that the boxes have detected it.
 	hung, hangDetected bool
-	// drained is called when the last run ends; nil while nobody waits for that.
+	// onDrained is called when the last run has ended. It is nil while no load of weights waits
+	// for that.
 	onDrained func()
 
 	prefilling     bool
 	urgent, normal []*job
 	running        int
-	// runs are the prompts that are read or answered.
+	// active are the jobs that are being prefilled or decoded.
 	active []*job
-	// held is the memory of runs, kept that of parts, the last used last.
+	// activeTokens is the memory of the active jobs. cached are the cached parts, the most
+	// recently used last.
 	activeTokens float64
 	cached       []cachedContext
 
-	// work is what each box has here now, and told what it last told the others.
+	// work is the current work of each box at this runner, and reported is the work that each box
+	// last reported to the others.
 	work, reported []boxWork
-	// toldByAll is the sum of told.
+	// reportedTotal is the sum of reported.
 	reportedTotal boxWork
-	// granted is what the owner of the runner gave places to since boxes last told.
+	// reserved is the work that the runner's owner has placed here since the last reports.
 	reserved boxWork
 }
 
-// keptPart is a part in a runner's memory.
+// cachedContext is a shared part in a runner's cache.
 type cachedContext struct {
 	key    contextKey
 	tokens float64
@@ -49,12 +53,12 @@
 // job is a prompt at a runner.
 type job struct {
 	call *call
-	// shared says that the shared part is to be read unless the runner keeps it.
+	// prefillShared means that the shared part must be prefilled unless the runner has it cached.
 	prefillShared bool
-	// saveTo keeps the shared part when it has been read.
+	// saveTo is the store box that saves the shared part once it has been prefilled, or nil.
 	saveTo *store
-	// handed is when the runner got it, endsAt when its answer ends if no other prompt is
-	// read meanwhile. Lost ones are on a runner that went dark.
+	// queuedAt is when the runner received the job. finishAt is when its answer ends if no other
+	// prompt is prefilled meanwhile. A lost job was at a runner that hung.
 	queuedAt, finishAt float64
 	streaming, lost    bool
 }
@@ -66,7 +70,7 @@
 	}
 }
 
-// tell lets other boxes know what each box has here now.
+// report sends the current work of each box at this runner to the other boxes.
 func (r *runner) report() {
 	r.reserved = boxWork{}
 	r.reportedTotal = boxWork{}
@@ -76,15 +80,16 @@
 	}
 }
 
-// seenBy gives the work here as a box knows it: its own as it is, that of others as told.
+// knownTo returns the work at this runner as far as a box knows it: its own current work and the
+// reported work of the others.
 func (r *runner) knownTo(box int) boxWork {
-	seen := r.reportedTotal
-	seen.sub(r.reported[box])
-	seen.add(r.work[box])
-	return seen
+	known := r.reportedTotal
+	known.sub(r.reported[box])
+	known.add(r.work[box])
+	return known
 }
 
-// take takes a prompt in.
+// enqueue queues a job.
 func (r *runner) enqueue(j *job) {
 	j.queuedAt = r.sim.now
 	if r.hung {
@@ -99,7 +104,7 @@
 	r.prefillNext()
 }
 
-// readNext begins to read the next prompt, if there are a slot and memory for it.
+// prefillNext starts the next prefill, if there are a free slot and enough memory.
 func (r *runner) prefillNext() {
 	queue := &r.urgent
 	if len(*queue) == 0 {
@@ -119,7 +124,7 @@
 	r.activeTokens += j.call.tokens()
 	r.evict()
 	if r.sim.site.Interleaved && !j.prefillShared && r.sim.now-j.queuedAt > fetchMillis {
-		j.prefillShared = true // it waited for so long that what was fetched was thrown away
+		j.prefillShared = true // it was queued for so long that the fetched part was discarded
 		r.sim.result.lateFetches++
 	}
 	tokens := j.call.ownTokens
@@ -137,12 +142,12 @@
 	r.sim.schedule(reading+r.stepMillis(), func() { r.prefillDone(j) })
 }
 
-// stepMillis is how long a step of the batch takes now.
+// stepMillis returns the current time of a batch step.
 func (r *runner) stepMillis() float64 {
 	return r.sim.site.StepMillis + r.sim.site.StepMillisPerRun*float64(r.running)
 }
 
-// wasRead ends the reading of a prompt: its answer begins.
+// prefillDone ends the prefill of a job and starts its answer.
 func (r *runner) prefillDone(j *job) {
 	if j.lost {
 		return
@@ -168,7 +173,7 @@
 	r.prefillNext()
 }
 
-// ended ends a run.
+// finish ends a job.
 func (r *runner) finish(j *job) {
 	if j.lost {
 		return
@@ -185,7 +190,7 @@
 	r.notifyDrained()
 }
 
-// tellDrained tells who waits for the end of the last run, if that was it.
+// notifyDrained calls onDrained if the runner has no jobs left.
 func (r *runner) notifyDrained() {
 	if r.onDrained != nil && r.running == 0 && len(r.urgent)+len(r.normal) == 0 {
 		drained := r.onDrained
@@ -194,18 +199,18 @@
 	}
 }
 
-// uses reports whether a part is kept here, which is then the last used.
+// touch reports whether a part is cached, and marks it as the most recently used.
 func (r *runner) touch(p contextKey) bool {
-	for i, kept := range r.cached {
-		if kept.key == p {
-			r.cached = append(append(r.cached[:i:i], r.cached[i+1:]...), kept)
+	for i, entry := range r.cached {
+		if entry.key == p {
+			r.cached = append(append(r.cached[:i:i], r.cached[i+1:]...), entry)
 			return true
 		}
 	}
 	return false
 }
 
-// keep keeps a part that was read or fetched.
+// cache adds a part that was prefilled or fetched to the cache.
 func (r *runner) cache(p contextKey, tokens float64) {
 	if !r.touch(p) {
 		r.cached = append(r.cached, cachedContext{p, tokens})
@@ -213,11 +218,11 @@
 	r.evict()
 }
 
-// makeRoom drops the parts unused for longest.
+// evict removes the least recently used parts until the memory suffices.
 func (r *runner) evict() {
 	total := r.activeTokens
-	for _, kept := range r.cached {
-		total += kept.tokens
+	for _, entry := range r.cached {
+		total += entry.tokens
 	}
 	for len(r.cached) > 0 && total > r.sim.site.MemoryTokens {
 		total -= r.cached[0].tokens
@@ -225,7 +230,7 @@
 	}
 }
 
-// boxWork is what one box has at a runner.
+// boxWork is the work of one box at a runner: calls, tokens to prefill, and tokens of memory.
 type boxWork struct{ calls, pending, held int }
 
 func (b *boxWork) add(other boxWork) {
--- a/internal/sitebench/scenario.go
+++ b/internal/sitebench/scenario.go
@@ -1,33 +1,32 @@
-// Scenarios: how much is sent to a site, and what goes wrong there.
+// Scenarios: the load on a site and the faults during a simulation.
 
 package sitebench
 
-// Scenario is how a site is played.
+// Scenario is the load and the faults of a simulation.
 type Scenario struct {
 	Name string
-	// Load times the calls of each second, and Room that of the store boxes.
+	// Load multiplies the call rates, and StoreCapacity the capacity of the store boxes.
 	Load, StoreCapacity float64
-	// WeightsAt are the seconds at which new weights are named. The box that gives the
-	// orders is away for CoordinatorOutage seconds from the first of them on, half a second
-	// after it.
+	// WeightsAt are the seconds at which new weights are announced. The box that orders the loads
+	// is cut off for CoordinatorOutage seconds, from half a second after the first announcement.
 	WeightsAt         []float64
 	CoordinatorOutage float64
-	// SlowFrom and SlowUntil are the seconds between which one large store box moves
-	// context SlowFactor times more slowly.
+	// Between the seconds SlowFrom and SlowUntil one large store box transfers parts more slowly
+	// by SlowFactor.
 	SlowFrom, SlowUntil, SlowFactor float64
-	// Surges are times at which more is sent.
+	// Surges are periods with a higher load.
 	Surges []Surge
-	// HungShare of the runners does nothing between two seconds; boxes notice it by the
-	// silence.
+	// HungShare of the runners hang between the seconds HungFrom and HungUntil. Boxes detect this
+	// by the missing responses.
 	HungShare, HungFrom, HungUntil float64
 }
 
-// Surge times the calls between two seconds.
+// Surge multiplies the call rates between two seconds.
 type Surge struct {
 	From, Until, Factor float64
 }
 
-// loadAt is how many times the calls of the site come at a moment, in milliseconds.
+// loadAt returns the factor on the call rates at a time in milliseconds.
 func (s Scenario) loadAt(millis float64) float64 {
 	load := s.Load
 	for _, surge := range s.Surges {
@@ -38,17 +37,18 @@
 	return load
 }
 
-// mostLoad bounds loadAt.
+// maxLoad returns an upper bound of loadAt.
 func (s Scenario) maxLoad() float64 {
-	most := s.Load
+	peak := s.Load
 	for _, surge := range s.Surges {
-		most *= max(1, surge.Factor)
+		peak *= max(1, surge.Factor)
 	}
-	return most
+	return peak
 }
 
-// OverloadScenario gives the day on which work waits for longest: a burst while a quarter of the
-// runners is silent, then new weights, for which all is read anew, and another burst.
+// OverloadScenario returns the scenario with the longest queues: a burst while a quarter of the
+// runners hang, then new weights, for which all shared parts must be prefilled again, and another
+// burst.
 func OverloadScenario() Scenario {
 	return Scenario{
 		Name: "worst load", Load: 1, StoreCapacity: 1, WeightsAt: []float64{14},
@@ -56,9 +56,9 @@
 	}
 }
 
-// Scenarios gives the days that experiments play: a calm one, one with new weights, and one
-// as quiet days of the users' bench are, with a slow link and two versions of weights of
-// which the first comes while the giver of orders is cut off.
+// Scenarios returns the scenarios of the experiments: a calm one, one with new weights, and one
+// that resembles the quiet days of the users' bench, with a slow link and two new versions of the
+// weights, the first of which comes while the box that orders the loads is cut off.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "calm", Load: 1, StoreCapacity: 1},
--- a/internal/sitebench/simulation.go
+++ b/internal/sitebench/simulation.go
@@ -1,5 +1,5 @@
-// The world: what a play holds, how it is set up from a site, a day and a seed, and what
-// happens at moments that are known from the start.
+// The state of a simulation, its setup from a site, a scenario and a seed, and the events that are
+// scheduled from the start.
 
 package sitebench
 
@@ -10,20 +10,20 @@
 	"github.com/cometlock/cometlock/internal/retire"
 )
 
-// part names a shared context as made by a version of the weights.
+// contextKey identifies a shared context computed with one version of the weights, called a part.
 type contextKey struct {
 	class, context, weights int
 }
 
-// thing is a shared context, whatever version of the weights makes it.
+// sharedContext is a shared context, independent of the version of the weights.
 type sharedContext struct {
 	tokens float64
-	// fetchedFor and freedAfter are the milliseconds after newer weights until which it
-	// is fetched and after which it is freed, by the rule that boxes go by.
+	// fetchWindow and freeDelay are the milliseconds after newer weights until which the context's
+	// part is fetched and after which it is freed, as package retire defines them.
 	fetchWindow, freeDelay float64
 }
 
-// newThing makes a shared context of a class, of a random size.
+// newSharedContext creates a shared context of a class, with a random size.
 func (sim *simulation) newSharedContext(class, number int) sharedContext {
 	id := fmt.Sprintf("%d/%d", class, number)
 	return sharedContext{
@@ -32,18 +32,18 @@
 	}
 }
 
-// thingOf gives the context that a part was made of.
+// contextOf returns the shared context of a part.
 func (sim *simulation) contextOf(p contextKey) sharedContext { return sim.contexts[p.class][p.context] }
 
-// number gives a number that a shared context has for itself, whatever the weights.
+// hash returns a hash of the shared context, independent of the weights.
 func (k contextKey) hash() uint64 { return uint64(k.class*classStride+k.context) * goldenGamma }
 
-// classSpan keeps the numbers of classes apart: no class has as many contexts.
+// classStride separates the hashes of different classes: no class has as many contexts.
 const classStride = 1_000_003
 
 const millisPerSecond = 1000
 
-// world is one play of a day on a site. Times are milliseconds.
+// simulation runs one scenario on a site. Times are in milliseconds.
 type simulation struct {
 	site     Site
 	scenario Scenario
@@ -56,28 +56,28 @@
 
 	runners []*runner
 	stores  []*store
-	// things are the shared contexts, by class.
+	// contexts are the shared contexts, by class.
 	contexts [][]sharedContext
-	// namedAt is when each version after the first was named.
+	// announcedAt is when each version after the first was announced.
 	announcedAt map[int]float64
 	newest      int
-	// read holds the parts that some runner has read.
+	// prefilled holds the parts that a runner has prefilled.
 	prefilled map[contextKey]bool
-	// saving holds until when a part counts as being saved.
+	// saving holds the time until which a part counts as being saved.
 	saving map[contextKey]float64
-	// arrivals is what each box observes of its own calls.
+	// arrivals holds what each box has placed itself.
 	arrivals []arrivalRate
 	result   Result
 }
 
-// stream is the second half of each seed of random choices; any number would do.
+// randomStream is the second half of the seed of the random generator; its value is arbitrary.
 const randomStream = 7
 
-// endMillis is when the day ends: no call comes after it, though those that came are
-// still answered.
+// endMillis returns the end of the scenario. No calls arrive after it, but earlier ones are still
+// answered.
 func (sim *simulation) endMillis() float64 { return sim.site.Seconds * millisPerSecond }
 
-// Simulate plays a day on a site by a policy; a seed gives the same result each time.
+// Simulate runs a scenario on a site with a policy. The same seed gives the same result each time.
 func Simulate(site Site, scenario Scenario, policy Policy, seed uint64) Result {
 	sim := &simulation{
 		site: site, scenario: scenario, policy: policy, random: rand.New(rand.NewPCG(seed, randomStream)), newest: firstWeights,
@@ -105,12 +105,12 @@
 	return sim.result
 }
 
-// planCalls plans the calls of a class, at random moments.
+// scheduleCalls schedules the calls of a class as a Poisson process.
 func (sim *simulation) scheduleCalls(class int) {
-	most := sim.scenario.maxLoad()
-	rate := sim.site.Classes[class].PerSecond * most / millisPerSecond
+	peak := sim.scenario.maxLoad()
+	rate := sim.site.Classes[class].PerSecond * peak / millisPerSecond
 	for at := sim.random.ExpFloat64() / rate; at < sim.endMillis(); at += sim.random.ExpFloat64() / rate {
-		if load := sim.scenario.loadAt(at); load < most && sim.random.Float64() > load/most {
+		if load := sim.scenario.loadAt(at); load < peak && sim.random.Float64() > load/peak {
 			continue
 		}
 		c := sim.newCall(class)
@@ -118,7 +118,7 @@
 	}
 }
 
-// planDark plans the runners that do nothing for a while.
+// scheduleHangs schedules the runners that hang for a while.
 func (sim *simulation) scheduleHangs() {
 	for _, r := range sim.runners[:int(sim.scenario.HungShare*float64(len(sim.runners)))] {
 		sim.schedule(sim.scenario.HungFrom*millisPerSecond, r.hang)
@@ -126,7 +126,7 @@
 	}
 }
 
-// planTells lets boxes know each other's work at regular moments.
+// scheduleReports schedules the load reports between boxes at regular intervals.
 func (sim *simulation) scheduleReports() {
 	for at := 0.0; at < sim.endMillis(); at += sim.site.ReportMillis {
 		sim.schedule(at, func() {
--- a/internal/sitebench/site.go
+++ b/internal/sitebench/site.go
@@ -1,12 +1,11 @@
-// Package sitebench measures the placing of prompts in virtual time: the policy that
-// entry boxes use (package placing, and the times of package retire) and others, against
-// a model of a site with runners, store boxes, several boxes that know of each other late,
-// and new weights.
+// Package sitebench simulates the placement of prompts in virtual time. It compares the policy
+// that entry boxes use (package placing, with the delays of package retire) with others on a model
+// of a site: runners, store boxes, several boxes that know of each other's work with a delay, and
+// new weights.
 //
-// It shows which way a change of the policy goes, in seconds and without noise from
-// anything but the seeds. It is no promise of what a site does: runners read and answer
-// by a few numbers here. docs/design/placement.md says how far it agrees with the users'
-// bench.
+// A simulation takes seconds, and only the seeds cause variance, so it shows whether a change of
+// the policy helps. It does not predict what a real site does: runners are modelled by a few
+// numbers. docs/design/placement.md says how far it agrees with the users' bench.
 package sitebench
 
 import (
@@ -15,8 +14,8 @@
 	"slices"
 )
 
-// Distribution is a distribution of sizes: log-normal by its mean and the deviation of its
-// logarithm, and cut off.
+// Distribution is a log-normal distribution of sizes, with the given mean and the standard
+// deviation of the logarithm, truncated at Max.
 type Distribution struct {
 	Mean, Deviation, Max float64
 }
@@ -26,64 +25,65 @@
 	return max(1, min(s.Max, math.Exp(shift+s.Deviation*random.NormFloat64())))
 }
 
-// Class is a kind of prompts.
+// Class is a class of prompts.
 type Class struct {
 	Name      string
 	PerSecond float64
-	// Worth is that of an answer that begins within TargetMillis of the first try, and
-	// LateWorth that of a later one; after PatienceMillis the caller leaves.
+	// Worth is the worth of an answer that starts within TargetMillis of the first try, and
+	// LateWorth that of a later one. The caller leaves after PatienceMillis.
 	Worth, LateWorth             float64
 	TargetMillis, PatienceMillis float64
-	// Contexts is the number of shared contexts, of which each prompt holds one.
+	// Contexts is the number of shared contexts. Each prompt contains one of them.
 	Contexts     int
 	SharedTokens Distribution
 	OwnTokens    Distribution
-	// Steps is the length of an answer in steps of the runner's batch.
+	// Steps is the length of an answer, in steps of the runner's batch.
 	Steps Distribution
-	// Urgent prompts are read before others.
+	// Urgent prompts are prefilled before others.
 	Urgent bool
 }
 
-// StoreBox keeps shared contexts.
+// StoreBox is a box that stores shared contexts.
 type StoreBox struct {
 	Tokens float64
-	// TokensPerMilli is how fast its link moves context, LatencyMillis the wait before.
+	// TokensPerMilli is the throughput of its link, and LatencyMillis the latency of a transfer.
 	TokensPerMilli, LatencyMillis float64
 }
 
-// Site is a fleet with what is sent to it.
+// Site is a deployment and the load on it.
 type Site struct {
 	Name    string
 	Seconds float64
 	Boxes   int
-	// ReportMillis is the time between two words of a box on its work.
+	// ReportMillis is the interval between the load reports of a box.
 	ReportMillis float64
 	Runners      int
 	Slots        int
-	// MemoryTokens is what a runner's memory takes, of running and kept context.
+	// MemoryTokens is the capacity of a runner's memory, which running and cached contexts share.
 	MemoryTokens float64
-	// PrefillRate is how many prompt tokens a runner reads in a millisecond.
+	// PrefillRate is the number of prompt tokens that a runner prefills per millisecond.
 	PrefillRate float64
-	// FirstEventMillis is the time to the first event besides reading; a step of a batch
-	// takes StepMillis and StepMillisPerRun for each run in it.
+	// FirstEventMillis is the time to the first event besides prefill. A step of a batch takes
+	// StepMillis, plus StepMillisPerRun for each run in the batch.
 	FirstEventMillis, StepMillis, StepMillisPerRun float64
-	// Zones divides boxes and runners; zero where all are in one and boxes place by themselves.
-	// Long prompts then get their places from the owner of a zone's runners.
+	// Zones is the number of zones that boxes and runners are divided into. Long prompts are then
+	// placed by the owner of a zone's runners. Zero means a single zone in which boxes place all
+	// calls themselves.
 	Zones int
-	// Interleaved says that reading a prompt holds up the answers of its runner, whose steps
-	// come between the pieces that are read, and that a prompt's parts are fetched when it
-	// begins to run. The figures of the two older sites are without this.
+	// Interleaved means that a prefill delays the answers of its runner, whose decode steps run
+	// between the chunks of the prefill, and that a prompt's parts are fetched when it starts to
+	// run. The two older sites do not use it.
 	Interleaved bool
-	// LoadMillis is how long a runner loads new weights.
+	// LoadMillis is the time that a runner takes to load new weights.
 	LoadMillis float64
 	StoreBoxes []StoreBox
-	// RecomputePrice is the price of a thousand shared tokens that are read again.
+	// RecomputePrice is the price of a thousand shared tokens that are prefilled again.
 	RecomputePrice float64
 	Classes        []Class
 }
 
-// Large gives a fifth of the users' large site: few slots for each runner, and room for as
-// much as is shared.
+// Large returns a fifth of the users' large site, which has few slots per runner and enough
+// storage for all shared contexts.
 func Large() Site {
 	return Site{
 		Name: "a fifth of fjordlinje-render-large", Seconds: 30, Boxes: 59, Zones: 6, ReportMillis: 240, Runners: 33, Slots: 12, MemoryTokens: 86_716, PrefillRate: 54.6,
@@ -102,7 +102,7 @@
 	}
 }
 
-// Sites gives the two sites of today's users, by the figures of their own page.
+// Sites returns the two sites of today's users, with the figures of the users' own page.
 func Sites() []Site {
 	long := func(class Class) Class {
 		class.SharedTokens, class.OwnTokens = Distribution{12800, 0.6, 34000}, Distribution{4260, 0.7, 17000}
@@ -134,7 +134,7 @@
 	}
 }
 
-// storeBoxes gives some small store boxes that answer soon, and then some large ones.
+// storeBoxes returns small store boxes with low latency, followed by large ones.
 func storeBoxes(small int, smallBox StoreBox, large int, largeBox StoreBox) []StoreBox {
 	return append(slices.Repeat([]StoreBox{smallBox}, small), slices.Repeat([]StoreBox{largeBox}, large)...)
 }
--- a/internal/sitebench/sitebench_test.go
+++ b/internal/sitebench/sitebench_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// short gives the sites with shorter days, for tests.
+// shortSites returns the sites with shorter simulations, for tests.
 func shortSites() []Site {
 	sites := Sites()
 	for i := range sites {
@@ -17,7 +17,7 @@
 	return sites
 }
 
-// The seeds decide all figures, so each verdict below is the same on every machine.
+// The seeds determine all figures, so the results below are the same on every machine.
 func TestPolicyInUseBeatsOtherFeasiblePolicies(t *testing.T) {
 	for _, site := range shortSites() {
 		for _, scenario := range Scenarios() {
@@ -28,11 +28,11 @@
 			}
 			t.Logf("%s, %s: %v", site.Name, scenario.Name, worth)
 			inUse := worth[InUse().Name]
-			// A policy that asks for nothing but the home does as well where one is enough.
+			// Pure rendezvous hashing does as well where one runner per context suffices.
 			g.Expect(inUse).To(BeNumerically(">=", worth["rendezvous"]-0.01))
 			g.Expect(inUse).To(BeNumerically(">=", worth["without homes"]-0.002))
 			g.Expect(inUse).To(BeNumerically(">=", worth["least in flight"]+0.005))
-			g.Expect(inUse).To(BeNumerically("<=", worth[Clairvoyant().Name]), "nobody beats the bound")
+			g.Expect(inUse).To(BeNumerically("<=", worth[Clairvoyant().Name]), "no policy exceeds the bound")
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		for _, scenario := range Scenarios() {
 			for _, policy := range []Policy{InUse(), Clairvoyant()} {
 				g := NewWithT(t)
-				scenario.Load = 1.5 // so that some are refused
+				scenario.Load = 1.5 // so that some calls are refused
 				result := Simulate(site, scenario, policy, 1)
 				g.Expect(result.answers+result.refused).To(Equal(result.calls), "%s, %s, %s", site.Name, scenario.Name, policy.Name)
 				g.Expect(result.OutdatedRunners).To(BeZero())
@@ -62,12 +62,12 @@
 	for _, site := range shortSites()[:1] {
 		g := NewWithT(t)
 		scenario := Scenarios()[0]
-		before := -1.0
-		for _, room := range []float64{2, 0.5, 0.25, 0} {
-			scenario.StoreCapacity = room
-			again := Simulate(site, scenario, InUse(), 1).RecomputedTokens
-			g.Expect(again).To(BeNumerically(">", before), "room %v", room)
-			before = again
+		previous := -1.0
+		for _, capacity := range []float64{2, 0.5, 0.25, 0} {
+			scenario.StoreCapacity = capacity
+			recomputed := Simulate(site, scenario, InUse(), 1).RecomputedTokens
+			g.Expect(recomputed).To(BeNumerically(">", previous), "store capacity %v", capacity)
+			previous = recomputed
 		}
 	}
 }
--- a/internal/sitebench/store.go
+++ b/internal/sitebench/store.go
@@ -1,33 +1,33 @@
-// Store boxes: room for parts, and a link that moves one after the other.
+// Store boxes have a limited capacity for parts and a link that transfers one part at a time.
 
 package sitebench
 
 import "github.com/cometlock/cometlock/internal/partindex"
 
 const (
-	// seenMillis and seenSpread are how soon boxes know of a part that is whole: events
-	// come 60 ms late, and boxes ask three times a second.
+	// reportDelayMillis and reportDelaySpread determine when boxes know that a part is complete:
+	// events are delayed by 60 ms, and boxes poll three times a second.
 	reportDelayMillis = 60.0
 	reportDelaySpread = 300.0
-	// savingMillis is how long a save that was planned is expected to come true, as in
-	// package partindex.
+	// savingMillis is how long a planned save is expected to complete, as in package partindex.
 	savingMillis = 4000.0
-	// fill is the part of a store box that is filled on purpose, as in partindex.
+	// maxFillShare is the share of a store box's capacity that saves may fill, as in package
+	// partindex.
 	maxFillShare = 0.97
 )
 
-// fetchMillis is after how long a fetch is thrown away.
+// fetchMillis is the time after which the result of a fetch is discarded.
 var fetchMillis = float64(partindex.FetchTimeout.Milliseconds())
 
 // store is one store box.
 type store struct {
 	config StoreBox
-	// room and used are in tokens.
+	// capacity and used are in tokens.
 	capacity float64
 	used     float64
-	// seen says from when on boxes know of a part.
+	// visibleAt is the time from which boxes know that the store holds a part.
 	visibleAt map[contextKey]float64
-	// freeAt is when the link has nothing more to move.
+	// linkFreeAt is when the link has finished all transfers.
 	linkFreeAt float64
 }
 
@@ -35,19 +35,19 @@
 	return &store{config: config, capacity: maxFillShare * capacityFactor * config.Tokens, visibleAt: map[contextKey]float64{}}
 }
 
-// move takes the link for a move and gives when it ends.
+// transfer queues a transfer on the link and returns when it ends.
 func (s *store) transfer(sim *simulation, tokens float64) float64 {
-	took := tokens / s.config.TokensPerMilli
+	duration := tokens / s.config.TokensPerMilli
 	if s == sim.stores[len(sim.stores)-1] && sim.now >= millisPerSecond*sim.scenario.SlowFrom && sim.now < millisPerSecond*sim.scenario.SlowUntil {
-		took *= sim.scenario.SlowFactor
+		duration *= sim.scenario.SlowFactor
 	}
-	s.linkFreeAt = max(s.linkFreeAt, sim.now) + took
+	s.linkFreeAt = max(s.linkFreeAt, sim.now) + duration
 	return s.linkFreeAt + s.config.LatencyMillis
 }
 
-// save takes room for a part and moves it here, if there is room.
+// save stores a part and transfers it, if there is enough capacity.
 func (s *store) save(sim *simulation, p contextKey, tokens float64) {
-	if _, kept := s.visibleAt[p]; kept || s.used+tokens > s.capacity {
+	if _, stored := s.visibleAt[p]; stored || s.used+tokens > s.capacity {
 		return
 	}
 	s.used += tokens
@@ -58,32 +58,32 @@
 	}
 }
 
-// planFree frees a part of older weights when its time has come.
+// scheduleFree frees a part of older weights once its delay has passed.
 func (sim *simulation) scheduleFree(s *store, p contextKey) {
 	at := sim.announcedAt[p.weights+1] + sim.contextOf(p).freeDelay
 	sim.schedule(max(0, at-sim.now), func() {
-		if _, kept := s.visibleAt[p]; kept {
+		if _, stored := s.visibleAt[p]; stored {
 			delete(s.visibleAt, p)
 			s.used -= sim.contextOf(p).tokens
 		}
 	})
 }
 
-// holding finds the store box from which a part may be fetched.
+// storeHolding returns the store box that a part may be fetched from, or nil.
 func (sim *simulation) storeHolding(p contextKey) *store {
 	if p.weights < sim.newest && sim.now > sim.announcedAt[p.weights+1]+sim.contextOf(p).fetchWindow {
 		return nil
 	}
 	for _, s := range sim.stores {
-		if seen, kept := s.visibleAt[p]; kept && seen <= sim.now {
+		if visible, stored := s.visibleAt[p]; stored && visible <= sim.now {
 			return s
 		}
 	}
 	return nil
 }
 
-// place chooses the store box for a part, by its room and by chance that is the part's
-// own; nil when it is being saved or there is no room.
+// chooseStore chooses the store box for a part by rendezvous hashing, weighted by capacity. It
+// returns nil when the part is already being saved or no store box has enough capacity.
 func (sim *simulation) chooseStore(p contextKey, tokens float64) *store {
 	if sim.saving[p] > sim.now {
 		return nil
@@ -101,20 +101,20 @@
 	return best
 }
 
-// share gives a number of 0 to 1 that a part has with a store box, or with a runner.
+// rendezvousScore returns a hash from 0 to 1 of a part and a store box or runner.
 func rendezvousScore(p contextKey, store int) float64 {
 	h := p.hash() + uint64(p.weights*storeStride+store)*firstMixer
 	h ^= h >> 31
 	h *= secondMixer
 	h ^= h >> 29
-	return float64(h>>11) / (1 << 53) // the 53 bits that a float64 holds
+	return float64(h>>11) / (1 << 53) // a float64 holds 53 bits
 }
 
-// storeSpan keeps the numbers of versions apart: no site has as many store boxes, or
-// runners, which rendezvous hashing numbers in the same way.
+// storeStride separates the hashes of different versions of the weights: no site has as many store
+// boxes or runners, which are numbered in the same way.
 const storeStride = 64
 
-// The odd numbers of SplitMix64, which spread small numbers over all bits.
+// Odd multipliers of SplitMix64, which spread small numbers over all bits.
 const (
 	goldenGamma = 0x9e3779b97f4a7c15
 	firstMixer  = 0xbf58476d1ce4e5b9
--- a/internal/sitebench/weights.go
+++ b/internal/sitebench/weights.go
@@ -1,24 +1,24 @@
-// New weights: a fifth of the runners at a time gets no calls for a moment, ends its runs
-// and loads.
+// Loading of new weights: a fifth of the runners at a time receives no calls for a moment,
+// finishes its runs and loads the weights.
 
 package sitebench
 
-// firstWeights is the version that all runners hold when a day begins.
+// firstWeights is the version that all runners have at the start.
 const firstWeights = 1
 
 const (
-	// startMillis is from the naming of weights to the first order.
+	// orderDelayMillis is the time from the announcement of weights to the first order.
 	orderDelayMillis = 100.0
-	// pauseMillis is how long a runner gets no calls before it is ordered, and
-	// runnersPerLoad how many runners there are for each that loads, as in package
-	// weightorders.
+	// pauseMillis is how long a runner receives no calls before it is ordered to load, and one in
+	// runnersPerLoad runners loads at a time, as in package weightorders.
 	pauseMillis    = 200.0
 	runnersPerLoad = 5
-	// giverLeavesMillis is when the giver of orders is cut off on days that have that.
+	// coordinatorLossMillis is the time from the first announcement until the box that orders the
+	// loads is cut off, in scenarios with such an outage.
 	coordinatorLossMillis = 500.0
 )
 
-// planWeights plans the naming of each version of a day.
+// scheduleWeights schedules the announcement of each version of the scenario.
 func (sim *simulation) scheduleWeights() {
 	for i, second := range sim.scenario.WeightsAt {
 		version := firstWeights + 1 + i
@@ -26,8 +26,9 @@
 	}
 }
 
-// nameWeights names a version: parts of the one before are freed in their time. The first
-// also begins the loads, which then follow each other until the day ends.
+// announceWeights announces a version and schedules the freeing of the parts of the previous one.
+// The first announcement also starts the loads, which then follow each other until the scenario
+// ends.
 func (sim *simulation) announceWeights(version int) {
 	sim.newest = version
 	sim.announcedAt[version] = sim.now
@@ -46,13 +47,14 @@
 	}
 }
 
-// giverIsAway reports whether the box that gives the orders is cut off now.
+// coordinatorIsAway reports whether the box that orders the loads is cut off at present.
 func (sim *simulation) coordinatorIsAway() bool {
-	leaves := sim.announcedAt[firstWeights+1] + coordinatorLossMillis
-	return sim.scenario.CoordinatorOutage > 0 && sim.now > leaves && sim.now < leaves+millisPerSecond*sim.scenario.CoordinatorOutage
+	cutOff := sim.announcedAt[firstWeights+1] + coordinatorLossMillis
+	return sim.scenario.CoordinatorOutage > 0 && sim.now > cutOff && sim.now < cutOff+millisPerSecond*sim.scenario.CoordinatorOutage
 }
 
-// loadNext brings the runner with the oldest weights to the newest, and then the next.
+// loadNext loads the newest weights on the runner with the oldest ones, and then continues with
+// the next runner.
 func (sim *simulation) loadNext() {
 	if sim.coordinatorIsAway() {
 		sim.schedule(orderDelayMillis, sim.loadNext)
