--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity works out what a deployment of a given size takes, from
-// slopes that the bench measured: what one more organisation, runner, kept
-// context, claim or box costs.
+// Package capacity estimates the resources that a deployment of a given size needs. It computes
+// them from the slopes that the bench measured: the cost of one more organisation, runner, cached
+// context, claim or box.
 package capacity
 
 import (
@@ -16,29 +16,29 @@
 //go:embed slopes.json
 var slopesJSON []byte
 
-// Slopes are what one more of something costs, as `make slopes` measured it.
+// Slopes are the costs of one more of each item. `make slopes` measures them again.
 type Slopes struct {
 	// Configuration.
 	OrganisationBytes      float64 `json:"organisation_bytes"`     // memory
 	OrganisationLogBytes   float64 `json:"organisation_log_bytes"` // in a packed checkpoint
-	ChangeBytes            float64 `json:"change_bytes"`           // a change of one organisation
-	ChangeNanos            float64 `json:"change_nanos"`           // fold and index, at 10,000 organisations
-	ChangeNanosPerEntry    float64 `json:"change_nanos_per_entry"` // the same, by entry
-	StatusBytes            float64 `json:"status_bytes"`           // one message between boxes
-	StatusNanos            float64 `json:"status_nanos"`           // to write and read it
+	ChangeBytes            float64 `json:"change_bytes"`           // size of a change of one organisation
+	ChangeNanos            float64 `json:"change_nanos"`           // time to fold and index a change, at 10,000 organisations
+	ChangeNanosPerEntry    float64 `json:"change_nanos_per_entry"` // the same, divided by the number of entries
+	StatusBytes            float64 `json:"status_bytes"`           // size of a message between boxes
+	StatusNanos            float64 `json:"status_nanos"`           // time to encode and decode it
 	DecisionNanosPerRunner float64 `json:"decision_nanos_per_runner"`
 	DecisionNanos          float64 `json:"decision_nanos"` // at 82 runners and 65,000 contexts
 	ContextBytes           float64 `json:"context_bytes"`  // memory of a known context
-	EventNanos             float64 `json:"event_nanos"`    // to fold one cache event
-	ReportNanos            float64 `json:"report_nanos"`   // to read and fold a load report
+	EventNanos             float64 `json:"event_nanos"`    // time to fold a cache event
+	ReportNanos            float64 `json:"report_nanos"`   // time to decode and fold a load report
 	ReportBytes            float64 `json:"report_bytes"`
-	EventBytes             float64 `json:"event_bytes"` // one cache event on the wire
+	EventBytes             float64 `json:"event_bytes"` // size of a cache event on the wire
 	ClaimBytes             float64 `json:"claim_bytes"` // memory of an open claim
 	ClaimLogBytes          float64 `json:"claim_log_bytes"`
 	ReviewBytes            float64 `json:"review_bytes"` // memory of a waiting review
 }
 
-// MeasuredSlopes gives the slopes that are built into the program.
+// MeasuredSlopes returns the slopes that are embedded in the program.
 func MeasuredSlopes() (Slopes, error) {
 	var slopes Slopes
 	if err := json.Unmarshal(slopesJSON, &slopes); err != nil {
@@ -57,14 +57,14 @@
 	ChangesPerDay       int
 	RequestsPerSec      float64
 	TokensPerSec        float64
-	ClaimShare          float64 // part of the requests that carry a key
+	ClaimShare          float64 // share of the requests that have an idempotency key
 	ReviewsWaiting      int
-	BlocksPerPrompt     int // whole blocks of a typical context
+	BlocksPerPrompt     int // full blocks of a typical context
 	NewBlocksPerRequest float64
-	ReplacedBoxesPerDay int // boxes replaced a day
+	ReplacedBoxesPerDay int
 }
 
-// DefaultSize is the size of the users' first letter.
+// DefaultSize is the size of the deployment in two years, as given in the users' first letter.
 func DefaultSize() Size {
 	return Size{
 		Nodes: 360, Zones: 17, Runners: 1400, Organisations: 10_000, Contexts: 1_100_000, ChangesPerDay: 3400,
@@ -73,7 +73,8 @@
 	}
 }
 
-// Limits are what the users grant control on a node.
+// Limits are the resources that the control plane may use on a node. LogAppendsPerSec applies to
+// all nodes together.
 type Limits struct {
 	CorePercent      float64
 	MemoryMB         float64
@@ -81,12 +82,12 @@
 	LogAppendsPerSec float64
 }
 
-// DefaultLimits are the limits of the users' first letter.
+// DefaultLimits are the limits given in the users' first letter.
 func DefaultLimits() Limits {
 	return Limits{CorePercent: 2.3, MemoryMB: 256, BytesPerSec: 4000, LogAppendsPerSec: 300}
 }
 
-// MechanismCost is one line of the table: what one mechanism takes on one node.
+// MechanismCost is a row of the table: the resources that one mechanism uses on one node.
 type MechanismCost struct {
 	Role            string  `json:"role"`
 	Mechanism       string  `json:"mechanism"`
@@ -97,10 +98,10 @@
 	Appends         float64 `json:"log_appends_per_second"`
 }
 
-// Pace of the mechanisms, as the daemon has it by default.
+// Rates and intervals of the mechanisms, with the defaults of the daemon.
 const (
-	statusFanout        = 3.0 // exchanges a second, each a message both ways, and the same again received
-	reportsPerSec       = 2.0 // looks at each runner a second
+	statusFanout        = 3.0 // exchanges a second, each with a message in both directions; as many are received
+	reportsPerSec       = 2.0 // polls of each runner a second
 	claimRetentionHours = 2.0
 	checkpointEvery     = 200.0
 	secondsPerDay       = 86_400.0
@@ -109,10 +110,10 @@
 	secondsPerNano      = 1e-9
 )
 
-// plannedClaims is the row of a mechanism that is not built yet.
+// plannedClaims is the row of a mechanism that is not implemented yet.
 const plannedClaims = "claims, two writers a zone and stream (planned)"
 
-// MechanismCosts works the rows out for one node of a deployment.
+// MechanismCosts computes the rows for one node of a deployment.
 func MechanismCosts(size Size, s Slopes) []MechanismCost {
 	nodesInZone := float64(size.Nodes) / float64(size.Zones)
 	runners := float64(size.Runners) / float64(size.Zones)
@@ -122,7 +123,7 @@
 	changes := float64(size.ChangesPerDay) / secondsPerDay
 	entries := float64(size.Organisations + size.Runners)
 	claims := size.RequestsPerSec * size.ClaimShare
-	events := zoneRequests * size.NewBlocksPerRequest * 2 // stored and evicted
+	events := zoneRequests * size.NewBlocksPerRequest * 2 // a stored and an evicted event per block
 	rows := []MechanismCost{
 		{
 			Role: "entry box", Mechanism: "configuration by log tail", State: "all organisations and servers",
@@ -164,28 +165,28 @@
 	return rows
 }
 
-// EventCost is what something that happens costs.
+// EventCost is the cost of a failure or replacement.
 type EventCost struct {
 	Name string `json:"event"`
-	// PerDay is how often it happens; 0 where that is not known.
+	// PerDay is the expected number of these events per day; 0 means unknown.
 	PerDay float64 `json:"per_day"`
-	// Messages and Bytes are what control sends for one.
+	// Messages and Bytes are what the control plane sends per event.
 	Messages float64 `json:"messages"`
 	Bytes    float64 `json:"bytes"`
-	// Tokens is the prompt work that one makes necessary again.
+	// Tokens is the number of prompt tokens that must be prefilled again per event.
 	Tokens float64 `json:"recomputed_tokens"`
 }
 
-// Assumptions about what an event hits.
+// Assumptions about what an event affects.
 const (
-	runnerCacheTokens = 300_000.0     // kept context that a runner's memory holds
-	retentionSeconds  = secondsPerDay // of the log
+	runnerCacheTokens = 300_000.0     // cached context that fits in a runner's memory
+	retentionSeconds  = secondsPerDay // retention of the log
 	tokensPerBlock    = 256.0
 	claimStreams      = 16.0
 	recordsPerRead    = 1000.0
 )
 
-// EventCosts works out what failures and replacements cost.
+// EventCosts computes the costs of failures and replacements.
 func EventCosts(size Size, s Slopes) []EventCost {
 	runners := float64(size.Runners) / float64(size.Zones)
 	contexts := float64(size.Contexts) / float64(size.Zones)
@@ -203,7 +204,7 @@
 	}
 }
 
-// PrintEventCosts writes what failures and replacements cost.
+// PrintEventCosts prints the costs of failures and replacements.
 func PrintEventCosts(out io.Writer, events []EventCost) {
 	fmt.Fprintf(out, "\n| event | a day | messages | MB | recomputed tokens |\n|---|---:|---:|---:|---:|\n")
 	for _, e := range events {
@@ -211,8 +212,8 @@
 	}
 }
 
-// memoryCell writes an amount of memory in MB. A slope below zero is one within the noise of its
-// measurement, and no memory.
+// memoryCell formats an amount of memory in MB. A negative slope is within the noise of its
+// measurement and is not shown as memory.
 func memoryCell(mb float64) string {
 	if mb < 0 {
 		return "within noise"
@@ -220,7 +221,7 @@
 	return strconv.FormatFloat(mb, 'f', 2, 64)
 }
 
-// Print writes the table, its sums and where a limit is passed.
+// Print prints the table, its totals and the mechanisms that exceed a limit.
 func Print(out io.Writer, size Size, rows []MechanismCost, limits Limits) {
 	fmt.Fprintf(out, "one entry box of %d in %d zones, before %d runners, %d organisations, %d contexts, %.0f requests/s, %d changes a day\n\n",
 		size.Nodes, size.Zones, size.Runners, size.Organisations, size.Contexts, size.RequestsPerSec, size.ChangesPerDay)
--- a/internal/policybench/load.go
+++ b/internal/policybench/load.go
@@ -1,10 +1,8 @@
-// Package policybench compares placement policies in virtual time: the real
-// decision code against fakes of runners, with no processes, no network and no
-// membership. The loads are small files beside this one, and a seed decides the
-// rest, so every figure can be had again.
+// Package policybench compares placement policies in virtual time. It runs the real decision code
+// against simulated runners, without processes, network or membership. The loads are small files
+// in this package and a seed determines the rest, so every figure is reproducible.
 //
-// Nothing outside this package depends on it but the bench program; the users'
-// own bench will take its place.
+// Only the bench program depends on this package. The users' own bench is meant to replace it.
 package policybench
 
 import (
@@ -19,7 +17,7 @@
 //go:embed loads/*.json
 var loadFiles embed.FS
 
-// Load describes what the callers of a deployment send and what serves it.
+// Load describes a deployment and the requests of its callers.
 type Load struct {
 	Deployment       string  `json:"deployment"`
 	FirstTokenWeight float64 `json:"first_token_weight"`
@@ -31,20 +29,20 @@
 	DecodeRate       float64 `json:"decode_tokens_per_second"`
 	CacheTokens      int     `json:"cache_tokens"`
 	ReportLag        float64 `json:"report_lag_seconds"`
-	// Organisations holds the part of the requests of each, in percent.
+	// Organisations holds the share of the requests of each organisation, in percent.
 	Organisations []float64 `json:"organisations"`
-	// SharedTokens is the length of the prefix that all contexts of an
-	// organisation share; ContextTokens that of what follows it.
+	// SharedTokens is the length of the prefix that all contexts of an organisation share.
+	// ContextTokens is the range of the length of what follows it.
 	SharedTokens   int    `json:"shared_tokens"`
 	ContextTokens  [2]int `json:"context_tokens"`
 	QuestionTokens [2]int `json:"question_tokens"`
 	InstantTokens  [2]int `json:"instant_tokens"`
 	OutputTokens   [2]int `json:"output_tokens"`
-	// NewContextShare is the part of the long requests whose context is new.
+	// NewContextShare is the share of the long requests whose context is new.
 	NewContextShare float64 `json:"new_context_part"`
-	// InstantShare is the part of the requests that are short and instant.
+	// InstantShare is the share of the requests that are short and instant.
 	InstantShare float64 `json:"instant_part"`
-	// Every BurstEvery requests, BurstSize come at once.
+	// Of every BurstEvery requests, the first BurstSize arrive at once.
 	BurstEvery int `json:"burst_every"`
 	BurstSize  int `json:"burst_size"`
 	Requests   int `json:"requests"`
@@ -82,7 +80,7 @@
 	at           float64 // seconds
 	organisation int
 	instant      bool
-	// segments are the prefix, in order; question is never cached.
+	// segments are the cacheable prefix, in order. The question is never cached.
 	segments     []segment
 	question     int
 	output       int
@@ -97,16 +95,17 @@
 	return total
 }
 
-// generator makes the requests of a load from a seed.
+// generator generates the requests of a load from a seed.
 type generator struct {
 	load     Load
 	random   *rand.Rand
 	shared   []segment
-	contexts [][][]segment // of each organisation, in the order they came up
+	contexts [][][]segment // by organisation, in the order of their creation
 	nextID   int
 }
 
-// generate makes the requests of a load with times of unit rate; see scale.
+// generate generates the requests of a load, with arrivals at unit rate; scale sets the actual
+// rate.
 func generate(load Load, seed uint64) []request {
 	g := &generator{load: load, random: rand.New(rand.NewPCG(seed, 1))}
 	for range load.Organisations {
@@ -156,8 +155,8 @@
 	return len(g.load.Organisations) - 1
 }
 
-// context gives a new context, or one that returns: of an organisation's
-// contexts any may come back, so gaps reach from moments to the whole load.
+// context returns a new context or an earlier one of the organisation. Each earlier context is
+// equally likely, so the time between two uses of a context ranges from moments to the whole load.
 func (g *generator) context(organisation int) []segment {
 	known := g.contexts[organisation]
 	if len(known) > 0 && g.random.Float64() >= g.load.NewContextShare {
@@ -168,15 +167,14 @@
 	return fresh
 }
 
-// bound is what a clairvoyant with one cache of the size of all together would
-// have to compute, in tokens, and the part of it that nobody has seen before.
+// bound counts prompt tokens: all of them, those that a clairvoyant policy with a single cache of
+// the total size would compute, and those that occur for the first time.
 type bound struct {
 	total, computed, firstUses int
 }
 
-// clairvoyant works the bound out. It keeps the segments whose next use is
-// nearest (Belady's rule), which for whole segments of different sizes is a
-// good bound rather than the exact one.
+// clairvoyant computes the bound. It evicts the segments whose next use is farthest away (Belady's
+// rule). With segments of different sizes, this bound is close but not exact.
 func clairvoyant(load Load, requests []request) bound {
 	uses := map[int][]int{}
 	for i := range requests {
@@ -239,8 +237,8 @@
 	return size
 }
 
-// scale stretches the times of requests so that what the clairvoyant computes
-// takes a part of all runners' prefill time: that part is the load.
+// scale stretches the arrival times so that the tokens that the clairvoyant policy computes take
+// the given share of the prefill time of all runners. That share is the load.
 func scale(load Load, requests []request, b bound, part float64) {
 	last := requests[len(requests)-1].at
 	wanted := float64(b.computed) / (float64(load.Runners) * load.PrefillRate * part)
--- a/internal/policybench/policybench_test.go
+++ b/internal/policybench/policybench_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// rowsOf runs all policies on one load with few seeds, by policy name.
+// rowsOf runs all policies on one load with a few seeds and returns the rows by policy name.
 func rowsOf(t *testing.T, load Load, percent, seeds int) map[string]Row {
 	t.Helper()
 	rows := map[string]Row{}
@@ -23,8 +23,8 @@
 	return loads
 }
 
-// The bounds below are on figures of virtual time, which the seeds decide, so
-// the verdict is the same on every machine.
+// The figures are in virtual time and determined by the seeds, so the result is the same on every
+// machine.
 func TestPolicyInUseMeetsItsBounds(t *testing.T) {
 	const seeds = 3
 	for _, load := range mustLoads(t) {
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -11,15 +11,16 @@
 	"github.com/cometlock/cometlock/internal/decide"
 )
 
-// Result is what one run of a policy came to. Times are seconds.
+// Result is the result of one run of a policy. Times are in seconds.
 type Result struct {
 	P50, P95, P99 float64
 	InstantP95    float64
-	// RecomputedShare is the part of the prompt tokens that were prefilled.
+	// RecomputedShare is the share of the prompt tokens that were prefilled.
 	RecomputedShare float64
-	// InTimeShare is the part of the requests whose first token came in time.
+	// InTimeShare is the share of the requests whose first token met its deadline.
 	InTimeShare float64
-	// FairnessIndex is Jain's index over the organisations' parts that were served.
+	// FairnessIndex is Jain's index over the share of each organisation's requests that were
+	// served in time.
 	FairnessIndex float64
 	Refused       int
 
@@ -68,14 +69,14 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// namedPolicy is one row of the comparison. A policy with state is made anew for
-// each run.
+// namedPolicy is a policy of the comparison. Each run creates a new instance, since a policy may
+// have state.
 type namedPolicy struct {
 	name   string
 	create func() decide.Policy
 }
 
-// chosen names the policy in use.
+// policyInUse is the name of the policy in use.
 const policyInUse = "two homes (in use)"
 
 func policies() []namedPolicy {
@@ -92,7 +93,8 @@
 	}
 }
 
-// Row is a policy at a load: means over the seeds, and the spread of two.
+// Row is the result of a policy at one load: means over the seeds, and the range of the 95th
+// percentile.
 type Row struct {
 	Deployment       string  `json:"deployment"`
 	Load             int     `json:"load_percent"`
@@ -112,13 +114,13 @@
 	Refused          float64 `json:"refused"`
 }
 
-// Seeds is how many seeds each row is the mean of.
+// Seeds is the number of seeds that each row averages over.
 const Seeds = 10
 
-// LoadPercents are the loads of the comparison.
+// LoadPercents returns the loads of the comparison, in percent.
 func LoadPercents() []int { return []int{50, 80, 95, 120} }
 
-// compare runs all policies on one load at one level.
+// compare runs all policies on a load at the given level.
 func compare(load Load, percent, seeds int) []Row {
 	rows := make([]Row, len(policies()))
 	for i, policy := range policies() {
@@ -149,10 +151,10 @@
 	r.Refused += float64(result.Refused) / seeds
 }
 
-// OutputFile is where Run leaves the rows as JSON.
+// OutputFile is the file to which Run writes the rows as JSON.
 const OutputFile = "bench-policy.json"
 
-// Run prints the comparison and writes it as JSON.
+// Run prints the comparison and writes it to OutputFile.
 func Run(out io.Writer) error {
 	loads, err := Loads()
 	if err != nil {
--- a/internal/policybench/simulate.go
+++ b/internal/policybench/simulate.go
@@ -9,7 +9,7 @@
 	"github.com/cometlock/cometlock/internal/decide"
 )
 
-// cache is a runner's prefix cache: least recently used segments go first.
+// cache is a runner's prefix cache with least-recently-used eviction.
 type cache struct {
 	capacity, size int
 	entries        map[int]*list.Element
@@ -20,7 +20,7 @@
 	return &cache{capacity: capacity, entries: map[int]*list.Element{}, lru: list.New()}
 }
 
-// warm gives the tokens of the prefix that are there.
+// cachedTokens returns how many tokens of the prefix are cached.
 func (c *cache) cachedTokens(segments []segment) int {
 	tokens := 0
 	for _, s := range segments {
@@ -52,20 +52,20 @@
 	}
 }
 
-// runner is a fake of a model runner.
+// runner simulates a model runner.
 type runner struct {
 	cache      *cache
-	queue      []*job // instant ones first
+	queue      []*job // instant requests first
 	prefilling bool
 	decodes    int
-	// queued is the prompt work not yet prefilled, by class.
+	// queued is the prompt work that is not prefilled yet, by class.
 	queued [classes]int
-	// reported is what the last load report said.
+	// reported is the queued work in the last load report.
 	reported        [classes]int
 	reportedRunning int
 }
 
-// classes are the urgencies that a runner tells apart: instant, and all others.
+// classes is the number of priority classes of a runner: instant requests, and all others.
 const classes = 2
 
 func classOf(req *request) int {
@@ -79,14 +79,15 @@
 type job struct {
 	request         *request
 	box             int
-	predictedTokens int // prefill tokens that the box expected
+	predictedTokens int // prefill tokens that the box predicted
 	arrived         float64
-	// begun says that the job has its slot, and left is what is not prefilled.
+	// admitted means that the job has a slot. remaining counts the tokens that are not prefilled
+	// yet.
 	admitted  bool
 	remaining int
 }
 
-// event is something that happens at a time.
+// event is a function that is scheduled for a given time.
 type event struct {
 	at    float64
 	order int
@@ -119,15 +120,15 @@
 	return item
 }
 
-// box is what one entry box knows by itself.
+// box is the state that an entry box tracks itself.
 type box struct {
-	// sent is the prefill work it sent and has seen no first token of, and
-	// sentAtReport what that was at the last report.
+	// sent is the prefill work that the box has sent and whose first token it has not received.
+	// sentAtReport is the part of it that was sent before the last report.
 	sent, sentAtReport [][classes]int
 	running            []int
 }
 
-// simulation plays a load against a policy.
+// simulation runs the requests of a load with a policy.
 type simulation struct {
 	load     Load
 	policy   decide.Policy
@@ -143,13 +144,13 @@
 	served   []float64
 }
 
-// Deadlines within which a first token counts as good, in seconds.
+// Deadlines for the first token, in seconds.
 const (
 	instantDeadline = 2.0
 	normalDeadline  = 30.0
 )
 
-// simulate plays requests, whose times are scaled, against a policy.
+// simulate runs requests, whose arrival times are already scaled, with a policy.
 func simulate(load Load, requests []request, policy decide.Policy) Result {
 	s := &simulation{load: load, policy: policy, offered: make([]float64, len(load.Organisations)), served: make([]float64, len(load.Organisations))}
 	for range load.Runners {
@@ -183,7 +184,7 @@
 	heap.Push(&s.pending, event{at: at, order: s.order, run: do})
 }
 
-// report brings all boxes the load of all runners, as it is now.
+// report sends the current load of all runners to all boxes.
 func (s *simulation) report() {
 	s.reportAt = s.now
 	for i, r := range s.runners {
@@ -194,7 +195,8 @@
 	}
 }
 
-// describe gives what a box knows of the runners, as package zone works it out.
+// describe returns the state of the runners as a box knows it, computed in the same way as in
+// package zone.
 func (s *simulation) describe(req *request, b *box) []decide.Runner {
 	age := s.now - s.reportAt
 	for i, r := range s.runners {
@@ -250,7 +252,7 @@
 	return normalDeadline
 }
 
-// add queues a job, instant ones before all others.
+// add queues a job, with instant ones before all others.
 func (r *runner) add(j *job) {
 	r.queued[classOf(j.request)] += j.predictedTokens
 	if !j.request.instant {
@@ -264,8 +266,8 @@
 	r.queue = slices.Insert(r.queue, at, j)
 }
 
-// chunkTokens is how much prompt an engine prefills before it looks again at
-// what is most urgent.
+// chunkTokens is the number of prompt tokens that an engine prefills before it selects the most
+// urgent job again.
 const chunkTokens = 2048
 
 // advance prefills the next chunk of the most urgent job of a runner.
