--- a/internal/bench/apply.go
+++ b/internal/bench/apply.go
@@ -9,11 +9,11 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// applyRounds is how many changes are timed.
+// applyRounds is the number of changes that are timed.
 const applyRounds = 10
 
-// applyTime times changes from apply to in force on eight boxes in two zones,
-// with the log reachable and with it cut for the boxes of one zone.
+// measureApply measures the time from applying a configuration change until all eight boxes in two
+// zones use it, with the log reachable and with the log cut off from the boxes of one zone.
 func measureApply(out io.Writer) error {
 	if err := checkRepository(); err != nil {
 		return err
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -1,10 +1,9 @@
-// Package bench measures cometlock on one machine and prints the figures that
-// docs/ quotes.
+// Package bench measures cometlock on one machine and prints the figures that docs/ quotes.
 //
-// Wall-clock figures are only worth something beside others of the same run, so
-// every one is measured together with its baseline: the same client straight to
-// the same stand-in. Slopes (what one more organisation, runner or kept context
-// costs) feed docs/CAPACITY.md through `cometlock capacity`.
+// Wall-clock figures can only be compared within the same run, so each is measured together with
+// its baseline: the same client connected directly to the same stand-in. Slopes (the cost of one
+// more organisation, runner or cached context) are used for docs/CAPACITY.md by `cometlock
+// capacity`.
 package bench
 
 import (
@@ -29,7 +28,7 @@
 	exitUsage  = 2
 )
 
-// section is one part of the run.
+// section is one part of the bench.
 type section struct {
 	name string
 	help string
@@ -48,7 +47,7 @@
 	}
 }
 
-// Main runs the sections that are named, or all.
+// Main runs the sections that the arguments name, or all of them.
 func Main(args []string, out, errOut io.Writer) int {
 	parser := flaggy.NewParser("cometlock-bench")
 	parser.Description = "Measure cometlock. Without a command, everything."
@@ -87,8 +86,8 @@
 	return exitOK
 }
 
-// comparePolicies runs both policy benches: that of cometlockd's policy, and that of the
-// policy that places prompts by routes and on the users' platform.
+// comparePolicies runs both policy benches: the one for cometlockd's own policy, and the one for
+// the policy that places prompts by routes and on the users' platform.
 func comparePolicies(out io.Writer) error {
 	if err := policybench.Run(out); err != nil {
 		return err
@@ -96,7 +95,7 @@
 	return sitebench.Run(out)
 }
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -105,10 +104,11 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// sampleFile is the configuration that the fleets of the bench use.
+// sampleFile is the configuration of the test fleets of the bench.
 const sampleFile = "examples/local.yaml"
 
-// inRepository reports whether the sample file is there.
+// checkRepository returns an error if the sample file is missing, i.e. if the bench runs outside
+// the repository.
 func checkRepository() error {
 	_, err := os.Stat(sampleFile)
 	return err
--- a/internal/bench/claims.go
+++ b/internal/bench/claims.go
@@ -15,34 +15,34 @@
 	"github.com/cometlock/cometlock/internal/logservice"
 )
 
-// The log of the claims' measurement.
+// Rate limit of the log, and duration of each measurement of claims.
 const (
 	logAppendsPerSecond = 200
 	claimSeconds        = 2
 )
 
-// pacedLog lets a limited number of appends through a second.
+// pacedLog is a log with a limited rate of appends.
 type pacedLog struct {
 	logservice.Log
 	mu         sync.Mutex
 	nextAppend time.Time
 }
 
-// Append waits its turn.
+// Append delays the append until the rate limit admits it.
 func (p *pacedLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	p.mu.Lock()
 	now := time.Now()
 	if p.nextAppend.Before(now) {
 		p.nextAppend = now
 	}
-	turn := p.nextAppend
+	slot := p.nextAppend
 	p.nextAppend = p.nextAppend.Add(time.Second / logAppendsPerSecond)
 	p.mu.Unlock()
-	time.Sleep(time.Until(turn))
+	time.Sleep(time.Until(slot))
 	return p.Log.Append(ctx, stream, data)
 }
 
-// claims offers claims at growing rates and prints what batching costs.
+// claims sends claims at increasing rates and prints throughput and latency by batch delay.
 func claims(out io.Writer) error {
 	fmt.Fprintf(out, "  %10s %12s %10s %10s %10s %14s\n", "delay ms", "offered /s", "won /s", "p50 ms", "p99 ms", "claims/append")
 	for _, delay := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
@@ -63,21 +63,21 @@
 	time.Sleep(100 * time.Millisecond)
 	histogram := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
-	var ended sync.WaitGroup
+	var inFlight sync.WaitGroup
 	began := time.Now()
 	count := offered * claimSeconds
 	for i := range count {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * time.Second / time.Duration(offered))))
-		ended.Go(func() {
+		inFlight.Go(func() {
 			took, ok := claimOne(service)
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
-				_ = histogram.RecordValue(max(1, took.Microseconds())) // within the range of the histogram
+				_ = histogram.RecordValue(max(1, took.Microseconds())) // the value is within the range of the histogram
 			}
 		})
 	}
-	ended.Wait()
+	inFlight.Wait()
 	seconds := time.Since(began).Seconds()
 	appends := int64(0)
 	for _, stream := range service.State() {
--- a/internal/bench/overhead.go
+++ b/internal/bench/overhead.go
@@ -17,23 +17,23 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// Load of the overhead measurement.
+// Size of the overhead measurement.
 const (
 	overheadRequests = 4000
 	overheadChunks   = 100
 	overheadWorkers  = 4
 )
 
-// target is where the client sends its requests.
+// target is the destination of the client's requests.
 type target struct {
 	url    string
-	host   string // that of the URL where empty
+	host   string // Host header; empty for the host of the URL
 	header http.Header
-	// end stands in the last piece of a whole answer.
+	// terminator is contained in the last chunk of a complete answer.
 	terminator string
 }
 
-// measured is what a run of requests came to.
+// loadResult is the result of a number of requests.
 type loadResult struct {
 	firstChunk *hdrhistogram.Histogram // microseconds
 	cpu        time.Duration
@@ -46,8 +46,8 @@
 
 func (m loadResult) allocsPerRequest() float64 { return float64(m.allocs) / float64(m.requests) }
 
-// overhead compares a client straight to an engine with the same client through
-// an entry box, in turns, so that both see the same machine.
+// overhead compares a client that is connected directly to an engine with the same client through
+// an entry box. The two take turns, so that they run under the same conditions.
 func overhead(out io.Writer) error {
 	if err := checkRepository(); err != nil {
 		return err
@@ -64,8 +64,8 @@
 	key := http.Header{"Authorization": {"Bearer " + testfleet.KeyNordlys}}
 	const completions, streamEnd = "/v1/chat/completions", "[DONE]"
 	engine := target{url: "http://" + serverAddress(fleet, baselineEngine) + completions, terminator: streamEnd}
-	few, many := 1, overheadChunks
-	for _, chunks := range []int{few, many} {
+	single, many := 1, overheadChunks
+	for _, chunks := range []int{single, many} {
 		what := fmt.Sprintf("requests of %d chunks", chunks)
 		if err := compareOverhead(out, what, chunks, engine, target{url: box + completions, header: key, terminator: streamEnd}); err != nil {
 			return err
@@ -77,7 +77,7 @@
 	return compareOverhead(out, "calls by route", 1, booking, target{url: box + desk, host: "booking.example", header: key, terminator: answerEnd})
 }
 
-// compareOverhead sends the same straight to a server and through an entry box.
+// compareOverhead sends the same requests directly to a server and through an entry box.
 func compareOverhead(out io.Writer, what string, chunks int, direct, through target) error {
 	const warmUp = overheadRequests / 10
 	for _, at := range []target{direct, through} {
@@ -85,22 +85,22 @@
 			return err
 		}
 	}
-	straight, err := sendLoad(direct, overheadRequests, chunks)
+	directResult, err := sendLoad(direct, overheadRequests, chunks)
 	if err != nil {
 		return err
 	}
-	boxed, err := sendLoad(through, overheadRequests, chunks)
+	boxResult, err := sendLoad(through, overheadRequests, chunks)
 	if err != nil {
 		return err
 	}
-	printOverhead(out, what, straight, boxed)
+	printOverhead(out, what, directResult, boxResult)
 	return nil
 }
 
-// baselineEngine is the engine of the sample file that baselines talk to.
+// baselineEngine is the engine of the sample file that the baseline requests go to.
 const baselineEngine = "runner-zone-a-1"
 
-// serverAddress is where a server is that the baseline talks to.
+// serverAddress returns the address of a server of the sample file.
 func serverAddress(fleet *testfleet.Fleet, name string) string {
 	for _, server := range fleet.Set().File().BackendServers {
 		if server.Name == name {
@@ -110,17 +110,17 @@
 	return ""
 }
 
-func printOverhead(out io.Writer, what string, straight, boxed loadResult) {
-	fmt.Fprintf(out, "%d %s, %d at a time, client and stand-in in the same process\n", boxed.requests, what, overheadWorkers)
+func printOverhead(out io.Writer, what string, direct, throughBox loadResult) {
+	fmt.Fprintf(out, "%d %s, %d at a time, client and stand-in in the same process\n", throughBox.requests, what, overheadWorkers)
 	fmt.Fprintf(out, "  %-34s %12s %12s %12s\n", "", "straight", "entry box", "added")
 	for _, quantile := range []float64{50, 95, 99} {
-		a, b := straight.firstChunk.ValueAtQuantile(quantile), boxed.firstChunk.ValueAtQuantile(quantile)
+		a, b := direct.firstChunk.ValueAtQuantile(quantile), throughBox.firstChunk.ValueAtQuantile(quantile)
 		fmt.Fprintf(out, "  first chunk, %gth percentile (µs) %11d %12d %12d\n", quantile, a, b, b-a)
 	}
-	added := boxed.cpuPerRequest() - straight.cpuPerRequest()
-	fmt.Fprintf(out, "  %-34s %12.0f %12.0f %12.0f\n", "CPU a request (µs)", straight.cpuPerRequest(), boxed.cpuPerRequest(), added)
-	fmt.Fprintf(out, "  %-34s %12.1f %12.1f %12.1f\n", "allocations a request", straight.allocsPerRequest(), boxed.allocsPerRequest(), boxed.allocsPerRequest()-straight.allocsPerRequest())
-	fmt.Fprintf(out, "  an entry box on one core carries %.0f such requests, %.0f chunks a second\n", 1e6/added, float64(boxed.chunks)*1e6/added)
+	added := throughBox.cpuPerRequest() - direct.cpuPerRequest()
+	fmt.Fprintf(out, "  %-34s %12.0f %12.0f %12.0f\n", "CPU a request (µs)", direct.cpuPerRequest(), throughBox.cpuPerRequest(), added)
+	fmt.Fprintf(out, "  %-34s %12.1f %12.1f %12.1f\n", "allocations a request", direct.allocsPerRequest(), throughBox.allocsPerRequest(), throughBox.allocsPerRequest()-direct.allocsPerRequest())
+	fmt.Fprintf(out, "  an entry box on one core carries %.0f such requests, %.0f chunks a second\n", 1e6/added, float64(throughBox.chunks)*1e6/added)
 }
 
 func waitReady(box *testfleet.Box) error {
@@ -130,26 +130,26 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return errors.New("the entry box did not get ready")
+	return errors.New("the entry box did not become ready")
 }
 
 func requestBody(chunks int, text string) []byte {
 	return fmt.Appendf(nil, `{"model":"scene-review","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, chunks, text)
 }
 
-// load sends requests and reads their answers whole.
+// sendLoad sends requests concurrently and reads their complete answers.
 func sendLoad(at target, requests, chunks int) (loadResult, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: overheadWorkers}}
 	defer client.CloseIdleConnections()
 	result := loadResult{firstChunk: hdrhistogram.New(1, 60_000_000, 3), requests: requests, chunks: chunks}
 	var mu sync.Mutex
-	var ended sync.WaitGroup
+	var workers sync.WaitGroup
 	var failure error
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	cpu := cpuTime()
 	for range overheadWorkers {
-		ended.Go(func() {
+		workers.Go(func() {
 			histogram, err := sendRequests(client, at, requests/overheadWorkers, chunks)
 			mu.Lock()
 			defer mu.Unlock()
@@ -160,7 +160,7 @@
 			result.firstChunk.Merge(histogram)
 		})
 	}
-	ended.Wait()
+	workers.Wait()
 	result.cpu = cpuTime() - cpu
 	runtime.ReadMemStats(&after)
 	result.allocs = after.Mallocs - before.Mallocs
@@ -183,7 +183,7 @@
 	return histogram, nil
 }
 
-// sendOne sends one request and gives the time to its first chunk.
+// sendOne sends one request and returns the time to its first chunk.
 func sendOne(client *http.Client, at target, body, buffer []byte) (time.Duration, error) {
 	request, err := http.NewRequest(http.MethodPost, at.url, bytes.NewReader(body))
 	if err != nil {
@@ -211,10 +211,10 @@
 		return 0, err
 	}
 	if n > 0 && !strings.Contains(string(buffer[:n]), at.terminator) {
-		return 0, errors.New("the answer is not whole")
+		return 0, errors.New("the answer is incomplete")
 	}
 	return took, nil
 }
 
-// newBody makes the body of a request for two chunks.
+// newBody returns the body of a request for two chunks.
 func newBody(text string) io.Reader { return bytes.NewReader(requestBody(2, text)) }
--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -21,7 +21,7 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// Size and mix of the soak.
+// Size and mix of the soak test.
 const (
 	soakRequests  = 100_000
 	soakWorkers   = 16
@@ -33,22 +33,22 @@
 	soakMaxTries  = 4
 )
 
-// soak sends requests under faults that come and go, and holds what callers were
-// told against the ledgers of the stand-ins.
+// soak sends requests while faults are injected and cleared, and compares the answers that callers
+// received with the ledgers of the stand-ins.
 type soak struct {
 	fleet *testfleet.Fleet
 
 	mu           sync.Mutex
-	answers      map[string]int // by kind and end
+	answers      map[string]int // by kind and outcome
 	notRun       map[string]bool
 	keys         []string
-	reviews      map[string]string // id to prompt
+	reviews      map[string]string // prompt by review ID
 	wrongAnswers int
 	faults       int
-	failures     []string
+	examples     []string
 }
 
-// runSoak is the section of the bench.
+// runSoak runs the soak section of the bench.
 func runSoak(out io.Writer) error {
 	if err := checkRepository(); err != nil {
 		return err
@@ -63,7 +63,7 @@
 			return err
 		}
 	}
-	time.Sleep(time.Second) // the claims' streams are read back
+	time.Sleep(time.Second) // the boxes read the claim streams
 	s := &soak{fleet: fleet, answers: map[string]int{}, notRun: map[string]bool{}, reviews: map[string]string{}}
 	began := time.Now()
 	s.run()
@@ -86,7 +86,7 @@
 	s.clearFaults()
 }
 
-// disturb sets one fault or two after the other until ctx ends.
+// injectFaults injects one or two faults at a time until ctx ends, and clears them in between.
 func (s *soak) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(soakSeed, 99))
 	for ctx.Err() == nil {
@@ -166,18 +166,18 @@
 	}
 }
 
-func (s *soak) count(kind, end string) {
+func (s *soak) count(kind, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answers[kind+" "+end]++
+	s.answers[kind+" "+outcome]++
 }
 
 func (s *soak) recordWrong(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wrongAnswers++
-	if len(s.failures) < 5 {
-		s.failures = append(s.failures, fmt.Sprintf(format, args...))
+	if len(s.examples) < 5 {
+		s.examples = append(s.examples, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -191,7 +191,7 @@
 	return want.String()
 }
 
-// soakChunk is the part of a chunk or answer that is compared.
+// soakChunk holds the fields of a chunk or answer that are compared.
 type soakChunk struct {
 	Choices []struct {
 		Delta struct{ Content string }
@@ -211,7 +211,7 @@
 	if !testfleet.Whole(answer.Body) {
 		s.count("chat", "cut, and told so")
 		if !strings.Contains(answer.Body, `"outcome"`) {
-			s.recordWrong("a stream was cut without a word")
+			s.recordWrong("a stream was cut without an error event")
 		}
 		return
 	}
@@ -223,19 +223,19 @@
 		}
 	}
 	if got.String() != expectedText(text) {
-		s.recordWrong("asked %q, got %q", text, got.String())
+		s.recordWrong("prompt %q: wrong answer %q", text, got.String())
 	}
 	s.count("chat", "whole")
 }
 
-// charge sends a call that may not be repeated, and sends it again with its key,
-// as callers do, to any box.
+// charge sends a call that must not run twice, and retries it with the same idempotency key at any
+// box, as callers do.
 func (s *soak) charge(random *rand.Rand) {
 	key, err := uuid.NewV7()
 	if err != nil {
 		return
 	}
-	end := ""
+	outcome := ""
 	allNotRun := true
 	for range 1 + random.IntN(soakMaxTries) {
 		box := s.fleet.Box(random.IntN(soakBoxes))
@@ -247,14 +247,14 @@
 			s.recordWrong("no answer: %v", err)
 			return
 		}
-		end = answer.Header.Get("Cometlock-Outcome")
-		allNotRun = allNotRun && end == "not-run"
+		outcome = answer.Header.Get("Cometlock-Outcome")
+		allNotRun = allNotRun && outcome == "not-run"
 		if answer.Status == http.StatusOK {
-			end = "answered"
+			outcome = "answered"
 			break
 		}
 	}
-	s.count("charge", end)
+	s.count("charge", outcome)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys = append(s.keys, key.String())
@@ -276,7 +276,7 @@
 	}
 	var accepted struct{ ID string }
 	if json.Unmarshal([]byte(answer.Body), &accepted) != nil {
-		s.recordWrong("a review without a name")
+		s.recordWrong("an accepted review has no ID")
 		return
 	}
 	s.count("review", "accepted")
@@ -285,10 +285,10 @@
 	s.reviews[accepted.ID] = text
 }
 
-// reviewWait is how long accepted reviews may take after the last fault.
+// reviewWait is how long accepted reviews may take to complete after the last fault.
 const reviewWait = 60 * time.Second
 
-// collectReviews fetches every accepted review from another box than the first.
+// collectReviews fetches every accepted review from box 1, whichever box accepted it.
 func (s *soak) collectReviews() error {
 	deadline := time.Now().Add(reviewWait)
 	for id, text := range s.reviews {
@@ -299,7 +299,7 @@
 			}
 			if strings.Contains(answer.Body, `"status":"completed"`) {
 				if !strings.Contains(answer.Body, strings.TrimSpace(expectedText(text))) {
-					s.recordWrong("review %q has another answer", text)
+					s.recordWrong("review %q has a wrong answer", text)
 				}
 				break
 			}
@@ -334,7 +334,7 @@
 	}
 	fmt.Fprintf(out, "  keys that ran twice %d, \"not-run\" that ran %d, wrong answers %d, reviews lost 0 of %d\n", twice, falseNotRun, s.wrongAnswers, len(s.reviews))
 	if twice+falseNotRun+s.wrongAnswers > 0 {
-		return errors.New(strings.Join(append(s.failures, "a promise was broken"), "; "))
+		return errors.New(strings.Join(append(s.examples, "a guarantee was violated"), "; "))
 	}
 	return nil
 }
--- a/internal/bench/streams.go
+++ b/internal/bench/streams.go
@@ -14,15 +14,15 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// Files that an open stream takes in this process: both ends of the caller's
-// connection and both ends of the engine's.
+// Files that an open stream uses in this process: both ends of the caller's connection and both
+// ends of the connection to the engine.
 const (
 	filesPerStream = 4
-	spareFiles     = 500
-	wantedStreams  = 10_000
+	reservedFiles  = 500
+	targetStreams  = 10_000
 )
 
-// openStreams holds many streams open at once and measures what they take.
+// openStreams keeps many streams open at the same time and measures their memory.
 func openStreams(out io.Writer) error {
 	if err := checkRepository(); err != nil {
 		return err
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Prompts of the open streams, in bytes, and how many have the long one.
+// Prompt lengths of the open streams in bytes, and the number of streams with the long prompt.
 const (
 	shortPrompt = 20
 	longPrompt  = 64 << 10
@@ -48,33 +48,33 @@
 )
 
 func printStreamMemory(out io.Writer, streams, promptBytes int) error {
-	straight, err := streamMemory(streams, promptBytes, false)
+	direct, err := streamMemory(streams, promptBytes, false)
 	if err != nil {
 		return err
 	}
-	boxed, err := streamMemory(streams, promptBytes, true)
+	throughBox, err := streamMemory(streams, promptBytes, true)
 	if err != nil {
 		return err
 	}
-	perStream := (float64(boxed) - float64(straight)) / float64(streams)
+	perStream := (float64(throughBox) - float64(direct)) / float64(streams)
 	fmt.Fprintf(out, "%d open streams with prompts of %d bytes\n", streams, promptBytes)
 	fmt.Fprintf(out, "  straight to the engine: %d KiB a stream; through an entry box: %d KiB; the entry box alone: %.1f KiB\n",
-		straight/uint64(streams)>>10, boxed/uint64(streams)>>10, perStream/1024)
-	fmt.Fprintf(out, "  %d streams at that rate: %.0f MB\n", wantedStreams, perStream*wantedStreams/1e6)
+		direct/uint64(streams)>>10, throughBox/uint64(streams)>>10, perStream/1024)
+	fmt.Fprintf(out, "  %d streams at that rate: %.0f MB\n", targetStreams, perStream*targetStreams/1e6)
 	return nil
 }
 
 func streamLimit() (streams, files int) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return wantedStreams / filesPerStream, 0
+		return targetStreams / filesPerStream, 0
 	}
 	files = int(min(limit.Cur, 1<<20))
-	return min(wantedStreams, (files-spareFiles)/filesPerStream), files
+	return min(targetStreams, (files-reservedFiles)/filesPerStream), files
 }
 
-// heldMemory opens streams, straight or through an entry box, and gives the heap
-// and stacks that they take.
+// streamMemory opens streams, directly or through an entry box, and returns the heap and stack
+// memory that they use.
 func streamMemory(streams, promptBytes int, throughBox bool) (uint64, error) {
 	fleet, err := testfleet.Start(testfleet.Config{
 		File: sampleFile, Zones: []string{"zone-a"},
@@ -101,7 +101,7 @@
 	return settledMemory() - before, nil
 }
 
-// widen makes room for all streams at once.
+// raiseLimits raises the limits so that all streams can be open at the same time.
 func raiseLimits(file *config.File, streams int) {
 	for i := range file.BackendServers {
 		if file.BackendServers[i].Role == config.RoleRunner {
@@ -114,14 +114,14 @@
 	file.Limits.QueueLength = 2 * streams
 }
 
-// openMany opens streams and waits until the engines have them all.
+// openAll opens the streams and waits until the engines have started all of them.
 func openAll(ctx context.Context, fleet *testfleet.Fleet, at target, streams, promptBytes int) error {
 	client := &http.Client{Transport: &http.Transport{}}
 	gate := make(chan struct{}, 64)
 	for i := range streams {
 		gate <- struct{}{}
-		held := &openStream{client: client, at: at, text: fmt.Sprintf("%0*d", promptBytes, i), connecting: gate}
-		go held.run(ctx)
+		stream := &openStream{client: client, at: at, text: fmt.Sprintf("%0*d", promptBytes, i), connecting: gate}
+		go stream.run(ctx)
 	}
 	for range 2000 {
 		if startedRuns(fleet) >= streams {
@@ -144,7 +144,7 @@
 	return runs
 }
 
-// heldStream is one request that is left open.
+// openStream is one request that stays open.
 type openStream struct {
 	client     *http.Client
 	at         target
@@ -168,7 +168,8 @@
 	}
 }
 
-// Settling: what earlier sections of the bench left behind must be gone.
+// Memory is measured only once it is stable, so that the memory of earlier sections is freed
+// first.
 const (
 	settlePause  = 200 * time.Millisecond
 	settleRounds = 50
@@ -176,8 +177,7 @@
 	settleSlack  = 64 << 10
 )
 
-// settledMemory is the heap and stack in use once the collector finds nothing
-// more to free.
+// settledMemory returns the heap and stack memory in use once garbage collections free no more.
 func settledMemory() uint64 {
 	var last uint64
 	same := 0
--- a/internal/bench/worth.go
+++ b/internal/bench/worth.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/worth"
 )
 
-// reader is a command that reads what was measured elsewhere, from paths that it is given.
+// reportCommand is a command that reads earlier results from the given paths.
 type reportCommand struct {
 	name string
 	help string
@@ -38,14 +38,14 @@
 
 func printAblation(out io.Writer, paths []string) error {
 	if len(paths) != 1 {
-		return merry.New("name one folder")
+		return merry.New("expected one argument: a folder")
 	}
 	return worth.PrintAblation(out, paths[0])
 }
 
 func printJournal(out io.Writer, arguments []string) error {
 	if len(arguments) == 0 || len(arguments) > 2 {
-		return merry.New("name the journal's folder and, if wanted, a text that reasons contain")
+		return merry.New("expected arguments: the journal folder and optionally a text that reasons contain")
 	}
 	return worth.PrintJournal(out, arguments[0], strings.Join(arguments[1:], ""))
 }
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// printWorth says where days lost their worth: files that end in .json are reports of the
-// users' bench, all others logs of entry boxes.
+// printWorth prints where days lost worth. Files that end in .json are reports of the users'
+// bench, and all others are logs of entry boxes.
 func printWorth(out io.Writer, files []string) error {
 	var reports []worth.Report
 	causes, logs := worth.NewCauses(), 0
@@ -79,7 +79,7 @@
 		logs++
 	}
 	if len(files) == 0 {
-		return merry.New("name reports (.json) or logs")
+		return merry.New("expected arguments: reports (.json) or logs")
 	}
 	if err := worth.Print(out, reports); err != nil || logs == 0 {
 		return err
--- a/internal/policybench/load.go
+++ b/internal/policybench/load.go
@@ -147,8 +147,8 @@
 
 func (g *generator) organisation() int {
 	at := g.random.Float64() * 100
-	for i, part := range g.load.Organisations {
-		if at -= part; at < 0 {
+	for i, share := range g.load.Organisations {
+		if at -= share; at < 0 {
 			return i
 		}
 	}
@@ -158,13 +158,13 @@
 // context returns a new context or an earlier one of the organisation. Each earlier context is
 // equally likely, so the time between two uses of a context ranges from moments to the whole load.
 func (g *generator) context(organisation int) []segment {
-	known := g.contexts[organisation]
-	if len(known) > 0 && g.random.Float64() >= g.load.NewContextShare {
-		return known[g.random.IntN(len(known))]
+	earlier := g.contexts[organisation]
+	if len(earlier) > 0 && g.random.Float64() >= g.load.NewContextShare {
+		return earlier[g.random.IntN(len(earlier))]
 	}
-	fresh := []segment{g.shared[organisation], g.segment(g.uniform(g.load.ContextTokens))}
-	g.contexts[organisation] = append(known, fresh)
-	return fresh
+	created := []segment{g.shared[organisation], g.segment(g.uniform(g.load.ContextTokens))}
+	g.contexts[organisation] = append(earlier, created)
+	return created
 }
 
 // bound counts prompt tokens: all of them, those that a clairvoyant policy with a single cache of
@@ -239,10 +239,10 @@
 
 // scale stretches the arrival times so that the tokens that the clairvoyant policy computes take
 // the given share of the prefill time of all runners. That share is the load.
-func scale(load Load, requests []request, b bound, part float64) {
+func scale(load Load, requests []request, b bound, share float64) {
 	last := requests[len(requests)-1].at
-	wanted := float64(b.computed) / (float64(load.Runners) * load.PrefillRate * part)
+	duration := float64(b.computed) / (float64(load.Runners) * load.PrefillRate * share)
 	for i := range requests {
-		requests[i].at *= wanted / last
+		requests[i].at *= duration / last
 	}
 }
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -51,9 +51,9 @@
 		if offered[i] == 0 {
 			continue
 		}
-		part := served[i] / offered[i]
-		sum += part
-		squares += part * part
+		share := served[i] / offered[i]
+		sum += share
+		squares += share * share
 	}
 	r.InTimeShare = good / all
 	if squares > 0 {
--- a/internal/policybench/simulate.go
+++ b/internal/policybench/simulate.go
@@ -57,7 +57,7 @@
 	cache      *cache
 	queue      []*job // instant requests first
 	prefilling bool
-	decodes    int
+	decoding   int
 	// queued is the prompt work that is not prefilled yet, by class.
 	queued [classes]int
 	// reported is the queued work in the last load report.
@@ -89,9 +89,9 @@
 
 // event is a function that is scheduled for a given time.
 type event struct {
-	at    float64
-	order int
-	run   func()
+	at       float64
+	sequence int
+	run      func()
 }
 
 type events []event
@@ -102,7 +102,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].order < e[j].order
+	return e[i].sequence < e[j].sequence
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -130,18 +130,18 @@
 
 // simulation runs the requests of a load with a policy.
 type simulation struct {
-	load     Load
-	policy   decide.Policy
-	now      float64
-	pending  events
-	order    int
-	runners  []*runner
-	boxes    []*box
-	reportAt float64
-	scratch  []decide.Runner
-	result   Result
-	offered  []float64
-	served   []float64
+	load       Load
+	policy     decide.Policy
+	now        float64
+	pending    events
+	sequence   int
+	runners    []*runner
+	boxes      []*box
+	reportedAt float64
+	scratch    []decide.Runner
+	result     Result
+	offered    []float64
+	served     []float64
 }
 
 // Deadlines for the first token, in seconds.
@@ -161,11 +161,11 @@
 	}
 	s.scratch = make([]decide.Runner, load.Runners)
 	for i := range requests {
-		s.at(requests[i].at, func() { s.arrive(&requests[i], i%load.Boxes) })
+		s.schedule(requests[i].at, func() { s.arrive(&requests[i], i%load.Boxes) })
 	}
 	last := requests[len(requests)-1].at
 	for at := 0.0; at < last; at += load.ReportLag {
-		s.at(at, s.report)
+		s.schedule(at, s.report)
 	}
 	for len(s.pending) > 0 {
 		next, ok := heap.Pop(&s.pending).(event)
@@ -179,16 +179,16 @@
 	return s.result
 }
 
-func (s *simulation) at(at float64, do func()) {
-	s.order++
-	heap.Push(&s.pending, event{at: at, order: s.order, run: do})
+func (s *simulation) schedule(at float64, run func()) {
+	s.sequence++
+	heap.Push(&s.pending, event{at: at, sequence: s.sequence, run: run})
 }
 
 // report sends the current load of all runners to all boxes.
 func (s *simulation) report() {
-	s.reportAt = s.now
+	s.reportedAt = s.now
 	for i, r := range s.runners {
-		r.reported, r.reportedRunning = r.queued, len(r.queue)+r.decodes
+		r.reported, r.reportedRunning = r.queued, len(r.queue)+r.decoding
 		for _, b := range s.boxes {
 			b.sentAtReport[i] = b.sent[i]
 		}
@@ -198,7 +198,7 @@
 // describe returns the state of the runners as a box knows it, computed in the same way as in
 // package zone.
 func (s *simulation) describe(req *request, b *box) []decide.Runner {
-	age := s.now - s.reportAt
+	age := s.now - s.reportedAt
 	for i, r := range s.runners {
 		var own, others float64
 		for class := 0; class <= classOf(req); class++ {
@@ -278,18 +278,18 @@
 	}
 	next := r.queue[0]
 	if !next.admitted {
-		if r.decodes >= s.load.Slots {
+		if r.decoding >= s.load.Slots {
 			return
 		}
 		next.admitted = true
-		r.decodes++
+		r.decoding++
 		next.remaining = next.request.tokens() - r.cache.cachedTokens(next.request.segments)
 		s.result.computed += next.remaining
 	}
 	r.prefilling = true
 	chunk := min(next.remaining, chunkTokens)
 	next.remaining -= chunk
-	s.at(s.now+float64(chunk)/s.load.PrefillRate, func() { s.chunkDone(at, next) })
+	s.schedule(s.now+float64(chunk)/s.load.PrefillRate, func() { s.chunkDone(at, next) })
 }
 
 func (s *simulation) chunkDone(at int, j *job) {
@@ -314,8 +314,8 @@
 	if s.now-j.arrived <= deadline(j.request) {
 		s.served[j.request.organisation]++
 	}
-	s.at(s.now+float64(j.request.output)/s.load.DecodeRate, func() {
-		r.decodes--
+	s.schedule(s.now+float64(j.request.output)/s.load.DecodeRate, func() {
+		r.decoding--
 		b.running[at]--
 		s.advance(at)
 	})
