--- a/internal/bench/apply.go
+++ b/internal/bench/apply.go
@@ -18,13 +18,13 @@
 	if err := checkRepository(); err != nil {
 		return err
 	}
-	for _, cut := range []bool{false, true} {
-		worst, mean, err := applyTimes(cut)
+	for _, logCut := range []bool{false, true} {
+		worst, mean, err := applyTimes(logCut)
 		if err != nil {
 			return err
 		}
 		name := "log reachable from all eight boxes"
-		if cut {
+		if logCut {
 			name = "log cut off for the four boxes of one zone"
 		}
 		fmt.Fprintf(out, "%-44s mean %7.1f ms, worst of %d %7.1f ms\n", name, float64(mean.Microseconds())/1e3, applyRounds, float64(worst.Microseconds())/1e3)
@@ -32,14 +32,14 @@
 	return nil
 }
 
-func applyTimes(cut bool) (worst, mean time.Duration, err error) {
+func applyTimes(logCut bool) (worst, mean time.Duration, err error) {
 	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a", "zone-a", "zone-a", "zone-a"}})
 	if err != nil {
 		return 0, 0, err
 	}
 	defer fleet.Close()
 	add := fleet.AddBox
-	if cut {
+	if logCut {
 		add = fleet.AddBoxWithoutLog
 	}
 	for range 4 {
@@ -64,9 +64,9 @@
 		if err := waitVersion(fleet, version); err != nil {
 			return 0, 0, err
 		}
-		took := time.Since(began)
-		total += took
-		worst = max(worst, took)
+		elapsed := time.Since(began)
+		total += elapsed
+		worst = max(worst, elapsed)
 	}
 	return worst, total / applyRounds, nil
 }
--- a/internal/bench/claims.go
+++ b/internal/bench/claims.go
@@ -69,11 +69,11 @@
 	for i := range count {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * time.Second / time.Duration(offered))))
 		inFlight.Go(func() {
-			took, ok := claimOne(service)
+			latency, ok := claimOne(service)
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
-				_ = histogram.RecordValue(max(1, took.Microseconds())) // the value is within the range of the histogram
+				_ = histogram.RecordValue(max(1, latency.Microseconds())) // the value is within the range of the histogram
 			}
 		})
 	}
--- a/internal/bench/overhead.go
+++ b/internal/bench/overhead.go
@@ -172,11 +172,11 @@
 	body := requestBody(chunks, "Hello")
 	buffer := make([]byte, 32<<10)
 	for range count {
-		took, err := sendOne(client, at, body, buffer)
+		latency, err := sendOne(client, at, body, buffer)
 		if err != nil {
 			return nil, err
 		}
-		if err := histogram.RecordValue(max(1, took.Microseconds())); err != nil {
+		if err := histogram.RecordValue(max(1, latency.Microseconds())); err != nil {
 			return nil, err
 		}
 	}
@@ -203,7 +203,7 @@
 		return 0, fmt.Errorf("status %d", response.StatusCode)
 	}
 	n, err := response.Body.Read(buffer)
-	took := time.Since(began)
+	latency := time.Since(began)
 	for err == nil {
 		n, err = response.Body.Read(buffer)
 	}
@@ -213,7 +213,7 @@
 	if n > 0 && !strings.Contains(string(buffer[:n]), at.terminator) {
 		return 0, errors.New("the answer is incomplete")
 	}
-	return took, nil
+	return latency, nil
 }
 
 // newBody returns the body of a request for two chunks.
--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -184,11 +184,11 @@
 const soakChunks = 6
 
 func expectedText(text string) string {
-	var want strings.Builder
+	var expected strings.Builder
 	for i := range soakChunks {
-		want.WriteString(fakeengine.Word(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text), i))
+		expected.WriteString(fakeengine.Word(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text), i))
 	}
-	return want.String()
+	return expected.String()
 }
 
 // soakChunk holds the fields of a chunk or answer that are compared.
--- a/internal/policybench/load.go
+++ b/internal/policybench/load.go
@@ -183,37 +183,37 @@
 		}
 	}
 	capacity := load.CacheTokens * load.Runners
-	held, size := map[int]segment{}, 0
-	seen := map[int]bool{}
+	cached, size := map[int]segment{}, 0
+	used := map[int]bool{}
 	var b bound
 	for i := range requests {
 		b.total += requests[i].tokens()
 		b.computed += requests[i].question
 		b.firstUses += requests[i].question
 		for _, s := range requests[i].segments {
-			if !seen[s.id] {
+			if !used[s.id] {
 				b.firstUses += s.tokens
-				seen[s.id] = true
+				used[s.id] = true
 			}
 			uses[s.id] = uses[s.id][1:]
-			if _, ok := held[s.id]; ok {
+			if _, ok := cached[s.id]; ok {
 				continue
 			}
 			b.computed += s.tokens
-			held[s.id] = s
+			cached[s.id] = s
 			size += s.tokens
 		}
 		if size > capacity {
-			size = evictFarthest(held, uses, size, capacity)
+			size = evictFarthest(cached, uses, size, capacity)
 		}
 	}
 	return b
 }
 
 func evictFarthest(cached map[int]segment, uses map[int][]int, size, capacity int) int {
-	order := make([]segment, 0, len(cached))
+	byNextUse := make([]segment, 0, len(cached))
 	for _, s := range cached {
-		order = append(order, s)
+		byNextUse = append(byNextUse, s)
 	}
 	next := func(s segment) int {
 		if len(uses[s.id]) == 0 {
@@ -221,13 +221,13 @@
 		}
 		return uses[s.id][0]
 	}
-	sort.Slice(order, func(i, j int) bool {
-		if next(order[i]) != next(order[j]) {
-			return next(order[i]) > next(order[j])
+	sort.Slice(byNextUse, func(i, j int) bool {
+		if next(byNextUse[i]) != next(byNextUse[j]) {
+			return next(byNextUse[i]) > next(byNextUse[j])
 		}
-		return order[i].id < order[j].id
+		return byNextUse[i].id < byNextUse[j].id
 	})
-	for _, s := range order {
+	for _, s := range byNextUse {
 		if size <= capacity {
 			break
 		}
--- a/internal/sitebench/arrivals.go
+++ b/internal/sitebench/arrivals.go
@@ -1,5 +1,5 @@
-// Estimate of the work that other boxes have sent to runners but not reported yet, as in package
-// fleet.
+// Estimate of the work that boxes have sent to runners but not reported to each other yet, as in
+// package fleet.
 
 package sitebench
 
--- a/internal/sitebench/call.go
+++ b/internal/sitebench/call.go
@@ -118,7 +118,7 @@
 	j = &job{call: c}
 	c.pending = int(c.ownTokens)
 	switch from := sim.storeHolding(p); {
-	case sim.policy.clairvoyant && sim.prefilled[p]: // nothing has to be moved
+	case sim.policy.clairvoyant && sim.prefilled[p]: // no transfer needed
 	case from != nil:
 		ends := from.transfer(sim, c.sharedTokens())
 		delay = min(ends-sim.now, fetchMillis)
@@ -150,18 +150,18 @@
 func (c *call) firstEvent(r *runner) {
 	sim, config := c.sim, c.classConfig()
 	r.work[c.box].sub(boxWork{0, c.pending, 0})
-	took := c.since(c.startedAt)
+	elapsed := c.since(c.startedAt)
 	worth := config.Worth
 	switch {
-	case took > config.PatienceMillis:
+	case elapsed > config.PatienceMillis:
 		worth = 0
 		sim.result.abandoned++
-	case took > config.TargetMillis:
+	case elapsed > config.TargetMillis:
 		worth = config.LateWorth
 		sim.result.lateAnswers++
 	}
-	if newer, named := sim.announcedAt[r.weights+1]; named {
-		switch age := sim.now - newer; {
+	if announced, outdated := sim.announcedAt[r.weights+1]; outdated {
+		switch age := sim.now - announced; {
 		case age > worthlessMillis:
 			worth = 0
 		case age > outdatedMillis:
@@ -169,7 +169,7 @@
 		}
 	}
 	sim.result.earnedWorth += worth
-	sim.result.add(c.class, took)
+	sim.result.add(c.class, elapsed)
 }
 
 // candidateFor returns the state of a runner as a box knows it, for the policy. An owner uses the
@@ -188,8 +188,8 @@
 		Name: r.name, InFlight: known.calls, Slots: c.sim.site.Slots, PendingTokens: known.pending, HeldTokens: known.held, PrefillTokens: int(work),
 		Headroom: r.owner == c.box || owner,
 	}
-	if newer, named := c.sim.announcedAt[r.weights+1]; named {
-		candidate.ExtraCost = outdatedCostShare * c.classConfig().TargetMillis * math.Min(1, (c.sim.now-newer)/worthlessMillis)
+	if announced, outdated := c.sim.announcedAt[r.weights+1]; outdated {
+		candidate.ExtraCost = outdatedCostShare * c.classConfig().TargetMillis * math.Min(1, (c.sim.now-announced)/worthlessMillis)
 	}
 	return candidate
 }
--- a/internal/sitebench/result.go
+++ b/internal/sitebench/result.go
@@ -35,11 +35,11 @@
 }
 
 // add records the time from a call's arrival to its first event.
-func (r *Result) add(class int, took float64) {
+func (r *Result) add(class int, millis float64) {
 	for len(r.times) <= class {
 		r.times = append(r.times, nil)
 	}
-	r.times[class] = append(r.times[class], took)
+	r.times[class] = append(r.times[class], millis)
 }
 
 // finish computes the shares and quantiles from the counts.
--- a/internal/sitebench/runner.go
+++ b/internal/sitebench/runner.go
@@ -133,13 +133,13 @@
 	} else {
 		j.prefillShared = false
 	}
-	reading := tokens / r.sim.site.PrefillRate
+	prefillMillis := tokens / r.sim.site.PrefillRate
 	if r.sim.site.Interleaved {
 		for _, other := range r.active {
-			other.finishAt += reading
+			other.finishAt += prefillMillis
 		}
 	}
-	r.sim.schedule(reading+r.stepMillis(), func() { r.prefillDone(j) })
+	r.sim.schedule(prefillMillis+r.stepMillis(), func() { r.prefillDone(j) })
 }
 
 // stepMillis returns the current time of a batch step.
@@ -193,9 +193,9 @@
 // notifyDrained calls onDrained if the runner has no jobs left.
 func (r *runner) notifyDrained() {
 	if r.onDrained != nil && r.running == 0 && len(r.urgent)+len(r.normal) == 0 {
-		drained := r.onDrained
+		callback := r.onDrained
 		r.onDrained = nil
-		drained()
+		callback()
 	}
 }
 
--- a/internal/sitebench/site.go
+++ b/internal/sitebench/site.go
@@ -15,14 +15,14 @@
 )
 
 // Distribution is a log-normal distribution of sizes, with the given mean and the standard
-// deviation of the logarithm, truncated at Max.
+// deviation of the logarithm, clamped to the range from 1 to Max.
 type Distribution struct {
 	Mean, Deviation, Max float64
 }
 
-func (s Distribution) sample(random *rand.Rand) float64 {
-	shift := math.Log(s.Mean) - s.Deviation*s.Deviation/2
-	return max(1, min(s.Max, math.Exp(shift+s.Deviation*random.NormFloat64())))
+func (d Distribution) sample(random *rand.Rand) float64 {
+	shift := math.Log(d.Mean) - d.Deviation*d.Deviation/2
+	return max(1, min(d.Max, math.Exp(shift+d.Deviation*random.NormFloat64())))
 }
 
 // Class is a class of prompts.
