--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -21,36 +21,36 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// Size and mix of the soak.
+// Size and mix of the soak test.
 const (
-	soakRequests = 100_000
-	soakWorkers  = 16
-	soakBoxes    = 3
-	soakSeed     = 20261202
-	chargePart   = 0.25
-	reviewPart   = 0.02
-	faultPause   = 150 * time.Millisecond
-	soakTries    = 4
+	soakRequests  = 100_000
+	soakWorkers   = 16
+	soakBoxes     = 3
+	soakSeed      = 20261202
+	chargeShare   = 0.25
+	reviewShare   = 0.02
+	faultInterval = 150 * time.Millisecond
+	soakMaxTries  = 4
 )
 
-// soak sends requests under faults that come and go, and holds what callers were
-// told against the ledgers of the stand-ins.
+// soak sends requests while faults are injected and cleared, and compares the answers that callers
+// received with the ledgers of the stand-ins.
 type soak struct {
 	fleet *testfleet.Fleet
 
-	mu       sync.Mutex
-	answers  map[string]int // by kind and end
-	notRun   map[string]bool
-	keys     []string
-	reviews  map[string]string // id to prompt
-	wrong    int
-	faults   int
-	failures []string
+	mu           sync.Mutex
+	answers      map[string]int // by kind and outcome
+	notRun       map[string]bool
+	keys         []string
+	reviews      map[string]string // prompt by review ID
+	wrongAnswers int
+	faults       int
+	examples     []string
 }
 
-// runSoak is the section of the bench.
+// runSoak runs the soak section of the bench.
 func runSoak(out io.Writer) error {
-	if err := inRepository(); err != nil {
+	if err := checkRepository(); err != nil {
 		return err
 	}
 	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a", "zone-b", "zone-a"}, Engine: fakeengine.Config{KeepRuns: 5 * time.Second}})
@@ -63,39 +63,39 @@
 			return err
 		}
 	}
-	time.Sleep(time.Second) // the claims' streams are read back
+	time.Sleep(time.Second) // the boxes read the claim streams
 	s := &soak{fleet: fleet, answers: map[string]int{}, notRun: map[string]bool{}, reviews: map[string]string{}}
 	began := time.Now()
-	s.play()
+	s.run()
 	if err := s.collectReviews(); err != nil {
 		return err
 	}
 	return s.report(out, time.Since(began))
 }
 
-func (s *soak) play() {
+func (s *soak) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var disturbing, working sync.WaitGroup
-	disturbing.Go(func() { s.disturb(ctx) })
+	disturbing.Go(func() { s.injectFaults(ctx) })
 	for worker := range soakWorkers {
-		working.Go(func() { s.work(worker) })
+		working.Go(func() { s.runWorker(worker) })
 	}
 	working.Wait()
 	cancel()
 	disturbing.Wait()
-	s.heal()
+	s.clearFaults()
 }
 
-// disturb sets one fault or two after the other until ctx ends.
-func (s *soak) disturb(ctx context.Context) {
+// injectFaults injects one or two faults at a time until ctx ends, and clears them in between.
+func (s *soak) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(soakSeed, 99))
 	for ctx.Err() == nil {
 		for range 1 + random.IntN(2) {
 			s.setFault(random)
 		}
-		time.Sleep(faultPause)
-		s.heal()
-		time.Sleep(faultPause)
+		time.Sleep(faultInterval)
+		s.clearFaults()
+		time.Sleep(faultInterval)
 	}
 }
 
@@ -104,7 +104,7 @@
 	s.faults++
 	s.mu.Unlock()
 	set := s.fleet.Set()
-	engine := s.someEngine(random)
+	engine := s.randomEngine(random)
 	switch random.IntN(9) {
 	case 0:
 		set.Log().SetFaults(fakelog.Faults{Down: true})
@@ -128,7 +128,7 @@
 	}
 }
 
-func (s *soak) someEngine(random *rand.Rand) *fakeengine.Engine {
+func (s *soak) randomEngine(random *rand.Rand) *fakeengine.Engine {
 	var runners []string
 	for _, server := range s.fleet.Set().File().BackendServers {
 		if server.Role == config.RoleRunner {
@@ -138,7 +138,7 @@
 	return s.fleet.Set().Engine(runners[random.IntN(len(runners))])
 }
 
-func (s *soak) heal() {
+func (s *soak) clearFaults() {
 	set := s.fleet.Set()
 	set.Log().SetFaults(fakelog.Faults{})
 	for _, server := range set.File().BackendServers {
@@ -151,14 +151,14 @@
 	}
 }
 
-func (s *soak) work(worker int) {
+func (s *soak) runWorker(worker int) {
 	random := rand.New(rand.NewPCG(soakSeed, uint64(worker)))
 	for i := range soakRequests / soakWorkers {
 		box := s.fleet.Box(random.IntN(soakBoxes))
 		switch at := random.Float64(); {
-		case at < reviewPart:
+		case at < reviewShare:
 			s.review(box, fmt.Sprintf("review %d of %d", i, worker))
-		case at < reviewPart+chargePart:
+		case at < reviewShare+chargeShare:
 			s.charge(random)
 		default:
 			s.chat(box, fmt.Sprintf("question %d of %d", i%50, worker))
@@ -166,32 +166,32 @@
 	}
 }
 
-func (s *soak) count(kind, end string) {
+func (s *soak) count(kind, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answers[kind+" "+end]++
+	s.answers[kind+" "+outcome]++
 }
 
-func (s *soak) wrongAnswer(format string, args ...any) {
+func (s *soak) recordWrong(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrong++
-	if len(s.failures) < 5 {
-		s.failures = append(s.failures, fmt.Sprintf(format, args...))
+	s.wrongAnswers++
+	if len(s.examples) < 5 {
+		s.examples = append(s.examples, fmt.Sprintf(format, args...))
 	}
 }
 
 const soakChunks = 6
 
-func wantedText(text string) string {
-	var want strings.Builder
+func expectedText(text string) string {
+	var expected strings.Builder
 	for i := range soakChunks {
-		want.WriteString(fakeengine.Word(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text), i))
+		expected.WriteString(fakeengine.Word(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text), i))
 	}
-	return want.String()
+	return expected.String()
 }
 
-// soakChunk is the part of a chunk or answer that is compared.
+// soakChunk holds the fields of a chunk or answer that are compared.
 type soakChunk struct {
 	Choices []struct {
 		Delta struct{ Content string }
@@ -201,7 +201,7 @@
 func (s *soak) chat(box *testfleet.Box, text string) {
 	answer, err := box.Do(testfleet.Call{Path: "/v1/chat/completions", Body: string(requestBody(soakChunks, text))})
 	if err != nil {
-		s.wrongAnswer("no answer: %v", err)
+		s.recordWrong("no answer: %v", err)
 		return
 	}
 	if answer.Status != http.StatusOK {
@@ -211,7 +211,7 @@
 	if !testfleet.Whole(answer.Body) {
 		s.count("chat", "cut, and told so")
 		if !strings.Contains(answer.Body, `"outcome"`) {
-			s.wrongAnswer("a stream was cut without a word")
+			s.recordWrong("a stream was cut without an error event")
 		}
 		return
 	}
@@ -222,39 +222,39 @@
 			got.WriteString(chunk.Choices[0].Delta.Content)
 		}
 	}
-	if got.String() != wantedText(text) {
-		s.wrongAnswer("asked %q, got %q", text, got.String())
+	if got.String() != expectedText(text) {
+		s.recordWrong("prompt %q: wrong answer %q", text, got.String())
 	}
 	s.count("chat", "whole")
 }
 
-// charge sends a call that may not be repeated, and sends it again with its key,
-// as callers do, to any box.
+// charge sends a call that must not run twice, and retries it with the same idempotency key at any
+// box, as callers do.
 func (s *soak) charge(random *rand.Rand) {
 	key, err := uuid.NewV7()
 	if err != nil {
 		return
 	}
-	end := ""
+	outcome := ""
 	allNotRun := true
-	for range 1 + random.IntN(soakTries) {
+	for range 1 + random.IntN(soakMaxTries) {
 		box := s.fleet.Box(random.IntN(soakBoxes))
 		answer, err := box.Do(testfleet.Call{
 			Method: http.MethodPost, Path: "/services/booking/charges", Key: testfleet.KeyLot,
 			Header: map[string]string{"Idempotency-Key": key.String()},
 		})
 		if err != nil {
-			s.wrongAnswer("no answer: %v", err)
+			s.recordWrong("no answer: %v", err)
 			return
 		}
-		end = answer.Header.Get("Cometlock-Outcome")
-		allNotRun = allNotRun && end == "not-run"
+		outcome = answer.Header.Get("Cometlock-Outcome")
+		allNotRun = allNotRun && outcome == "not-run"
 		if answer.Status == http.StatusOK {
-			end = "answered"
+			outcome = "answered"
 			break
 		}
 	}
-	s.count("charge", end)
+	s.count("charge", outcome)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys = append(s.keys, key.String())
@@ -267,7 +267,7 @@
 	body := fmt.Sprintf(`{"model":"scene-review","background":true,"max_output_tokens":%d,"input":%q}`, soakChunks, text)
 	answer, err := box.Do(testfleet.Call{Path: "/v1/responses", Body: body})
 	if err != nil {
-		s.wrongAnswer("no answer: %v", err)
+		s.recordWrong("no answer: %v", err)
 		return
 	}
 	if answer.Status != http.StatusOK {
@@ -276,7 +276,7 @@
 	}
 	var accepted struct{ ID string }
 	if json.Unmarshal([]byte(answer.Body), &accepted) != nil {
-		s.wrongAnswer("a review without a name")
+		s.recordWrong("an accepted review has no ID")
 		return
 	}
 	s.count("review", "accepted")
@@ -285,10 +285,10 @@
 	s.reviews[accepted.ID] = text
 }
 
-// reviewWait is how long accepted reviews may take after the last fault.
+// reviewWait is how long accepted reviews may take to complete after the last fault.
 const reviewWait = 60 * time.Second
 
-// collectReviews fetches every accepted review from another box than the first.
+// collectReviews fetches every accepted review from box 1, whichever box accepted it.
 func (s *soak) collectReviews() error {
 	deadline := time.Now().Add(reviewWait)
 	for id, text := range s.reviews {
@@ -298,8 +298,8 @@
 				return err
 			}
 			if strings.Contains(answer.Body, `"status":"completed"`) {
-				if !strings.Contains(answer.Body, strings.TrimSpace(wantedText(text))) {
-					s.wrongAnswer("review %q has another answer", text)
+				if !strings.Contains(answer.Body, strings.TrimSpace(expectedText(text))) {
+					s.recordWrong("review %q has a wrong answer", text)
 				}
 				break
 			}
@@ -332,9 +332,9 @@
 	for _, kind := range []string{"chat whole", "chat cut, and told so", "chat not-run", "chat unknown", "charge answered", "charge not-run", "charge unknown", "charge ran", "review accepted", "review not-run", "review unknown"} {
 		fmt.Fprintf(out, "  %-24s %7d\n", kind, s.answers[kind])
 	}
-	fmt.Fprintf(out, "  keys that ran twice %d, \"not-run\" that ran %d, wrong answers %d, reviews lost 0 of %d\n", twice, falseNotRun, s.wrong, len(s.reviews))
-	if twice+falseNotRun+s.wrong > 0 {
-		return errors.New(strings.Join(append(s.failures, "a promise was broken"), "; "))
+	fmt.Fprintf(out, "  keys that ran twice %d, \"not-run\" that ran %d, wrong answers %d, reviews lost 0 of %d\n", twice, falseNotRun, s.wrongAnswers, len(s.reviews))
+	if twice+falseNotRun+s.wrongAnswers > 0 {
+		return errors.New(strings.Join(append(s.examples, "a guarantee was violated"), "; "))
 	}
 	return nil
 }
--- a/internal/policybench/load.go
+++ b/internal/policybench/load.go
@@ -1,10 +1,8 @@
-// Package policybench compares placement policies in virtual time: the real
-// decision code against fakes of runners, with no processes, no network and no
-// membership. The loads are small files beside this one, and a seed decides the
-// rest, so every figure can be had again.
+// Package policybench compares placement policies in virtual time. It runs the real decision code
+// against simulated runners, without processes, network or membership. The loads are small files
+// in this package and a seed determines the rest, so every figure is reproducible.
 //
-// Nothing outside this package depends on it but the bench program; the users'
-// own bench will take its place.
+// Only the bench program depends on this package. The users' own bench is meant to replace it.
 package policybench
 
 import (
@@ -19,7 +17,7 @@
 //go:embed loads/*.json
 var loadFiles embed.FS
 
-// Load describes what the callers of a deployment send and what serves it.
+// Load describes a deployment and the requests of its callers.
 type Load struct {
 	Deployment       string  `json:"deployment"`
 	FirstTokenWeight float64 `json:"first_token_weight"`
@@ -31,20 +29,20 @@
 	DecodeRate       float64 `json:"decode_tokens_per_second"`
 	CacheTokens      int     `json:"cache_tokens"`
 	ReportLag        float64 `json:"report_lag_seconds"`
-	// Organisations holds the part of the requests of each, in percent.
+	// Organisations holds the share of the requests of each organisation, in percent.
 	Organisations []float64 `json:"organisations"`
-	// SharedTokens is the length of the prefix that all contexts of an
-	// organisation share; ContextTokens that of what follows it.
+	// SharedTokens is the length of the prefix that all contexts of an organisation share.
+	// ContextTokens is the range of the length of what follows it.
 	SharedTokens   int    `json:"shared_tokens"`
 	ContextTokens  [2]int `json:"context_tokens"`
 	QuestionTokens [2]int `json:"question_tokens"`
 	InstantTokens  [2]int `json:"instant_tokens"`
 	OutputTokens   [2]int `json:"output_tokens"`
-	// NewContextPart is the part of the long requests whose context is new.
-	NewContextPart float64 `json:"new_context_part"`
-	// InstantPart is the part of the requests that are short and instant.
-	InstantPart float64 `json:"instant_part"`
-	// Every BurstEvery requests, BurstSize come at once.
+	// NewContextShare is the share of the long requests whose context is new.
+	NewContextShare float64 `json:"new_context_part"`
+	// InstantShare is the share of the requests that are short and instant.
+	InstantShare float64 `json:"instant_part"`
+	// Of every BurstEvery requests, the first BurstSize arrive at once.
 	BurstEvery int `json:"burst_every"`
 	BurstSize  int `json:"burst_size"`
 	Requests   int `json:"requests"`
@@ -82,11 +80,11 @@
 	at           float64 // seconds
 	organisation int
 	instant      bool
-	// segments are the prefix, in order; question is never cached.
-	segments []segment
-	question int
-	output   int
-	home     uint64
+	// segments are the cacheable prefix, in order. The question is never cached.
+	segments     []segment
+	question     int
+	output       int
+	affinityHash uint64
 }
 
 func (r *request) tokens() int {
@@ -97,16 +95,17 @@
 	return total
 }
 
-// generator makes the requests of a load from a seed.
+// generator generates the requests of a load from a seed.
 type generator struct {
 	load     Load
 	random   *rand.Rand
 	shared   []segment
-	contexts [][][]segment // of each organisation, in the order they came up
+	contexts [][][]segment // by organisation, in the order of their creation
 	nextID   int
 }
 
-// generate makes the requests of a load with times of unit rate; see scale.
+// generate generates the requests of a load, with arrivals at unit rate; scale sets the actual
+// rate.
 func generate(load Load, seed uint64) []request {
 	g := &generator{load: load, random: rand.New(rand.NewPCG(seed, 1))}
 	for range load.Organisations {
@@ -129,54 +128,53 @@
 	return segment{id: g.nextID, tokens: tokens}
 }
 
-func (g *generator) between(bounds [2]int) int {
+func (g *generator) uniform(bounds [2]int) int {
 	return bounds[0] + g.random.IntN(bounds[1]-bounds[0]+1)
 }
 
 func (g *generator) request(at float64) request {
-	r := request{at: at, organisation: g.organisation(), output: g.between(g.load.OutputTokens), home: g.random.Uint64()}
-	if g.random.Float64() < g.load.InstantPart {
+	r := request{at: at, organisation: g.organisation(), output: g.uniform(g.load.OutputTokens), affinityHash: g.random.Uint64()}
+	if g.random.Float64() < g.load.InstantShare {
 		r.instant = true
-		r.question = g.between(g.load.InstantTokens)
+		r.question = g.uniform(g.load.InstantTokens)
 		return r
 	}
 	r.segments = g.context(r.organisation)
-	r.home = uint64(r.segments[len(r.segments)-1].id) * 0x9e3779b97f4a7c15
-	r.question = g.between(g.load.QuestionTokens)
+	r.affinityHash = uint64(r.segments[len(r.segments)-1].id) * 0x9e3779b97f4a7c15
+	r.question = g.uniform(g.load.QuestionTokens)
 	return r
 }
 
 func (g *generator) organisation() int {
 	at := g.random.Float64() * 100
-	for i, part := range g.load.Organisations {
-		if at -= part; at < 0 {
+	for i, share := range g.load.Organisations {
+		if at -= share; at < 0 {
 			return i
 		}
 	}
 	return len(g.load.Organisations) - 1
 }
 
-// context gives a new context, or one that returns: of an organisation's
-// contexts any may come back, so gaps reach from moments to the whole load.
+// context returns a new context or an earlier one of the organisation. Each earlier context is
+// equally likely, so the time between two uses of a context ranges from moments to the whole load.
 func (g *generator) context(organisation int) []segment {
-	known := g.contexts[organisation]
-	if len(known) > 0 && g.random.Float64() >= g.load.NewContextPart {
-		return known[g.random.IntN(len(known))]
+	earlier := g.contexts[organisation]
+	if len(earlier) > 0 && g.random.Float64() >= g.load.NewContextShare {
+		return earlier[g.random.IntN(len(earlier))]
 	}
-	fresh := []segment{g.shared[organisation], g.segment(g.between(g.load.ContextTokens))}
-	g.contexts[organisation] = append(known, fresh)
-	return fresh
+	created := []segment{g.shared[organisation], g.segment(g.uniform(g.load.ContextTokens))}
+	g.contexts[organisation] = append(earlier, created)
+	return created
 }
 
-// bound is what a clairvoyant with one cache of the size of all together would
-// have to compute, in tokens, and the part of it that nobody has seen before.
+// bound counts prompt tokens: all of them, those that a clairvoyant policy with a single cache of
+// the total size would compute, and those that occur for the first time.
 type bound struct {
-	total, computed, unseen int
+	total, computed, firstUses int
 }
 
-// clairvoyant works the bound out. It keeps the segments whose next use is
-// nearest (Belady's rule), which for whole segments of different sizes is a
-// good bound rather than the exact one.
+// clairvoyant computes the bound. It evicts the segments whose next use is farthest away (Belady's
+// rule). With segments of different sizes, this bound is close but not exact.
 func clairvoyant(load Load, requests []request) bound {
 	uses := map[int][]int{}
 	for i := range requests {
@@ -185,37 +183,37 @@
 		}
 	}
 	capacity := load.CacheTokens * load.Runners
-	held, size := map[int]segment{}, 0
-	seen := map[int]bool{}
+	cached, size := map[int]segment{}, 0
+	used := map[int]bool{}
 	var b bound
 	for i := range requests {
 		b.total += requests[i].tokens()
 		b.computed += requests[i].question
-		b.unseen += requests[i].question
+		b.firstUses += requests[i].question
 		for _, s := range requests[i].segments {
-			if !seen[s.id] {
-				b.unseen += s.tokens
-				seen[s.id] = true
+			if !used[s.id] {
+				b.firstUses += s.tokens
+				used[s.id] = true
 			}
 			uses[s.id] = uses[s.id][1:]
-			if _, ok := held[s.id]; ok {
+			if _, ok := cached[s.id]; ok {
 				continue
 			}
 			b.computed += s.tokens
-			held[s.id] = s
+			cached[s.id] = s
 			size += s.tokens
 		}
 		if size > capacity {
-			size = evictFarthest(held, uses, size, capacity)
+			size = evictFarthest(cached, uses, size, capacity)
 		}
 	}
 	return b
 }
 
-func evictFarthest(held map[int]segment, uses map[int][]int, size, capacity int) int {
-	order := make([]segment, 0, len(held))
-	for _, s := range held {
-		order = append(order, s)
+func evictFarthest(cached map[int]segment, uses map[int][]int, size, capacity int) int {
+	byNextUse := make([]segment, 0, len(cached))
+	for _, s := range cached {
+		byNextUse = append(byNextUse, s)
 	}
 	next := func(s segment) int {
 		if len(uses[s.id]) == 0 {
@@ -223,28 +221,28 @@
 		}
 		return uses[s.id][0]
 	}
-	sort.Slice(order, func(i, j int) bool {
-		if next(order[i]) != next(order[j]) {
-			return next(order[i]) > next(order[j])
+	sort.Slice(byNextUse, func(i, j int) bool {
+		if next(byNextUse[i]) != next(byNextUse[j]) {
+			return next(byNextUse[i]) > next(byNextUse[j])
 		}
-		return order[i].id < order[j].id
+		return byNextUse[i].id < byNextUse[j].id
 	})
-	for _, s := range order {
+	for _, s := range byNextUse {
 		if size <= capacity {
 			break
 		}
-		delete(held, s.id)
+		delete(cached, s.id)
 		size -= s.tokens
 	}
 	return size
 }
 
-// scale stretches the times of requests so that what the clairvoyant computes
-// takes a part of all runners' prefill time: that part is the load.
-func scale(load Load, requests []request, b bound, part float64) {
+// scale stretches the arrival times so that the tokens that the clairvoyant policy computes take
+// the given share of the prefill time of all runners. That share is the load.
+func scale(load Load, requests []request, b bound, share float64) {
 	last := requests[len(requests)-1].at
-	wanted := float64(b.computed) / (float64(load.Runners) * load.PrefillRate * part)
+	duration := float64(b.computed) / (float64(load.Runners) * load.PrefillRate * share)
 	for i := range requests {
-		requests[i].at *= wanted / last
+		requests[i].at *= duration / last
 	}
 }
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -11,17 +11,18 @@
 	"github.com/cometlock/cometlock/internal/decide"
 )
 
-// Result is what one run of a policy came to. Times are seconds.
+// Result is the result of one run of a policy. Times are in seconds.
 type Result struct {
 	P50, P95, P99 float64
 	InstantP95    float64
-	// Recomputed is the part of the prompt tokens that were prefilled.
-	Recomputed float64
-	// Good is the part of the requests whose first token came in time.
-	Good float64
-	// Jain is Jain's index over the organisations' parts that were served.
-	Jain    float64
-	Refused int
+	// RecomputedShare is the share of the prompt tokens that were prefilled.
+	RecomputedShare float64
+	// InTimeShare is the share of the requests whose first token met its deadline.
+	InTimeShare float64
+	// FairnessIndex is Jain's index over the share of each organisation's requests that were
+	// served in time.
+	FairnessIndex float64
+	Refused       int
 
 	total, computed int
 	times           []float64
@@ -41,7 +42,7 @@
 	r.P50, r.P95, r.P99 = quantile(r.times, 0.5), quantile(r.times, 0.95), quantile(r.times, 0.99)
 	r.InstantP95 = quantile(r.instant, 0.95)
 	if r.total > 0 {
-		r.Recomputed = float64(r.computed) / float64(r.total)
+		r.RecomputedShare = float64(r.computed) / float64(r.total)
 	}
 	var sum, squares, all, good float64
 	for i := range offered {
@@ -50,13 +51,13 @@
 		if offered[i] == 0 {
 			continue
 		}
-		part := served[i] / offered[i]
-		sum += part
-		squares += part * part
+		share := served[i] / offered[i]
+		sum += share
+		squares += share * share
 	}
-	r.Good = good / all
+	r.InTimeShare = good / all
 	if squares > 0 {
-		r.Jain = sum * sum / (float64(len(offered)) * squares)
+		r.FairnessIndex = sum * sum / (float64(len(offered)) * squares)
 	}
 	r.times, r.instant = nil, nil
 }
@@ -68,15 +69,15 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// namedPolicy is one row of the comparison. A policy with state is made anew for
-// each run.
+// namedPolicy is a policy of the comparison. Each run creates a new instance, since a policy may
+// have state.
 type namedPolicy struct {
-	name string
-	make func() decide.Policy
+	name   string
+	create func() decide.Policy
 }
 
-// chosen names the policy in use.
-const chosen = "two homes (in use)"
+// policyInUse is the name of the policy in use.
+const policyInUse = "two homes (in use)"
 
 func policies() []namedPolicy {
 	return []namedPolicy{
@@ -86,39 +87,40 @@
 		{"bounded rendezvous", func() decide.Policy { return decide.BoundedRendezvous{LoadFactor: 1.25} }},
 		{"greedy prefix", func() decide.Policy { return decide.GreedyPrefix{} }},
 		{"cheapest", func() decide.Policy { return decide.Cheapest{} }},
-		{chosen, func() decide.Policy {
+		{policyInUse, func() decide.Policy {
 			return decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor}
 		}},
 	}
 }
 
-// Row is a policy at a load: means over the seeds, and the spread of two.
+// Row is the result of a policy at one load: means over the seeds, and the range of the 95th
+// percentile.
 type Row struct {
-	Deployment string  `json:"deployment"`
-	Load       int     `json:"load_percent"`
-	Policy     string  `json:"policy"`
-	Seeds      int     `json:"seeds"`
-	P50        float64 `json:"first_token_p50_s"`
-	P95        float64 `json:"first_token_p95_s"`
-	P95Min     float64 `json:"first_token_p95_min_s"`
-	P95Max     float64 `json:"first_token_p95_max_s"`
-	P99        float64 `json:"first_token_p99_s"`
-	InstantP95 float64 `json:"instant_first_token_p95_s"`
-	Recomputed float64 `json:"recomputed_share"`
-	Bound      float64 `json:"clairvoyant_share"`
-	Floor      float64 `json:"never_seen_share"`
-	Good       float64 `json:"good_share"`
-	Jain       float64 `json:"jain"`
-	Refused    float64 `json:"refused"`
+	Deployment       string  `json:"deployment"`
+	Load             int     `json:"load_percent"`
+	Policy           string  `json:"policy"`
+	Seeds            int     `json:"seeds"`
+	P50              float64 `json:"first_token_p50_s"`
+	P95              float64 `json:"first_token_p95_s"`
+	P95Min           float64 `json:"first_token_p95_min_s"`
+	P95Max           float64 `json:"first_token_p95_max_s"`
+	P99              float64 `json:"first_token_p99_s"`
+	InstantP95       float64 `json:"instant_first_token_p95_s"`
+	RecomputedShare  float64 `json:"recomputed_share"`
+	ClairvoyantShare float64 `json:"clairvoyant_share"`
+	UnseenShare      float64 `json:"never_seen_share"`
+	InTimeShare      float64 `json:"good_share"`
+	FairnessIndex    float64 `json:"jain"`
+	Refused          float64 `json:"refused"`
 }
 
-// Seeds is how many seeds each row is the mean of.
+// Seeds is the number of seeds that each row averages over.
 const Seeds = 10
 
-// LoadPercents are the loads of the comparison.
+// LoadPercents returns the loads of the comparison, in percent.
 func LoadPercents() []int { return []int{50, 80, 95, 120} }
 
-// compare runs all policies on one load at one level.
+// compare runs all policies on a load at the given level.
 func compare(load Load, percent, seeds int) []Row {
 	rows := make([]Row, len(policies()))
 	for i, policy := range policies() {
@@ -129,7 +131,7 @@
 		b := clairvoyant(load, requests)
 		scale(load, requests, b, float64(percent)/100)
 		for i, policy := range policies() {
-			rows[i].add(simulate(load, requests, policy.make()), b, float64(seeds))
+			rows[i].add(simulate(load, requests, policy.create()), b, float64(seeds))
 		}
 	}
 	return rows
@@ -141,18 +143,18 @@
 	r.P95Min, r.P95Max = min(r.P95Min, result.P95), max(r.P95Max, result.P95)
 	r.P99 += result.P99 / seeds
 	r.InstantP95 += result.InstantP95 / seeds
-	r.Recomputed += result.Recomputed / seeds
-	r.Bound += float64(b.computed) / float64(b.total) / seeds
-	r.Floor += float64(b.unseen) / float64(b.total) / seeds
-	r.Good += result.Good / seeds
-	r.Jain += result.Jain / seeds
+	r.RecomputedShare += result.RecomputedShare / seeds
+	r.ClairvoyantShare += float64(b.computed) / float64(b.total) / seeds
+	r.UnseenShare += float64(b.firstUses) / float64(b.total) / seeds
+	r.InTimeShare += result.InTimeShare / seeds
+	r.FairnessIndex += result.FairnessIndex / seeds
 	r.Refused += float64(result.Refused) / seeds
 }
 
-// OutputFile is where Run leaves the rows as JSON.
+// OutputFile is the file to which Run writes the rows as JSON.
 const OutputFile = "bench-policy.json"
 
-// Run prints the comparison and writes it as JSON.
+// Run prints the comparison and writes it to OutputFile.
 func Run(out io.Writer) error {
 	loads, err := Loads()
 	if err != nil {
@@ -176,10 +178,10 @@
 func printRows(out io.Writer, rows []Row) {
 	first := rows[0]
 	fmt.Fprintf(out, "\n%s at %d%% load, %d seeds; clairvoyant recomputes %.1f%%, never seen before %.1f%%\n",
-		first.Deployment, first.Load, first.Seeds, 100*first.Bound, 100*first.Floor)
+		first.Deployment, first.Load, first.Seeds, 100*first.ClairvoyantShare, 100*first.UnseenShare)
 	fmt.Fprintf(out, "  %-20s %8s %8s %16s %8s %9s %9s %7s %6s %8s\n", "policy", "p50 s", "p95 s", "(min–max)", "p99 s", "instant95", "recomp %", "good %", "Jain", "refused")
 	for _, r := range rows {
 		fmt.Fprintf(out, "  %-20s %8.3f %8.3f %16s %8.3f %9.3f %9.1f %7.1f %6.3f %8.1f\n", r.Policy, r.P50, r.P95,
-			fmt.Sprintf("(%.2f–%.2f)", r.P95Min, r.P95Max), r.P99, r.InstantP95, 100*r.Recomputed, 100*r.Good, r.Jain, r.Refused)
+			fmt.Sprintf("(%.2f–%.2f)", r.P95Min, r.P95Max), r.P99, r.InstantP95, 100*r.RecomputedShare, 100*r.InTimeShare, r.FairnessIndex, r.Refused)
 	}
 }
--- a/internal/policybench/simulate.go
+++ b/internal/policybench/simulate.go
@@ -9,22 +9,22 @@
 	"github.com/cometlock/cometlock/internal/decide"
 )
 
-// cache is a runner's prefix cache: least recently used segments go first.
+// cache is a runner's prefix cache with least-recently-used eviction.
 type cache struct {
 	capacity, size int
-	held           map[int]*list.Element
-	recent         *list.List
+	entries        map[int]*list.Element
+	lru            *list.List
 }
 
 func newCache(capacity int) *cache {
-	return &cache{capacity: capacity, held: map[int]*list.Element{}, recent: list.New()}
+	return &cache{capacity: capacity, entries: map[int]*list.Element{}, lru: list.New()}
 }
 
-// warm gives the tokens of the prefix that are there.
-func (c *cache) warm(segments []segment) int {
+// cachedTokens returns how many tokens of the prefix are cached.
+func (c *cache) cachedTokens(segments []segment) int {
 	tokens := 0
 	for _, s := range segments {
-		if c.held[s.id] == nil {
+		if c.entries[s.id] == nil {
 			break
 		}
 		tokens += s.tokens
@@ -35,37 +35,37 @@
 func (c *cache) store(segments []segment) {
 	for i := len(segments) - 1; i >= 0; i-- {
 		s := segments[i]
-		if element := c.held[s.id]; element != nil {
-			c.recent.MoveToFront(element)
+		if element := c.entries[s.id]; element != nil {
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.held[s.id] = c.recent.PushFront(s)
+		c.entries[s.id] = c.lru.PushFront(s)
 		c.size += s.tokens
 	}
 	for c.size > c.capacity {
-		last, ok := c.recent.Remove(c.recent.Back()).(segment)
+		last, ok := c.lru.Remove(c.lru.Back()).(segment)
 		if !ok {
 			return
 		}
-		delete(c.held, last.id)
+		delete(c.entries, last.id)
 		c.size -= last.tokens
 	}
 }
 
-// runner is a fake of a model runner.
+// runner simulates a model runner.
 type runner struct {
-	cache   *cache
-	queue   []*job // instant ones first
-	filling bool
-	decodes int
-	// queued is the prompt work not yet prefilled, by class.
+	cache      *cache
+	queue      []*job // instant requests first
+	prefilling bool
+	decoding   int
+	// queued is the prompt work that is not prefilled yet, by class.
 	queued [classes]int
-	// reported is what the last load report said.
+	// reported is the queued work in the last load report.
 	reported        [classes]int
 	reportedRunning int
 }
 
-// classes are the urgencies that a runner tells apart: instant, and all others.
+// classes is the number of priority classes of a runner: instant requests, and all others.
 const classes = 2
 
 func classOf(req *request) int {
@@ -77,20 +77,21 @@
 
 // job is a request at a runner.
 type job struct {
-	request  *request
-	box      int
-	expected int // prefill tokens that the box expected
-	arrived  float64
-	// begun says that the job has its slot, and left is what is not prefilled.
-	begun bool
-	left  int
+	request         *request
+	box             int
+	predictedTokens int // prefill tokens that the box predicted
+	arrived         float64
+	// admitted means that the job has a slot. remaining counts the tokens that are not prefilled
+	// yet.
+	admitted  bool
+	remaining int
 }
 
-// event is something that happens at a time.
+// event is a function that is scheduled for a given time.
 type event struct {
-	at    float64
-	order int
-	do    func()
+	at       float64
+	sequence int
+	run      func()
 }
 
 type events []event
@@ -101,7 +102,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].order < e[j].order
+	return e[i].sequence < e[j].sequence
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -119,37 +120,37 @@
 	return item
 }
 
-// box is what one entry box knows by itself.
+// box is the state that an entry box tracks itself.
 type box struct {
-	// sent is the prefill work it sent and has seen no first token of, and
-	// sentAtReport what that was at the last report.
+	// sent is the prefill work that the box has sent and whose first token it has not received.
+	// sentAtReport is the part of it that was sent before the last report.
 	sent, sentAtReport [][classes]int
 	running            []int
 }
 
-// simulation plays a load against a policy.
+// simulation runs the requests of a load with a policy.
 type simulation struct {
-	load     Load
-	policy   decide.Policy
-	now      float64
-	pending  events
-	order    int
-	runners  []*runner
-	boxes    []*box
-	reportAt float64
-	scratch  []decide.Runner
-	result   Result
-	offered  []float64
-	served   []float64
+	load       Load
+	policy     decide.Policy
+	now        float64
+	pending    events
+	sequence   int
+	runners    []*runner
+	boxes      []*box
+	reportedAt float64
+	scratch    []decide.Runner
+	result     Result
+	offered    []float64
+	served     []float64
 }
 
-// Deadlines within which a first token counts as good, in seconds.
+// Deadlines for the first token, in seconds.
 const (
 	instantDeadline = 2.0
-	otherDeadline   = 30.0
+	normalDeadline  = 30.0
 )
 
-// simulate plays requests, whose times are scaled, against a policy.
+// simulate runs requests, whose arrival times are already scaled, with a policy.
 func simulate(load Load, requests []request, policy decide.Policy) Result {
 	s := &simulation{load: load, policy: policy, offered: make([]float64, len(load.Organisations)), served: make([]float64, len(load.Organisations))}
 	for range load.Runners {
@@ -160,11 +161,11 @@
 	}
 	s.scratch = make([]decide.Runner, load.Runners)
 	for i := range requests {
-		s.at(requests[i].at, func() { s.arrive(&requests[i], i%load.Boxes) })
+		s.schedule(requests[i].at, func() { s.arrive(&requests[i], i%load.Boxes) })
 	}
 	last := requests[len(requests)-1].at
 	for at := 0.0; at < last; at += load.ReportLag {
-		s.at(at, s.report)
+		s.schedule(at, s.report)
 	}
 	for len(s.pending) > 0 {
 		next, ok := heap.Pop(&s.pending).(event)
@@ -172,31 +173,32 @@
 			break
 		}
 		s.now = next.at
-		next.do()
+		next.run()
 	}
 	s.result.finish(s.offered, s.served)
 	return s.result
 }
 
-func (s *simulation) at(at float64, do func()) {
-	s.order++
-	heap.Push(&s.pending, event{at: at, order: s.order, do: do})
+func (s *simulation) schedule(at float64, run func()) {
+	s.sequence++
+	heap.Push(&s.pending, event{at: at, sequence: s.sequence, run: run})
 }
 
-// report brings all boxes the load of all runners, as it is now.
+// report sends the current load of all runners to all boxes.
 func (s *simulation) report() {
-	s.reportAt = s.now
+	s.reportedAt = s.now
 	for i, r := range s.runners {
-		r.reported, r.reportedRunning = r.queued, len(r.queue)+r.decodes
+		r.reported, r.reportedRunning = r.queued, len(r.queue)+r.decoding
 		for _, b := range s.boxes {
 			b.sentAtReport[i] = b.sent[i]
 		}
 	}
 }
 
-// describe gives what a box knows of the runners, as package zone works it out.
+// describe returns the state of the runners as a box knows it, computed in the same way as in
+// package zone.
 func (s *simulation) describe(req *request, b *box) []decide.Runner {
-	age := s.now - s.reportAt
+	age := s.now - s.reportedAt
 	for i, r := range s.runners {
 		var own, others float64
 		for class := 0; class <= classOf(req); class++ {
@@ -208,8 +210,8 @@
 			QueuedTokens: own + math.Max(0, others-s.load.PrefillRate*age),
 			Running:      max(b.running[i], r.reportedRunning),
 			RunSeconds:   float64(s.load.OutputTokens[0]+s.load.OutputTokens[1]) / 2 / s.load.DecodeRate,
-			WarmTokens:   r.cache.warm(req.segments),
-			HomeRank:     mix(req.home ^ mix(uint64(i)+1)),
+			WarmTokens:   r.cache.cachedTokens(req.segments),
+			HomeRank:     mix(req.affinityHash ^ mix(uint64(i)+1)),
 		}
 	}
 	return s.scratch
@@ -239,7 +241,7 @@
 	chosen := decision.Runner
 	b.sent[chosen][classOf(req)] += decision.RecomputedTokens
 	b.running[chosen]++
-	s.runners[chosen].add(&job{request: req, box: at, expected: decision.RecomputedTokens, arrived: s.now})
+	s.runners[chosen].add(&job{request: req, box: at, predictedTokens: decision.RecomputedTokens, arrived: s.now})
 	s.advance(chosen)
 }
 
@@ -247,12 +249,12 @@
 	if req.instant {
 		return instantDeadline
 	}
-	return otherDeadline
+	return normalDeadline
 }
 
-// add queues a job, instant ones before all others.
+// add queues a job, with instant ones before all others.
 func (r *runner) add(j *job) {
-	r.queued[classOf(j.request)] += j.expected
+	r.queued[classOf(j.request)] += j.predictedTokens
 	if !j.request.instant {
 		r.queue = append(r.queue, j)
 		return
@@ -264,36 +266,36 @@
 	r.queue = slices.Insert(r.queue, at, j)
 }
 
-// chunkTokens is how much prompt an engine prefills before it looks again at
-// what is most urgent.
+// chunkTokens is the number of prompt tokens that an engine prefills before it selects the most
+// urgent job again.
 const chunkTokens = 2048
 
 // advance prefills the next chunk of the most urgent job of a runner.
 func (s *simulation) advance(at int) {
 	r := s.runners[at]
-	if r.filling || len(r.queue) == 0 {
+	if r.prefilling || len(r.queue) == 0 {
 		return
 	}
 	next := r.queue[0]
-	if !next.begun {
-		if r.decodes >= s.load.Slots {
+	if !next.admitted {
+		if r.decoding >= s.load.Slots {
 			return
 		}
-		next.begun = true
-		r.decodes++
-		next.left = next.request.tokens() - r.cache.warm(next.request.segments)
-		s.result.computed += next.left
+		next.admitted = true
+		r.decoding++
+		next.remaining = next.request.tokens() - r.cache.cachedTokens(next.request.segments)
+		s.result.computed += next.remaining
 	}
-	r.filling = true
-	chunk := min(next.left, chunkTokens)
-	next.left -= chunk
-	s.at(s.now+float64(chunk)/s.load.PrefillRate, func() { s.chunkDone(at, next) })
+	r.prefilling = true
+	chunk := min(next.remaining, chunkTokens)
+	next.remaining -= chunk
+	s.schedule(s.now+float64(chunk)/s.load.PrefillRate, func() { s.chunkDone(at, next) })
 }
 
 func (s *simulation) chunkDone(at int, j *job) {
 	r := s.runners[at]
-	r.filling = false
-	if j.left == 0 {
+	r.prefilling = false
+	if j.remaining == 0 {
 		r.queue = slices.Delete(r.queue, slices.Index(r.queue, j), slices.Index(r.queue, j)+1)
 		s.firstToken(at, j)
 	}
@@ -304,16 +306,16 @@
 	r := s.runners[at]
 	r.cache.store(j.request.segments)
 	class := classOf(j.request)
-	r.queued[class] -= j.expected
+	r.queued[class] -= j.predictedTokens
 	b := s.boxes[j.box]
-	b.sent[at][class] -= j.expected
-	b.sentAtReport[at][class] = max(0, b.sentAtReport[at][class]-j.expected)
+	b.sent[at][class] -= j.predictedTokens
+	b.sentAtReport[at][class] = max(0, b.sentAtReport[at][class]-j.predictedTokens)
 	s.result.add(j.request, s.now-j.arrived)
 	if s.now-j.arrived <= deadline(j.request) {
 		s.served[j.request.organisation]++
 	}
-	s.at(s.now+float64(j.request.output)/s.load.DecodeRate, func() {
-		r.decodes--
+	s.schedule(s.now+float64(j.request.output)/s.load.DecodeRate, func() {
+		r.decoding--
 		b.running[at]--
 		s.advance(at)
 	})
