--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,8 +22,8 @@
 	Metrics http.Handler
 	// State gives the state dump.
 	State func() any
-	// Ready gives the reason why the box takes no requests, or "".
-	Ready func() string
+	// UnreadyReason returns why the box is not ready for requests, or "" if it is ready.
+	UnreadyReason func() string
 	// Leaving reports whether the box is about to stop.
 	Leaving func() bool
 	// Drain begins a planned stop.
@@ -85,7 +85,7 @@
 }
 
 func (s *Server) serveReady(c echo.Context) error {
-	if reason := s.cfg.Ready(); reason != "" {
+	if reason := s.cfg.UnreadyReason(); reason != "" {
 		return c.String(http.StatusServiceUnavailable, reason+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -35,19 +35,19 @@
 const (
 	// ExitOK is success.
 	ExitOK = 0
-	// ExitFailed is any failure without a code of its own.
+	// ExitFailed is any failure that has no specific code below.
 	ExitFailed = 1
-	// ExitUsage is a wrong call.
+	// ExitUsage is an invalid command line.
 	ExitUsage = 2
-	// ExitInvalid is a file with faults; nothing was applied.
+	// ExitInvalid is an invalid configuration file; nothing was applied.
 	ExitInvalid = 3
-	// ExitBeaten is an apply that came after another; nothing was applied.
-	ExitBeaten = 4
-	// ExitUnknown is an apply whose end is not known.
-	ExitUnknown = 5
-	// ExitNotEverywhere is an accepted configuration that was not seen in force
-	// on all boxes in time.
-	ExitNotEverywhere = 6
+	// ExitConflict is an apply that lost to a concurrent one; nothing was applied.
+	ExitConflict = 4
+	// ExitOutcomeUnknown is an apply that may or may not have taken effect.
+	ExitOutcomeUnknown = 5
+	// ExitWaitTimeout is a configuration that was accepted, but not confirmed to be in force
+	// on all boxes before --wait-timeout.
+	ExitWaitTimeout = 6
 )
 
 // options are the flags of all commands.
@@ -198,13 +198,13 @@
 		return ExitInvalid
 	}
 	if _, ok := errors.AsType[*configlog.ConflictError](err); ok {
-		return ExitBeaten
+		return ExitConflict
 	}
 	switch {
 	case errors.Is(err, configlog.ErrOutcomeUnknown):
-		return ExitUnknown
+		return ExitOutcomeUnknown
 	case errors.Is(err, errNotEverywhere):
-		return ExitNotEverywhere
+		return ExitWaitTimeout
 	case errors.Is(err, errUsage):
 		return ExitUsage
 	default:
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -97,7 +97,7 @@
 
 	g.Expect(run(env, "apply", file).out).To(ContainSubstring("nothing to change"))
 	beaten := run(env, "apply", "../../examples/local.yaml", "--base", "0")
-	g.Expect(beaten.code).To(Equal(cli.ExitBeaten))
+	g.Expect(beaten.code).To(Equal(cli.ExitConflict))
 	g.Expect(beaten.err).To(ContainSubstring("version 1 is in force"))
 
 	var status []struct {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -14,9 +14,9 @@
 func (t *tool) explain(_ context.Context, id string) error {
 	switch {
 	case t.options.failures && id == "":
-		return explain.Failures(os.Stdin, t.out)
+		return explain.PrintFailures(os.Stdin, t.out)
 	case id != "" && !t.options.failures:
-		return explain.Story(os.Stdin, id, t.out)
+		return explain.PrintTimeline(os.Stdin, id, t.out)
 	default:
 		return merry.Wrap(errUsage, merry.AppendMessage("explain takes the id of a request, or --failures"))
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,8 +78,8 @@
 	router     *routed.Router
 	caller     *http.Server
 	admin      *http.Server
-	callerTLS  *tlsfiles.Files
-	peerTLS    *tlsfiles.Files
+	callerTLS  *tlsfiles.Reloader
+	peerTLS    *tlsfiles.Reloader
 
 	leaving atomic.Bool
 	drain   chan struct{}
@@ -255,14 +255,14 @@
 		cfg.BoxList = boxlist.NewClient(d.settings.BoxList)
 	}
 	if d.peerTLS != nil {
-		cfg.ServerTLS, cfg.ClientTLS = d.peerTLS.Server(), d.peerTLS.Client
+		cfg.ServerTLS, cfg.ClientTLS = d.peerTLS.ServerConfig(), d.peerTLS.ClientConfig
 	}
 	return cfg
 }
 
 func (d *Daemon) adminServer() *admin.Server {
 	return admin.New(admin.Config{
-		Metrics: d.metrics.Handler(), State: func() any { return d.State() }, Ready: d.unreadyReason,
+		Metrics: d.metrics.Handler(), State: func() any { return d.State() }, UnreadyReason: d.unreadyReason,
 		Leaving: d.leaving.Load, Drain: d.beginDrain, OperatorKey: d.settings.OperatorKey,
 	})
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -41,7 +41,7 @@
 
 func (d *Daemon) serve(server *http.Server, listener net.Listener) {
 	if d.callerTLS != nil {
-		listener = tls.NewListener(listener, d.callerTLS.Server())
+		listener = tls.NewListener(listener, d.callerTLS.ServerConfig())
 	}
 	d.loops.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -18,28 +18,28 @@
 
 // State is the state dump of an entry box. It holds no key, prompt or answer.
 type State struct {
-	Box         string              `json:"box"`
-	Zone        string              `json:"zone"`
-	Incarnation string              `json:"incarnation"`
-	Version     string              `json:"version"`
-	Uptime      string              `json:"uptime"`
-	Ready       bool                `json:"ready"`
-	Unready     string              `json:"unready_reason,omitempty"`
-	Leaving     bool                `json:"leaving"`
-	Goroutines  int                 `json:"goroutines"`
-	HeapBytes   uint64              `json:"heap_bytes"`
-	Settled     int64               `json:"settled"`
-	Routed      int64               `json:"routed_in_flight"`
-	Config      follow.Status       `json:"config"`
-	Evacuated   []string            `json:"evacuated_zones,omitempty"`
-	Rings       []ring.State        `json:"rings"`
-	Admit       admit.State         `json:"admit"`
-	Retries     retrybudget.State   `json:"retries"`
-	Claims      []claim.StreamState `json:"claims"`
-	Reviews     review.State        `json:"reviews"`
-	Kept        kept.State          `json:"kept"`
-	ServersOf   zone.State          `json:"known_zone"`
-	Peers       peer.State          `json:"peers"`
+	Box            string              `json:"box"`
+	Zone           string              `json:"zone"`
+	Incarnation    string              `json:"incarnation"`
+	Version        string              `json:"version"`
+	Uptime         string              `json:"uptime"`
+	Ready          bool                `json:"ready"`
+	UnreadyReason  string              `json:"unready_reason,omitempty"`
+	Leaving        bool                `json:"leaving"`
+	Goroutines     int                 `json:"goroutines"`
+	HeapBytes      uint64              `json:"heap_bytes"`
+	Settled        int64               `json:"settled"`
+	RoutedInFlight int64               `json:"routed_in_flight"`
+	Config         follow.Status       `json:"config"`
+	Evacuated      []string            `json:"evacuated_zones,omitempty"`
+	Rings          []ring.State        `json:"rings"`
+	Admit          admit.State         `json:"admit"`
+	Retries        retrybudget.State   `json:"retries"`
+	Claims         []claim.StreamState `json:"claims"`
+	Reviews        review.State        `json:"reviews"`
+	Kept           kept.State          `json:"kept"`
+	ZoneView       zone.State          `json:"known_zone"`
+	Peers          peer.State          `json:"peers"`
 }
 
 // State gives the state dump.
@@ -49,10 +49,10 @@
 	reason := d.unreadyReason()
 	return State{
 		Box: d.settings.Box, Zone: d.settings.Zone, Incarnation: d.incarnation, Version: version.Version,
-		Uptime: time.Since(d.started).Round(time.Millisecond).String(), Ready: reason == "", Unready: reason, Leaving: d.leaving.Load(),
-		Goroutines: runtime.NumGoroutine(), HeapBytes: memory.HeapAlloc, Settled: d.settle.Settled(), Routed: d.router.InFlight(),
+		Uptime: time.Since(d.started).Round(time.Millisecond).String(), Ready: reason == "", UnreadyReason: reason, Leaving: d.leaving.Load(),
+		Goroutines: runtime.NumGoroutine(), HeapBytes: memory.HeapAlloc, Settled: d.settle.Settled(), RoutedInFlight: d.router.InFlight(),
 		Config: d.follower.Status(), Evacuated: d.router.EvacuatedZones(), Rings: append(d.pipeline.State(), d.settle.Ring()), Admit: d.admit.State(),
-		Retries: d.budget.State(), Claims: d.claims.State(), Reviews: d.reviews.State(), Kept: d.keeper.State(), ServersOf: d.knowledge.State(), Peers: d.exchange.State(),
+		Retries: d.budget.State(), Claims: d.claims.State(), Reviews: d.reviews.State(), Kept: d.keeper.State(), ZoneView: d.knowledge.State(), Peers: d.exchange.State(),
 	}
 }
 
--- a/internal/daemonmain/daemonmain.go
+++ b/internal/daemonmain/daemonmain.go
@@ -38,7 +38,7 @@
 		fmt.Fprintln(output, "cometlockd:", err)
 		return exitSettings
 	}
-	lines := linelog.New(linelog.Config{Output: telemetry.KeyValues(output)})
+	lines := linelog.New(linelog.Config{Output: telemetry.KeyValueWriter(output)})
 	logger, err := telemetry.NewLogger(lines, cfg.LogLevel)
 	if err != nil {
 		fmt.Fprintln(output, "cometlockd: --log-level:", err)
--- a/internal/daemonmain/daemonmain_test.go
+++ b/internal/daemonmain/daemonmain_test.go
@@ -26,7 +26,7 @@
 	g := NewWithT(t)
 	output := shutOutput{make(chan struct{})}
 	t.Cleanup(func() { close(output.opened) })
-	lines := linelog.New(linelog.Config{Output: telemetry.KeyValues(output)})
+	lines := linelog.New(linelog.Config{Output: telemetry.KeyValueWriter(output)})
 	logger, err := telemetry.NewLogger(lines, "info")
 	g.Expect(err).NotTo(HaveOccurred())
 	ended := make(chan struct{})
@@ -45,7 +45,7 @@
 func TestLinesComeOutInOrderAsKeysAndValues(t *testing.T) {
 	g := NewWithT(t)
 	var output bytes.Buffer
-	lines := linelog.New(linelog.Config{Output: telemetry.KeyValues(&output)})
+	lines := linelog.New(linelog.Config{Output: telemetry.KeyValueWriter(&output)})
 	logger, err := telemetry.NewLogger(lines, "info")
 	g.Expect(err).NotTo(HaveOccurred())
 	end := writeLines(lines)
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -42,7 +42,7 @@
 
 // booked reports whether the own zone's server is given calls again.
 func booked(fleet *testfleet.Fleet) bool {
-	for _, server := range fleet.Box(0).State().ServersOf.Servers {
+	for _, server := range fleet.Box(0).State().ZoneView.Servers {
 		if server.Name == "booking-zone-a-1" {
 			return !server.Failed
 		}
--- a/internal/e2e/routes_test.go
+++ b/internal/e2e/routes_test.go
@@ -51,7 +51,7 @@
 			defer GinkgoRecover()
 			answers <- do(fleet.Box(0), desk)
 		}()
-		Eventually(func() int64 { return fleet.Box(0).State().Routed }, "20s", "5ms").Should(BeEquivalentTo(1))
+		Eventually(func() int64 { return fleet.Box(0).State().RoutedInFlight }, "20s", "5ms").Should(BeEquivalentTo(1))
 		fleet.Box(0).Stop()
 		Expect((<-answers).Status).To(Equal(200))
 		Expect(fleet.Box(0).Wait()).To(Succeed())
--- a/internal/e2e/stops_test.go
+++ b/internal/e2e/stops_test.go
@@ -52,7 +52,7 @@
 		leaving := fleet.Set().Engine("runner-zone-a-2")
 		leaving.SetFaults(fakeengine.Faults{Leaving: true})
 		Eventually(func() bool {
-			for _, server := range fleet.Box(0).State().ServersOf.Servers {
+			for _, server := range fleet.Box(0).State().ZoneView.Servers {
 				if server.Name == "runner-zone-a-2" {
 					return server.Leaving
 				}
--- a/internal/explain/calls.go
+++ b/internal/explain/calls.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Call is what the line that ends a call's story says, as far as it is counted. Times are
-// in milliseconds.
+// Call holds the fields of a call's summary line that are used in statistics. Durations are in
+// milliseconds. The summary line is the last line that is logged for a call.
 type Call struct {
 	Time         time.Time `json:"time"`
 	Outcome      string    `json:"outcome"`
@@ -16,19 +16,19 @@
 	Server       string    `json:"server"`
 	FetchedFrom  string    `json:"fetched_from"`
 	PromptTokens int       `json:"prompt_tokens"`
-	// Unfetched are the tokens of the prompt that a runner without any of it reads.
-	Unfetched int `json:"unfetched_tokens"`
-	// Objective is the route's, Waited how long the call waited for room at its box,
-	// Expected when its first event was expected after that, and FirstEvent when it came
-	// after the call did; 0 when none did.
+	// UnfetchedTokens counts the prompt tokens that a runner with none of the prompt cached has to prefill.
+	UnfetchedTokens int `json:"unfetched_tokens"`
+	// Objective is the latency objective of the route. QueueTime is how long the call waited for
+	// admission at its box. Expected is the predicted time from then to the first event. FirstEvent is
+	// the time from the call's arrival to its first event, or 0 if there was none.
 	Objective  float64 `json:"objective"`
-	Waited     float64 `json:"waited"`
+	QueueTime  float64 `json:"waited"`
 	Expected   float64 `json:"expected"`
 	FirstEvent float64 `json:"first_event"`
 }
 
-// Calls gives the line that ended each call to take.
-func Calls(source io.Reader, take func(Call)) error {
+// ForEachCall passes the summary line of each call to take.
+func ForEachCall(source io.Reader, take func(Call)) error {
 	return read(source, func(l line) {
 		if l.Event != eventCall {
 			return
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -71,9 +71,9 @@
 // told: a lost server or a new configuration shows within seconds.
 const beliefWindow = 2 * time.Second
 
-// Story prints the lines of one call in order, and with them what the boxes that
-// handled it learnt around that time.
-func Story(source io.Reader, id string, out io.Writer) error {
+// PrintTimeline prints the log lines of one call in order of time, together with the events that
+// the boxes that handled it logged within eventWindow of them.
+func PrintTimeline(source io.Reader, id string, out io.Writer) error {
 	var own, beliefs []line
 	err := read(source, func(l line) {
 		switch {
@@ -149,9 +149,9 @@
 	examples map[cause]string
 }
 
-// Failures counts the calls that were not served, by outcome, reason and route, the
-// most frequent first.
-func Failures(source io.Reader, out io.Writer) error {
+// PrintFailures counts the calls that were not served by outcome, reason and route, and prints the
+// counts with the most frequent first.
+func PrintFailures(source io.Reader, out io.Writer) error {
 	f := failures{counts: map[cause]int{}, examples: map[cause]string{}}
 	if err := read(source, f.count); err != nil {
 		return err
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -19,7 +19,7 @@
 func TestAStoryIsInOrderAndTellsWhatTheBoxLearnt(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
-	g.Expect(explain.Story(recorded(g), "aaaa000000000001", &out)).To(Succeed())
+	g.Expect(explain.PrintTimeline(recorded(g), "aaaa000000000001", &out)).To(Succeed())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	g.Expect(lines).To(HaveLen(4))
 	g.Expect(lines[0]).To(And(HavePrefix("*"), ContainSubstring("try_lost"), ContainSubstring("server=i-1")))
@@ -31,13 +31,13 @@
 func TestAStoryThatNobodyToldIsAnError(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
-	g.Expect(explain.Story(recorded(g), "ffff", &out)).NotTo(Succeed())
+	g.Expect(explain.PrintTimeline(recorded(g), "ffff", &out)).NotTo(Succeed())
 }
 
 func TestFailuresAreCountedByCause(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
-	g.Expect(explain.Failures(recorded(g), &out)).To(Succeed())
+	g.Expect(explain.PrintFailures(recorded(g), &out)).To(Succeed())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	g.Expect(lines).To(HaveLen(4))
 	g.Expect(strings.Fields(lines[1])).To(Equal([]string{"2", "refused", "no_server", "r-2", "aaaa000000000003"}))
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -18,7 +18,7 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// NewLogger makes a logger of lines for KeyValues.
+// NewLogger returns a logger that writes JSON lines, the input of KeyValueWriter.
 func NewLogger(lines io.Writer, level string) (zerolog.Logger, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return zerolog.New(lines).Level(parsed).With().Timestamp().Logger(), nil
 }
 
-// KeyValues turns the lines of a logger into key=value lines.
-func KeyValues(output io.Writer) io.Writer {
+// KeyValueWriter returns a writer that converts the JSON lines of a logger to key=value lines.
+func KeyValueWriter(output io.Writer) io.Writer {
 	return zerolog.ConsoleWriter{
 		Out: output, NoColor: true, TimeFormat: time.RFC3339Nano,
 		PartsOrder:      []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName},
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -24,8 +24,8 @@
 // checkEvery is how often files are looked at, at the most.
 const checkEvery = time.Second
 
-// Files holds what was last read from the files.
-type Files struct {
+// Reloader holds the certificate, key and CA that were last read from the files.
+type Reloader struct {
 	cfg Config
 
 	mu          sync.Mutex
@@ -36,8 +36,8 @@
 }
 
 // Load reads the files for the first time.
-func Load(cfg Config) (*Files, error) {
-	f := &Files{cfg: cfg}
+func Load(cfg Config) (*Reloader, error) {
+	f := &Reloader{cfg: cfg}
 	if err := f.read(); err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 	return f, nil
 }
 
-func (f *Files) read() error {
+func (f *Reloader) read() error {
 	certificate, err := tls.LoadX509KeyPair(f.cfg.Certificate, f.cfg.Key)
 	if err != nil {
 		return merry.Prepend(err, "TLS certificate")
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func (f *Files) modified() [3]time.Time {
+func (f *Reloader) modified() [3]time.Time {
 	var stamps [3]time.Time
 	for i, name := range []string{f.cfg.Certificate, f.cfg.Key, f.cfg.Authority} {
 		if info, err := os.Stat(name); err == nil {
@@ -77,7 +77,7 @@
 
 // current gives what the files hold now. While they hold something that cannot
 // be used, as in the middle of being replaced, the last good content stays.
-func (f *Files) current() (*tls.Certificate, *x509.CertPool) {
+func (f *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if time.Since(f.checkedAt) < checkEvery {
@@ -92,8 +92,8 @@
 	return f.certificate, f.authorities
 }
 
-// Server gives the configuration of the accepting side.
-func (f *Files) Server() *tls.Config {
+// ServerConfig returns the configuration of the accepting side.
+func (f *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		certificate, authorities := f.current()
 		cfg := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*certificate}}
@@ -104,10 +104,10 @@
 	}}
 }
 
-// Client gives the configuration of the dialling side, as of now. Peers are
-// known by their authority: boxes are replaced at any time and have no names
-// that a certificate could hold, so the chain is checked and the name is not.
-func (f *Files) Client() *tls.Config {
+// ClientConfig returns the configuration of the dialling side with the current files. It verifies the
+// chain of the peer's certificate but not its host name: boxes are replaced at any time and have no
+// stable names that a certificate could hold.
+func (f *Reloader) ClientConfig() *tls.Config {
 	certificate, authorities := f.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -16,7 +16,7 @@
 	"github.com/cometlock/cometlock/internal/tlsfiles"
 )
 
-func load(g *WithT, cfg tlsfiles.Config) *tlsfiles.Files {
+func load(g *WithT, cfg tlsfiles.Config) *tlsfiles.Reloader {
 	files, err := tlsfiles.Load(cfg)
 	g.Expect(err).NotTo(HaveOccurred())
 	return files
@@ -58,14 +58,14 @@
 	ours, other := testcerts.New(g), testcerts.New(g)
 	box := load(g, ours.Write(g, t.TempDir(), 7))
 	stranger := load(g, other.Write(g, t.TempDir(), 8))
-	serial, err := shake(box.Server(), box.Client())
+	serial, err := shake(box.ServerConfig(), box.ClientConfig())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serial).To(Equal(int64(7)))
-	_, err = shake(box.Server(), stranger.Client())
+	_, err = shake(box.ServerConfig(), stranger.ClientConfig())
 	g.Expect(err).To(HaveOccurred(), "a stranger's certificate is refused by the server")
-	_, err = shake(stranger.Server(), box.Client())
+	_, err = shake(stranger.ServerConfig(), box.ClientConfig())
 	g.Expect(err).To(HaveOccurred(), "and by the client")
-	_, err = shake(box.Server(), &tls.Config{InsecureSkipVerify: true})
+	_, err = shake(box.ServerConfig(), &tls.Config{InsecureSkipVerify: true})
 	g.Expect(err).To(HaveOccurred(), "so is no certificate")
 }
 
@@ -77,7 +77,7 @@
 		cfg := ours.Write(g, folder, 1)
 		files := load(g, cfg)
 		serial := func() int64 {
-			current, err := files.Server().GetConfigForClient(nil)
+			current, err := files.ServerConfig().GetConfigForClient(nil)
 			g.Expect(err).NotTo(HaveOccurred())
 			certificate, err := x509.ParseCertificate(current.Certificates[0].Certificate[0])
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/worth/causes.go
+++ b/internal/worth/causes.go
@@ -40,7 +40,7 @@
 func NewCauses() *Causes { return &Causes{counts: map[string]map[int]int{}} }
 
 // Read takes in the lines of a log.
-func (c *Causes) Read(source io.Reader) error { return explain.Calls(source, c.take) }
+func (c *Causes) Read(source io.Reader) error { return explain.ForEachCall(source, c.take) }
 
 // take takes in the line that ended a call.
 func (c *Causes) take(call explain.Call) {
@@ -70,11 +70,11 @@
 		return causeNoAnswer
 	case call.FirstEvent <= call.Objective:
 		return causeInTime
-	case call.Waited > waitedLong*call.Objective:
+	case call.QueueTime > waitedLong*call.Objective:
 		return causeWaited
-	case call.Waited+call.Expected > call.Objective:
+	case call.QueueTime+call.Expected > call.Objective:
 		return causeForeseen
-	case call.FetchedFrom != "" && call.FirstEvent-call.Waited-call.Expected > overdueLeast*call.Objective:
+	case call.FetchedFrom != "" && call.FirstEvent-call.QueueTime-call.Expected > overdueLeast*call.Objective:
 		return causeFetch
 	default:
 		return causeRunner
