--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon assembles an entry box from its parts, starts it, and stops it
-// without cutting off a request.
+// Package daemon wires the components of an entry box together, starts them, and shuts them down
+// gracefully: requests in flight are completed before the process exits.
 //
-// The assembly is the map of the whole: read assemble from top to bottom for
-// what a box consists of, and Run for its life.
+// assemble shows all components of a box and how they are connected; Run shows how a box starts and
+// stops.
 package daemon
 
 import (
@@ -62,46 +62,46 @@
 
 	metrics   *telemetry.Metrics
 	follower  *follow.Follower
-	exchange  *peer.Gossiper
-	knowledge *zone.View
+	gossiper  *peer.Gossiper
+	zoneView  *zone.View
 	watcher   *watch.Watcher
 	rollout   *rollout.Controller
-	keeper    *kept.Offloader
+	offloader *kept.Offloader
 	admit     *admit.Stage
 	pipeline  *pipeline.Pipeline
-	// dispatcher hands requests to engines.
-	dispatcher *dispatch.Dispatcher
-	settle     *settle.Stage
-	claims     *claim.Service
-	reviews    *review.Service
-	budget     *retrybudget.Budget
-	router     *routed.Router
-	caller     *http.Server
-	admin      *http.Server
-	callerTLS  *tlsfiles.Reloader
-	peerTLS    *tlsfiles.Reloader
-
-	leaving atomic.Bool
-	drain   chan struct{}
-	// background is the context of everything but the callers' requests.
+	// dispatcher sends requests to engines.
+	dispatcher   *dispatch.Dispatcher
+	settle       *settle.Stage
+	claims       *claim.Service
+	reviews      *review.Service
+	budget       *retrybudget.Budget
+	router       *routed.Router
+	callerServer *http.Server
+	admin        *http.Server
+	callerTLS    *tlsfiles.Reloader
+	peerTLS      *tlsfiles.Reloader
+
+	leaving        atomic.Bool
+	drainRequested chan struct{}
+	// background is the context of all goroutines except those that serve callers' requests.
 	background context.Context
 	stop       context.CancelFunc
 	loops      sync.WaitGroup
 	ports      ports
 }
 
-// ports are the open ports of a box.
+// ports holds the listeners of a box.
 type ports struct {
 	caller, admin, peer net.Listener
 }
 
-// New assembles a daemon; it does nothing before Run.
+// New assembles a daemon and opens its ports. The daemon serves nothing until Run is called.
 func New(cfg settings.Settings, logger zerolog.Logger) (*Daemon, error) {
 	background, stop := context.WithCancel(context.Background())
 	d := &Daemon{
 		settings: cfg, incarnation: uuid.NewString(), started: time.Now(),
-		logger: logger.With().Str("box", cfg.Box).Str("zone", cfg.Zone).Logger(),
-		drain:  make(chan struct{}), background: background, stop: stop,
+		logger:         logger.With().Str("box", cfg.Box).Str("zone", cfg.Zone).Logger(),
+		drainRequested: make(chan struct{}), background: background, stop: stop,
 	}
 	if err := d.loadTLS(); err != nil {
 		return nil, err
@@ -116,8 +116,8 @@
 	return d, nil
 }
 
-// openPorts opens all ports before anything else runs, so that a port that is
-// taken is one clear error.
+// openPorts opens all ports before any component starts, so that a port that is already in use fails
+// the start with a single error.
 func (d *Daemon) openPorts() error {
 	for _, port := range []struct {
 		address  string
@@ -136,7 +136,7 @@
 func (d *Daemon) closePorts() {
 	for _, listener := range []net.Listener{d.ports.caller, d.ports.admin, d.ports.peer} {
 		if listener != nil {
-			_ = listener.Close() // nothing has used it
+			_ = listener.Close() // no connection was accepted
 		}
 	}
 }
@@ -167,72 +167,73 @@
 	d.metrics = telemetry.NewMetrics(d.settings.Box, d.settings.Zone)
 	log := logservice.NewClient(logservice.ClientConfig{Address: d.settings.Log})
 
-	// Hints and caches: the configuration, the peers, the zone.
-	d.knowledge = zone.New(zone.Config{
-		Zone: d.settings.Zone, LimitPosition: func(runner string) advisory.Position { return d.exchange.LimitPosition(runner, true) },
+	// Cached cluster state: the configuration, the peers and the zone's runners.
+	d.zoneView = zone.New(zone.Config{
+		Zone: d.settings.Zone, LimitPosition: func(runner string) advisory.Position { return d.gossiper.LimitPosition(runner, true) },
 	})
-	engines := engine.NewClient(engine.ClientConfig{OnAdvisory: d.knowledge.ApplyAdvisory})
-	d.watcher = watch.New(watch.Config{Engines: engines, Knowledge: d.knowledge, Logger: d.logger})
-	d.follower = follow.New(follow.Config{Log: log, Logger: d.logger, OnChange: d.configure})
-	d.exchange = peer.New(d.peerConfig())
+	engines := engine.NewClient(engine.ClientConfig{OnAdvisory: d.zoneView.ApplyAdvisory})
+	d.watcher = watch.New(watch.Config{Engines: engines, Knowledge: d.zoneView, Logger: d.logger})
+	d.follower = follow.New(follow.Config{Log: log, Logger: d.logger, OnChange: d.applyConfig})
+	d.gossiper = peer.New(d.peerConfig())
 
-	d.keeper = kept.New(kept.Config{
+	d.offloader = kept.New(kept.Config{
 		Engines: engines, Stores: storebox.NewClient(storebox.ClientConfig{}), Logger: d.logger, Zone: d.settings.Zone,
 	})
 	d.rollout = rollout.New(rollout.Config{
 		Engines: engines, Logger: d.logger, Zone: d.settings.Zone, Snapshot: d.follower.Snapshot,
-		Reports: d.knowledge.Reports, IsLeader: d.exchange.FirstInZone,
+		Reports: d.zoneView.Reports, IsLeader: d.gossiper.FirstInZone,
 	})
 
-	// The way of a request.
+	// The request path.
 	d.budget = retrybudget.New(retrybudget.Config{})
-	d.admit = admit.New(admit.Config{InFlightLimit: d.room})
-	placing := place.New(place.Config[decide.TwoHomes]{
-		View:      d.knowledge,
-		Offloader: d.keeper,
+	d.admit = admit.New(admit.Config{InFlightLimit: d.inFlightLimit})
+	placeStage := place.New(place.Config[decide.TwoHomes]{
+		View:      d.zoneView,
+		Offloader: d.offloader,
 		Policy:    decide.TwoHomes{IdleWait: decide.DefaultIdleWait, RecomputeFactor: decide.DefaultRecomputeFactor},
 	})
 	d.pipeline = pipeline.New(pipeline.Config{
 		Capacity: d.settings.RingCapacity,
-		Stages:   []flow.Stage{authenticate.New(), d.admit, placing},
+		Stages:   []flow.Stage{authenticate.New(), d.admit, placeStage},
 	})
 	d.dispatcher = dispatch.New(dispatch.Config{
-		Engines: engines, Choose: placing.Choose, OnFailure: d.knowledge.NoteFailure, Budget: d.budget, Incarnation: d.knowledge.Incarnation, Logger: d.logger,
+		Engines: engines, Choose: placeStage.Choose, OnFailure: d.zoneView.NoteFailure, Budget: d.budget, Incarnation: d.zoneView.Incarnation, Logger: d.logger,
 	})
-	relaying := relay.New(relay.Config{Engines: engines, Rerun: d.dispatcher.Redispatch})
+	relayStage := relay.New(relay.Config{Engines: engines, Rerun: d.dispatcher.Redispatch})
 	d.settle = settle.New(settle.Config{Logger: d.logger, Scope: d.metrics.Scope()})
 	d.claims = claim.New(claim.Config{Log: log, Incarnation: d.incarnation, Window: d.keyWindow, Retention: d.settings.LogRetention})
 
-	// Reviews run through the server, and the server answers for them.
+	// The review service and the server depend on each other: reviews run through the server, and the
+	// server serves the API of reviews.
 	var server *api.Server
 	d.reviews = review.New(review.Config{
-		Log: log, Logger: d.logger, BoxName: d.settings.Box, LiveBoxes: d.exchange.LiveBoxes, Retention: d.settings.LogRetention,
-		ResultRetention: d.keepAnswers, MaxParallel: d.parallelReviews,
+		Log: log, Logger: d.logger, BoxName: d.settings.Box, LiveBoxes: d.gossiper.LiveBoxes, Retention: d.settings.LogRetention,
+		ResultRetention: d.resultRetention, MaxParallel: d.maxParallelReviews,
 		Run: func(ctx context.Context, task review.Task) ([]byte, error) { return server.RunReview(ctx, task) },
 	})
 	server = api.New(api.Config{
-		Snapshot: d.follower.Snapshot, Keys: keys, Pipeline: d.pipeline, Dispatcher: d.dispatcher, Relay: relaying,
-		Settle: d.settle, Claims: d.claims, Reviews: d.reviews, Services: plainservice.NewClient(plainservice.ClientConfig{OnAdvisory: d.knowledge.ApplyAdvisory}),
-		Zone: d.knowledge, Keeper: d.keeper, Budget: d.budget,
+		Snapshot: d.follower.Snapshot, Keys: keys, Pipeline: d.pipeline, Dispatcher: d.dispatcher, Relay: relayStage,
+		Settle: d.settle, Claims: d.claims, Reviews: d.reviews, Services: plainservice.NewClient(plainservice.ClientConfig{OnAdvisory: d.zoneView.ApplyAdvisory}),
+		Zone: d.zoneView, Keeper: d.offloader, Budget: d.budget,
 	})
 	d.router = routed.New(routed.Config{
-		Logger: d.logger, Scope: d.metrics.Scope(), Zone: d.settings.Zone, BoxCount: d.boxes, Budget: d.budget, Next: server.Handler(),
-		LimitPosition: func(_, server string) advisory.Position { return d.exchange.LimitPosition(server, false) },
+		Logger: d.logger, Scope: d.metrics.Scope(), Zone: d.settings.Zone, BoxCount: d.boxCount, Budget: d.budget, Next: server.Handler(),
+		LimitPosition: func(_, server string) advisory.Position { return d.gossiper.LimitPosition(server, false) },
 	})
-	d.caller = &http.Server{Handler: d.router, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
-	d.admin = &http.Server{Handler: d.adminServer().Handler(), ReadHeaderTimeout: headerTimeout}
+	d.callerServer = &http.Server{Handler: d.router, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+	d.admin = &http.Server{Handler: d.newAdminServer().Handler(), ReadHeaderTimeout: headerTimeout}
 	return nil
 }
 
-// Limits of connections from outside.
+// Limits of connections from callers and operators.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-// answerKeys takes the keys of the settings, or makes one that only this process
-// knows: answers can then be taken up again at this box alone.
+// answerKeys returns the keys from the settings, or else a random key. Other boxes do not have the
+// random key, so an answer can then be resumed only at this box.
 func (d *Daemon) answerKeys() (answerid.Keys, error) {
 	if len(d.settings.AnswerKeys) > 0 {
 		return answerid.NewKeys(d.settings.AnswerKeys)
@@ -249,7 +250,7 @@
 	cfg := peer.Config{
 		Self:    peer.Status{Box: d.settings.Box, Zone: d.settings.Zone, Incarnation: d.incarnation},
 		Address: d.PeerAddress(), Seeds: d.settings.Seeds, BoxList: boxlist.Static(nil),
-		Source: d.follower, Logger: d.logger, OnBoxList: d.takeList, AdvisoryReports: d.advised, ApplyAdvisoryReports: d.takeAdvised,
+		Source: d.follower, Logger: d.logger, OnBoxList: d.applyBoxList, AdvisoryReports: d.advisoryReports, ApplyAdvisoryReports: d.applyAdvisoryReports,
 	}
 	if d.settings.BoxList != "" {
 		cfg.BoxList = boxlist.NewClient(d.settings.BoxList)
@@ -260,29 +261,29 @@
 	return cfg
 }
 
-func (d *Daemon) adminServer() *admin.Server {
+func (d *Daemon) newAdminServer() *admin.Server {
 	return admin.New(admin.Config{
 		Metrics: d.metrics.Handler(), State: func() any { return d.State() }, UnreadyReason: d.unreadyReason,
 		Leaving: d.leaving.Load, Drain: d.beginDrain, OperatorKey: d.settings.OperatorKey,
 	})
 }
 
-// advised gives what engines and servers of routes said of themselves in answers to this box. Engines
-// go by their names, servers of routes by names that hold an address.
-func (d *Daemon) advised() map[string]*advisory.Report {
-	reports := d.knowledge.AdvisoryReports()
+// advisoryReports returns the advisories that engines and servers of routes sent in their responses
+// to this box. The key is the name of the engine, or the name with the address of the route's server.
+func (d *Daemon) advisoryReports() map[string]*advisory.Report {
+	reports := d.zoneView.AdvisoryReports()
 	maps.Copy(reports, d.router.AdvisoryReports())
 	return reports
 }
 
-// takeAdvised takes over what another box was answered.
-func (d *Daemon) takeAdvised(reports map[string]*advisory.Report) {
-	d.knowledge.ApplyAdvisoryReports(reports)
+// applyAdvisoryReports applies the advisories that another box received.
+func (d *Daemon) applyAdvisoryReports(reports map[string]*advisory.Report) {
+	d.zoneView.ApplyAdvisoryReports(reports)
 	d.router.ApplyAdvisoryReports(reports)
 }
 
-// takeList takes over what the platform's list says of backend servers.
-func (d *Daemon) takeList(boxes []boxlist.Box) {
+// applyBoxList applies the entries for backend servers of the platform's box list.
+func (d *Daemon) applyBoxList(boxes []boxlist.Box) {
 	var leaving []string
 	listed := make([]routed.ListEntry, 0, len(boxes))
 	for _, box := range boxes {
@@ -296,32 +297,32 @@
 			Name: box.Name, Incarnation: box.Incarnation, Address: box.Address, Leaving: box.State == boxlist.Leaving,
 		})
 	}
-	d.knowledge.SetListedLeaving(leaving)
+	d.zoneView.SetListedLeaving(leaving)
 	d.router.ApplyBoxList(listed)
 }
 
-// configure takes over a new configuration.
-func (d *Daemon) configure(snapshot *config.Snapshot) {
-	d.knowledge.Configure(snapshot)
-	d.keeper.Configure(snapshot)
+// applyConfig applies a new configuration to all components that depend on it.
+func (d *Daemon) applyConfig(snapshot *config.Snapshot) {
+	d.zoneView.Configure(snapshot)
+	d.offloader.Configure(snapshot)
 	d.watcher.Configure(d.background)
 	d.router.Configure(snapshot)
 	d.metrics.Scope().Gauge("config_version").Update(float64(snapshot.Version()))
 }
 
-// oversubscription is how many requests a zone's boxes together hand to its
-// runners for each slot of their batches: enough that a slot that gets free
-// finds the next request there, and little enough that the order is decided
-// here.
+// oversubscription is the number of requests in flight from a zone's boxes for each batch slot of the
+// zone's runners. Above 1, a runner has a queued request when a slot becomes free. It is kept close
+// to 1 so that most requests wait in the boxes, where they are ordered by priority.
 const oversubscription = 1.25
 
-// boxes counts the living entry boxes of all zones, this one included.
-func (d *Daemon) boxes() int { return len(d.exchange.LiveBoxes()) }
+// boxCount returns the number of live entry boxes in all zones, including this one.
+func (d *Daemon) boxCount() int { return len(d.gossiper.LiveBoxes()) }
 
-// room is this box's part of the room at the zone's runners.
-func (d *Daemon) room() int {
-	slots := float64(d.knowledge.Slots())
-	return max(1, int(slots*oversubscription/float64(d.exchange.BoxesInZone())))
+// inFlightLimit returns this box's equal share of the requests that the boxes of its zone may have in
+// flight at the zone's runners.
+func (d *Daemon) inFlightLimit() int {
+	slots := float64(d.zoneView.Slots())
+	return max(1, int(slots*oversubscription/float64(d.gossiper.BoxesInZone())))
 }
 
 func (d *Daemon) keyWindow() time.Duration {
@@ -332,7 +333,7 @@
 	return time.Duration(snapshot.File().Limits.KeyWindowSeconds) * time.Second
 }
 
-func (d *Daemon) keepAnswers() time.Duration {
+func (d *Daemon) resultRetention() time.Duration {
 	snapshot := d.follower.Snapshot()
 	if snapshot == nil {
 		return d.settings.LogRetention
@@ -340,16 +341,16 @@
 	return time.Duration(snapshot.File().Limits.ReviewRetentionSeconds) * time.Second
 }
 
-// parallelReviews is how many reviews this box runs at once: none while it is
-// about to stop, so that those in flight finish and the others go elsewhere.
-func (d *Daemon) parallelReviews() int {
+// maxParallelReviews returns how many reviews this box may run concurrently. It is 0 while the box
+// drains, so that running reviews finish and queued ones run on other boxes.
+func (d *Daemon) maxParallelReviews() int {
 	if d.leaving.Load() || d.follower.Snapshot() == nil {
 		return 0
 	}
-	return d.room()
+	return d.inFlightLimit()
 }
 
-// unreadyReason says why the balancer should send no callers, or nothing.
+// unreadyReason returns why the load balancer should send no callers to this box, or "" if it is ready.
 func (d *Daemon) unreadyReason() string {
 	if d.leaving.Load() {
 		return "leaving"
@@ -362,15 +363,15 @@
 
 func (d *Daemon) beginDrain() {
 	if d.leaving.CompareAndSwap(false, true) {
-		close(d.drain)
+		close(d.drainRequested)
 	}
 }
 
-// CallerAddress gives the address of the callers' port.
+// CallerAddress returns the address of the callers' port.
 func (d *Daemon) CallerAddress() string { return d.ports.caller.Addr().String() }
 
-// AdminAddress gives the address of the operators' port.
+// AdminAddress returns the address of the operators' port.
 func (d *Daemon) AdminAddress() string { return d.ports.admin.Addr().String() }
 
-// PeerAddress gives the address of the other entry boxes' port.
+// PeerAddress returns the address of the port for other entry boxes.
 func (d *Daemon) PeerAddress() string { return d.ports.peer.Addr().String() }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -11,29 +11,29 @@
 	"github.com/cometlock/cometlock/internal/version"
 )
 
-// Run serves until ctx ends or an operator drains the box,
-// and then until the last request in flight has its answer.
+// Run serves requests until ctx ends or an operator drains the box, and then shuts down: it returns
+// when the last request in flight is completed or the stop timeout has passed.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.startLoops()
 	d.serve(d.admin, d.ports.admin)
-	d.serve(d.caller, d.ports.caller)
+	d.serve(d.callerServer, d.ports.caller)
 	d.logger.Info().Str("version", version.Version).Str("callers", d.CallerAddress()).Str("admin", d.AdminAddress()).
 		Str("peers", d.PeerAddress()).Str("incarnation", d.incarnation).Msg("started")
 	select {
 	case <-ctx.Done():
 		d.beginDrain()
-	case <-d.drain:
+	case <-d.drainRequested:
 	}
 	return d.shutDown()
 }
 
-// startLoops starts one goroutine for each duty.
+// startLoops starts the background goroutines.
 func (d *Daemon) startLoops() {
 	d.pipeline.Start(d.background)
-	for _, loop := range []func(context.Context){d.follower.Loop, d.exchange.Loop, d.settle.Loop, d.rollout.Loop, d.keeper.Loop, d.dispatcher.Loop} {
+	for _, loop := range []func(context.Context){d.follower.Loop, d.gossiper.Loop, d.settle.Loop, d.rollout.Loop, d.offloader.Loop, d.dispatcher.Loop} {
 		d.loops.Go(func() { loop(d.background) })
 	}
-	d.loops.Go(func() { d.exchange.Serve(d.background, d.ports.peer) })
+	d.loops.Go(func() { d.gossiper.Serve(d.background, d.ports.peer) })
 	d.claims.Preload()
 	d.reviews.Start()
 	d.loops.Go(func() { d.loopGauges(d.background) })
@@ -50,60 +50,61 @@
 	})
 }
 
-// Abort ends the box at once, as a crash does; tests use it.
+// Abort stops the box immediately, without draining. Tests use it to simulate a crash.
 func (d *Daemon) Abort() {
 	d.stop()
 	d.reviews.Close()
-	_ = d.caller.Close()
+	_ = d.callerServer.Close()
 	_ = d.admin.Close()
 	d.beginDrain()
 }
 
-// shutDown is a planned stop: turn unready and wait for the balancer to see it,
-// take no new connection, finish what is in flight, then end.
+// shutDown stops the box gracefully. The box already reports that it is unready. shutDown announces the
+// stop to the other boxes, waits for the load balancer to notice, closes the callers' listener, waits
+// for the requests in flight, and then stops the components.
 func (d *Daemon) shutDown() error {
 	d.logger.Info().Msg("leaving")
-	d.exchange.SetLeaving()
+	d.gossiper.SetLeaving()
 	time.Sleep(d.settings.DrainDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.StopTimeout)
 	defer cancel()
-	err := d.caller.Shutdown(ctx)
+	err := d.callerServer.Shutdown(ctx)
 	if err != nil {
 		d.logger.Error().Str("error", err.Error()).Msg("requests_cut_off")
 	}
 	d.reviews.Drain(ctx)
 	d.claims.Drain(ctx)
 	d.stop()
-	d.closeAdmin()
+	d.shutDownAdmin()
 	d.pipeline.Wait()
 	d.watcher.Close()
 	d.claims.Close()
 	d.reviews.Close()
 	d.loops.Wait()
-	_ = d.metrics.Close() // a collector that missed the last second
+	_ = d.metrics.Close() // an error loses only the counts of the last second
 	d.logger.Info().Int64("settled", d.settle.Settled()).Msg("stopped")
 	return err
 }
 
-// adminLimit bounds the wait for answers to operators: whoever drains a box that has nothing to
-// do is answered while it ends.
-const adminLimit = 500 * time.Millisecond
+// adminShutdownTimeout bounds the wait for responses to operators. An idle box shuts down as soon as
+// it is drained, and the response to the drain request must still be sent.
+const adminShutdownTimeout = 500 * time.Millisecond
 
-// closeAdmin ends the operators' port. Answers under way are finished: the answer to the order
-// to drain was cut off when the box ended at once.
-func (d *Daemon) closeAdmin() {
-	ctx, cancel := context.WithTimeout(context.Background(), adminLimit)
+// shutDownAdmin closes the operators' port after responses in progress are sent. Without that wait,
+// the response to the drain request was cut off.
+func (d *Daemon) shutDownAdmin() {
+	ctx, cancel := context.WithTimeout(context.Background(), adminShutdownTimeout)
 	defer cancel()
 	if err := d.admin.Shutdown(ctx); err != nil {
 		d.logger.Warn().Str("error", err.Error()).Msg("operators_cut_off")
-		_ = d.admin.Close() // they were given their time
+		_ = d.admin.Close() // the timeout has passed
 	}
 }
 
-// gaugeInterval is the time between two looks at what gauges show.
+// gaugeInterval is the time between two updates of the gauges in loopGauges.
 const gaugeInterval = time.Second
 
-// loopGauges keeps the gauges that no event updates.
+// loopGauges periodically updates the gauges that are sampled rather than updated by events.
 func (d *Daemon) loopGauges(ctx context.Context) {
 	ticker := time.NewTicker(gaugeInterval)
 	defer ticker.Stop()
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -16,7 +16,7 @@
 	"github.com/cometlock/cometlock/internal/zone"
 )
 
-// State is the state dump of an entry box. It holds no key, prompt or answer.
+// State is the state dump of an entry box. It contains no API key, prompt or answer.
 type State struct {
 	Box            string              `json:"box"`
 	Zone           string              `json:"zone"`
@@ -42,7 +42,7 @@
 	Peers          peer.State          `json:"peers"`
 }
 
-// State gives the state dump.
+// State returns the state dump.
 func (d *Daemon) State() State {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -52,9 +52,9 @@
 		Uptime: time.Since(d.started).Round(time.Millisecond).String(), Ready: reason == "", UnreadyReason: reason, Leaving: d.leaving.Load(),
 		Goroutines: runtime.NumGoroutine(), HeapBytes: memory.HeapAlloc, Settled: d.settle.Settled(), RoutedInFlight: d.router.InFlight(),
 		Config: d.follower.Status(), Evacuated: d.router.EvacuatedZones(), Rings: append(d.pipeline.State(), d.settle.Ring()), Admit: d.admit.State(),
-		Retries: d.budget.State(), Claims: d.claims.State(), Reviews: d.reviews.State(), Kept: d.keeper.State(), ZoneView: d.knowledge.State(), Peers: d.exchange.State(),
+		Retries: d.budget.State(), Claims: d.claims.State(), Reviews: d.reviews.State(), Kept: d.offloader.State(), ZoneView: d.zoneView.State(), Peers: d.gossiper.State(),
 	}
 }
 
-// ConfigVersion gives the version of the configuration in force.
+// ConfigVersion returns the version of the configuration in force.
 func (d *Daemon) ConfigVersion() int64 { return d.follower.State().Version }
