--- a/internal/daemonmain/daemonmain.go
+++ b/internal/daemonmain/daemonmain.go
@@ -1,4 +1,4 @@
-// Package daemonmain is the program cometlockd: settings, signals, exit codes.
+// Package daemonmain implements the main function of cometlockd: settings, signals and exit codes.
 package daemonmain
 
 import (
@@ -31,7 +31,7 @@
 	exitSettings = 2
 )
 
-// Main runs the daemon until a signal ends it, and gives the exit code.
+// Main runs the daemon until a signal stops it, and returns the exit code.
 func Main(args []string, getenv func(string) string, output io.Writer) int {
 	cfg, err := settings.Parse(args, getenv)
 	if err != nil {
@@ -44,11 +44,11 @@
 		fmt.Fprintln(output, "cometlockd: --log-level:", err)
 		return exitSettings
 	}
-	defer writeLines(lines)()
+	defer startLogWriter(lines)()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// The first signal begins a planned stop; from then on a second one ends the
-	// process at once, as by default.
+	// The first signal starts a graceful shutdown. stop then restores the default signal handling, so
+	// that a second signal kills the process.
 	context.AfterFunc(ctx, stop)
 	if err := run(ctx, cfg, logger); err != nil {
 		logger.Error().Str("error", err.Error()).Msg("failed")
@@ -57,25 +57,26 @@
 	return exitOK
 }
 
-// flushLimit is how long the end waits for the last lines: a pipe takes thousands in some
-// milliseconds, and one that nobody reads takes none.
-const flushLimit = 500 * time.Millisecond
+// flushTimeout bounds the wait for the last log lines at exit. A pipe takes thousands of lines in a few
+// milliseconds, and a pipe without an active reader takes none at all.
+const flushTimeout = 500 * time.Millisecond
 
-// writeLines begins to write lines, and gives what ends that with the last of them.
-func writeLines(lines *linelog.Writer) (end func()) {
+// startLogWriter starts the goroutine that writes log lines, and returns a function that stops it after
+// it has written the queued lines or flushTimeout has passed.
+func startLogWriter(lines *linelog.Writer) (flush func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	written := make(chan struct{})
-	go loopWrite(ctx, lines, written)
+	go runLogWriter(ctx, lines, written)
 	return func() {
 		stop()
 		select {
 		case <-written:
-		case <-time.After(flushLimit):
+		case <-time.After(flushTimeout):
 		}
 	}
 }
 
-func loopWrite(ctx context.Context, lines *linelog.Writer, written chan<- struct{}) {
+func runLogWriter(ctx context.Context, lines *linelog.Writer, written chan<- struct{}) {
 	lines.Loop(ctx)
 	close(written)
 }
@@ -95,16 +96,16 @@
 	return d.Run(ctx)
 }
 
-// Behaviour of the stand-in engines that are started for trying out.
+// Settings of the stand-ins that --standins starts for local trials.
 const (
-	tryPrefillRate    = 20_000
-	tryDecodeInterval = 15 * time.Millisecond
-	tryLoadTime       = time.Second
-	tryBoxListLag     = time.Second
-	applyTimeout      = 5 * time.Second
+	standinPrefillRate    = 20_000
+	standinDecodeInterval = 15 * time.Millisecond
+	standinLoadTime       = time.Second
+	standinBoxListLag     = time.Second
+	applyTimeout          = 5 * time.Second
 )
 
-// startStandins starts stand-ins for all that the file names and applies it.
+// startStandins starts stand-ins for all servers in the configuration file, and applies the file.
 func startStandins(ctx context.Context, cfg settings.Settings, logger zerolog.Logger) (*standins.Set, error) {
 	source, err := os.ReadFile(cfg.Standins)
 	if err != nil {
@@ -115,9 +116,9 @@
 		return nil, err
 	}
 	set, err := standins.Start(standins.Config{
-		File: file, LogAddress: cfg.Log, BoxListAddress: cfg.BoxList, BoxListLag: tryBoxListLag,
+		File: file, LogAddress: cfg.Log, BoxListAddress: cfg.BoxList, BoxListLag: standinBoxListLag,
 		Boxes:  []boxlist.Box{{Name: cfg.Box, Zone: cfg.Zone, Peer: cfg.Peer, Admin: cfg.Admin, Caller: cfg.Listen}},
-		Engine: fakeengine.Config{PrefillTokensPerSecond: tryPrefillRate, DecodeInterval: tryDecodeInterval, LoadTime: tryLoadTime},
+		Engine: fakeengine.Config{PrefillTokensPerSecond: standinPrefillRate, DecodeInterval: standinDecodeInterval, LoadTime: standinLoadTime},
 	})
 	if err != nil {
 		return nil, err
--- a/internal/daemonmain/daemonmain_test.go
+++ b/internal/daemonmain/daemonmain_test.go
@@ -13,46 +13,46 @@
 	"github.com/cometlock/cometlock/internal/telemetry"
 )
 
-// shutOutput is an output that nobody reads.
-type shutOutput struct{ opened chan struct{} }
+// blockedOutput is an output whose writes block until unblocked is closed.
+type blockedOutput struct{ unblocked chan struct{} }
 
-func (o shutOutput) Write(line []byte) (int, error) {
-	<-o.opened
+func (o blockedOutput) Write(line []byte) (int, error) {
+	<-o.unblocked
 	return len(line), nil
 }
 
-// Neither requests nor the end of the process wait for whoever reads the log.
-func TestALogThatNobodyReadsHoldsNothingUp(t *testing.T) {
+// A reader that does not read the log must not block requests or the exit of the process.
+func TestBlockedLogOutputDoesNotBlockProcess(t *testing.T) {
 	g := NewWithT(t)
-	output := shutOutput{make(chan struct{})}
-	t.Cleanup(func() { close(output.opened) })
+	output := blockedOutput{make(chan struct{})}
+	t.Cleanup(func() { close(output.unblocked) })
 	lines := linelog.New(linelog.Config{Output: telemetry.KeyValueWriter(output)})
 	logger, err := telemetry.NewLogger(lines, "info")
 	g.Expect(err).NotTo(HaveOccurred())
 	ended := make(chan struct{})
 	go func() {
-		end := writeLines(lines)
+		flush := startLogWriter(lines)
 		for i := range 2 * linelog.DefaultCapacity {
 			logger.Info().Int("number", i).Msg("call")
 		}
-		end()
+		flush()
 		close(ended)
 	}()
 	g.Eventually(ended, 10*time.Second).Should(BeClosed())
 	g.Expect(lines.Dropped()).To(BeNumerically(">", 0))
 }
 
-func TestLinesComeOutInOrderAsKeysAndValues(t *testing.T) {
+func TestLogLinesAreOrderedKeyValuePairs(t *testing.T) {
 	g := NewWithT(t)
 	var output bytes.Buffer
 	lines := linelog.New(linelog.Config{Output: telemetry.KeyValueWriter(&output)})
 	logger, err := telemetry.NewLogger(lines, "info")
 	g.Expect(err).NotTo(HaveOccurred())
-	end := writeLines(lines)
+	flush := startLogWriter(lines)
 	for i := range 10 {
 		logger.Info().Int("number", i).Msg("call")
 	}
-	end()
+	flush()
 	written := strings.Split(strings.TrimSpace(output.String()), "\n")
 	g.Expect(written).To(HaveLen(10))
 	for i, line := range written {
--- a/internal/daemonmain/interrupt_test.go
+++ b/internal/daemonmain/interrupt_test.go
@@ -15,12 +15,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// signalsFile names the file in which this program, started as the daemon of scripts/run.sh, writes a
-// line for each signal.
+// signalsFile is the environment variable with the path of the file to which this program, when
+// scripts/run.sh starts it as the daemon, writes a line for each signal.
 const signalsFile = "COMETLOCK_TEST_SIGNALS"
 
-// signalsFor is how long such a daemon goes on after its last signal.
-const signalsFor = time.Second
+// exitDelay is how long this daemon keeps running after its last signal.
+const exitDelay = time.Second
 
 func TestMain(m *testing.M) {
 	path := os.Getenv(signalsFile)
@@ -47,16 +47,17 @@
 		select {
 		case got := <-signals:
 			fmt.Fprintln(file, got)
-			end = time.After(signalsFor)
+			end = time.After(exitDelay)
 		case <-end:
 			return
 		}
 	}
 }
 
-// waitsForOneChild reports whether a process sleeps and has one child: the script then waits for its
-// daemon. A shell may lose an interrupt that comes while another child of it ends.
-func waitsForOneChild(pid int) bool {
+// isWaitingForOneChild reports whether a process sleeps and has exactly one child, as the script does
+// while it waits for its daemon. A shell may lose an interrupt that arrives while another of its
+// children exits.
+func isWaitingForOneChild(pid int) bool {
 	children, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%d/children", pid, pid))
 	if err != nil {
 		return false
@@ -69,19 +70,20 @@
 	return len(strings.Fields(string(children))) == 1 && strings.Contains(string(stat), sleeping)
 }
 
-// An interrupt from the terminal reaches all processes of its foreground group. The daemon that
-// `make run` starts got it, and a millisecond later once more from the script's trap; a second signal
-// ends a daemon at once, so streams in flight were cut, where a single interrupt lets them end.
+// The terminal sends an interrupt to all processes of its foreground group. The daemon that `make run`
+// starts received it from there, and a millisecond later again from the script's trap. The second
+// signal kills a daemon, so streams in flight were cut off, whereas a single interrupt lets them finish.
 //
 //	interrupt, then terminate after 1 ms: 5 of 5 streams cut; interrupt alone: 0 of 5
-func TestAnInterruptReachesTheDaemonOnce(t *testing.T) {
-	// A test that was started with interrupts ignored would pass that on to the script, which could not
-	// trap them.
+func TestDaemonReceivesInterruptOnce(t *testing.T) {
+	// If the test was started with interrupts ignored, the script would inherit that and could not trap
+	// them.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGINT)
 	defer signal.Reset(syscall.SIGINT)
 	tests := []struct {
 		name string
-		// send sends a signal to the script's process group or to the script alone, times as often.
+		// send sends a signal to the script's process group or to the script alone. It is called times
+		// times.
 		send  func(script int) error
 		times int
 	}{
@@ -115,13 +117,13 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				return strings.Fields(string(got))
 			}
-			g.Eventually(signals, 10*time.Second).Should(BeAnExistingFile()) // the daemon takes signals
+			g.Eventually(signals, 10*time.Second).Should(BeAnExistingFile()) // the daemon handles signals from now on
 			for sent := range test.times {
-				g.Eventually(func() bool { return waitsForOneChild(script.Process.Pid) }, 10*time.Second).Should(BeTrue())
+				g.Eventually(func() bool { return isWaitingForOneChild(script.Process.Pid) }, 10*time.Second).Should(BeTrue())
 				g.Expect(test.send(script.Process.Pid)).To(Succeed())
 				g.Eventually(received, 10*time.Second).ShouldNot(HaveLen(sent))
 			}
-			_ = script.Wait() // its exit code tells of the signal
+			_ = script.Wait() // the error is the exit code for the signal
 			g.Expect(received()).To(HaveLen(test.times))
 		})
 	}
