--- a/internal/linelog/linelog.go
+++ b/internal/linelog/linelog.go
@@ -1,9 +1,9 @@
-// Package linelog keeps logging from holding up requests.
+// Package linelog writes log lines asynchronously, so that a slow output does not delay requests.
 //
-// Lines go into a bounded ring; one goroutine writes them. When the ring fills up,
-// lines are left out by class: successes from half full on, everything when it is
-// full. What was left out is counted, and told in a line of its own as soon as
-// there is room.
+// Lines are queued in a bounded ring, and one goroutine writes them. When the output falls behind,
+// lines are dropped by level: lines of level info and below while the ring is more than half full, and
+// all lines while it is full. Dropped lines are counted, and a log line with the count is written as
+// soon as the output accepts lines again.
 package linelog
 
 import (
@@ -22,35 +22,34 @@
 // Config sets up a Writer.
 type Config struct {
 	Output io.Writer
-	// Capacity is the number of lines that wait at most.
+	// Capacity is the maximum number of queued lines.
 	Capacity int
 }
 
-// DefaultCapacity holds some seconds of a busy box: about 60 requests a second,
-// each with one line, and few of the rest. At 300 bytes a line it is 600 KB.
+// DefaultCapacity holds the lines of several seconds of a busy box, which logs one line for each of about
+// 60 requests per second and few others. With 300 bytes per line it takes 600 KB.
 const DefaultCapacity = 2048
 
-// Writer is the ring with its goroutine; it implements zerolog.LevelWriter.
+// Writer queues lines and writes them to the output. It implements zerolog.LevelWriter.
 type Writer struct {
 	output   io.Writer
 	capacity int
 	lines    *ring.Ring[[]byte]
 	waiting  atomic.Int64
 	dropped  atomic.Uint64
-	told     uint64
+	reported uint64
 }
 
-// New makes a writer; Loop must run for anything to be written.
+// New returns a writer. It writes nothing until Loop runs.
 func New(cfg Config) *Writer {
 	cfg.Capacity = cmp.Or(cfg.Capacity, DefaultCapacity)
 	return &Writer{output: cfg.Output, capacity: cfg.Capacity, lines: ring.New[[]byte](ring.Config{Name: "log", Capacity: cfg.Capacity})}
 }
 
-// Write takes a line without a level.
+// Write queues a line that has no level.
 func (w *Writer) Write(line []byte) (int, error) { return w.WriteLevel(zerolog.NoLevel, line) }
 
-// WriteLevel takes a line, or leaves it out. Routine lines are those of level info
-// and below.
+// WriteLevel queues a line or drops it. Lines of level info and below are routine and are dropped first.
 func (w *Writer) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	routine := level <= zerolog.InfoLevel
 	if routine && w.waiting.Load() > int64(w.capacity/2) || !w.lines.TryPush(append([]byte(nil), line...)) {
@@ -61,10 +60,10 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that were left out.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Loop writes lines until ctx ends, and then those that wait.
+// Loop writes lines until ctx ends, and then the lines that are still queued.
 func (w *Writer) Loop(ctx context.Context) {
 	for {
 		line, err := w.lines.Pop(ctx)
@@ -78,15 +77,15 @@
 
 func (w *Writer) write(line []byte) {
 	w.waiting.Add(-1)
-	_, _ = w.output.Write(line) // there is nowhere else to report it
-	if dropped := w.dropped.Load(); dropped != w.told {
-		w.told = dropped
+	_, _ = w.output.Write(line) // there is no other place to report an error
+	if dropped := w.dropped.Load(); dropped != w.reported {
+		w.reported = dropped
 		_, _ = fmt.Fprintf(w.output, "{\"level\":\"warn\",\"time\":%q,\"lines\":%d,\"message\":\"log_lines_dropped\"}\n",
 			time.Now().Format(time.RFC3339Nano), dropped)
 	}
 }
 
-// flush writes what waits at the end.
+// flush writes the queued lines without waiting for more.
 func (w *Writer) flush() {
 	for {
 		select {
--- a/internal/linelog/linelog_test.go
+++ b/internal/linelog/linelog_test.go
@@ -15,24 +15,24 @@
 	"github.com/cometlock/cometlock/internal/linelog"
 )
 
-// gate is an output that does not take anything until it is opened.
-type gate struct {
-	open chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+// blockedOutput is an output whose writes block until unblocked is closed.
+type blockedOutput struct {
+	unblocked chan struct{}
+	mu        sync.Mutex
+	text      bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
-	<-g.open
+func (g *blockedOutput) Write(p []byte) (int, error) {
+	<-g.unblocked
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(p)
 }
 
-func TestAShutOutputHoldsNobodyUp(t *testing.T) {
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		output := &gate{open: make(chan struct{})}
+		output := &blockedOutput{unblocked: make(chan struct{})}
 		writer := linelog.New(linelog.Config{Output: output, Capacity: 100})
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
@@ -47,11 +47,11 @@
 		for range 20 {
 			logger.Warn().Msg("refused")
 		}
-		close(output.open)
+		close(output.unblocked)
 		cancel()
 		<-ended
 		text := output.text.String()
-		g.Expect(strings.Count(text, `"refused"`)).To(Equal(20), "failures still fit when successes do not")
+		g.Expect(strings.Count(text, `"refused"`)).To(Equal(20), "warnings are still queued when info lines are dropped")
 		served := strings.Count(text, `"served"`)
 		g.Expect(served).To(BeNumerically("~", 51, 2))
 		g.Expect(writer.Dropped()).To(BeEquivalentTo(1000 - served))
