--- a/internal/cli/boxes.go
+++ b/internal/cli/boxes.go
@@ -19,8 +19,8 @@
 	"github.com/cometlock/cometlock/internal/logservice"
 )
 
-// inForce reads the version in force from the log.
-func inForce(ctx context.Context, log logservice.Log) (int64, error) {
+// versionInForce reads the log and returns the version of the configuration that is in force.
+func versionInForce(ctx context.Context, log logservice.Log) (int64, error) {
 	reader := configlog.NewReader(log)
 	if err := reader.CatchUp(ctx); err != nil {
 		return 0, err
@@ -34,7 +34,7 @@
 	maxStateBytes = 64 << 20
 )
 
-// admin makes one call of a box's admin port.
+// admin sends one request to the admin port of a box and returns the response body.
 func (t *tool) admin(ctx context.Context, method, address, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -60,7 +60,7 @@
 	return body, nil
 }
 
-// boxState is the part of a state dump that the tool looks at.
+// boxState is the part of a box's state dump that the tool uses.
 type boxState struct {
 	Box     string `json:"box"`
 	Zone    string `json:"zone"`
@@ -84,18 +84,18 @@
 	Error   string       `json:"error,omitempty"`
 }
 
-// ask gets the state of every box at once.
-func (t *tool) ask(ctx context.Context, boxes []boxlist.Box) []boxState {
+// fetchStates fetches the state dumps of all boxes concurrently.
+func (t *tool) fetchStates(ctx context.Context, boxes []boxlist.Box) []boxState {
 	states := make([]boxState, len(boxes))
 	var ended sync.WaitGroup
 	for i, box := range boxes {
-		ended.Go(func() { states[i] = t.askOne(ctx, box) })
+		ended.Go(func() { states[i] = t.fetchState(ctx, box) })
 	}
 	ended.Wait()
 	return states
 }
 
-func (t *tool) askOne(ctx context.Context, box boxlist.Box) boxState {
+func (t *tool) fetchState(ctx context.Context, box boxlist.Box) boxState {
 	var state boxState
 	body, err := t.admin(ctx, http.MethodGet, box.Admin, "/debug/state")
 	if err == nil {
@@ -107,14 +107,14 @@
 	return state
 }
 
-func (t *tool) countInForce(ctx context.Context, boxes []boxlist.Box, version int64) (inForce, of int) {
+func (t *tool) countInForce(ctx context.Context, boxes []boxlist.Box, version int64) (inForce, total int) {
 	var live []boxlist.Box
 	for _, box := range boxes {
 		if box.State == boxlist.Live {
 			live = append(live, box)
 		}
 	}
-	for _, state := range t.ask(ctx, live) {
+	for _, state := range t.fetchStates(ctx, live) {
 		if state.Error == "" && state.Config.Version >= version {
 			inForce++
 		}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	states := t.ask(ctx, boxes)
+	states := t.fetchStates(ctx, boxes)
 	if t.json() {
 		return t.printJSON(states)
 	}
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// evacuatedZones lists the zones that are evacuated as any box knows.
+// evacuatedZones returns the sorted union of the evacuated zones that the boxes report.
 func evacuatedZones(states []boxState) []string {
 	var zones []string
 	for _, state := range states {
@@ -174,7 +174,7 @@
 	return "no"
 }
 
-// dump prints state dumps as they come.
+// dump prints the complete state dumps of one or all boxes, including fields that boxState omits.
 func (t *tool) dump(ctx context.Context, name string) error {
 	boxes, err := t.findBoxes(ctx)
 	if err != nil {
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -8,9 +8,9 @@
 	"github.com/cometlock/cometlock/internal/capacity"
 )
 
-// sizeFlags adds the flags that describe a deployment; their defaults are the
-// size to design for.
-func (t *tool) sizeFlags(sub *flaggy.Subcommand) {
+// addSizeFlags adds the flags for the size of a deployment. The defaults are the size that the system
+// is designed for.
+func (t *tool) addSizeFlags(sub *flaggy.Subcommand) {
 	size := &t.options.size
 	sub.Int(&size.Nodes, "", "nodes", "entry boxes (number)")
 	sub.Int(&size.Zones, "", "zones", "availability zones (number)")
@@ -23,7 +23,7 @@
 	sub.Int(&size.ReviewsWaiting, "", "reviews", "waiting reviews (number)")
 }
 
-// capacity prints what one entry box takes at a size.
+// capacity prints the resources that one entry box uses at the given size.
 func (t *tool) capacity(context.Context, string) error {
 	slopes, err := capacity.Measured()
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,8 +1,8 @@
-// Package cli is the operators' tool, cometlock.
+// Package cli implements cometlock, the command-line tool for operators.
 //
-// It checks and applies configuration files through the platform's log itself,
-// since an entry box that dies in mid-apply would leave its answer unknown, and
-// it asks the boxes' admin ports for everything else.
+// The tool reads and appends configuration directly in the platform's log. If an entry box did the
+// append and crashed while doing so, the outcome would be unknown to the operator. All other commands
+// use the admin ports of the boxes.
 package cli
 
 import (
@@ -31,7 +31,7 @@
 	"github.com/cometlock/cometlock/internal/version"
 )
 
-// Exit codes. Scripts may rely on them.
+// Exit codes. They are a stable interface for scripts.
 const (
 	// ExitOK is success.
 	ExitOK = 0
@@ -50,37 +50,37 @@
 	ExitWaitTimeout = 6
 )
 
-// options are the flags of all commands.
+// options holds the flags of all commands.
 type options struct {
-	log         string
-	boxList     string
-	boxes       string
-	operatorKey string
-	authority   string
-	output      string
-	wait        bool
-	waitTimeout time.Duration
-	lookFor     time.Duration
-	base        string
-	failures    bool
-	size        capacity.Size
+	log             string
+	boxList         string
+	boxes           string
+	operatorKey     string
+	caFile          string
+	output          string
+	wait            bool
+	waitTimeout     time.Duration
+	readBackTimeout time.Duration
+	base            string
+	failures        bool
+	size            capacity.Size
 }
 
-// tool runs one command.
+// tool holds the state of one invocation.
 type tool struct {
 	options options
-	// scheme and client reach the admin ports.
+	// scheme and client are used for requests to the admin ports.
 	scheme string
 	client http.Client
 	out    io.Writer
 	err    io.Writer
 }
 
-// command is one row of the table of commands.
+// command describes one command.
 type command struct {
 	name     string
-	argument string // name of the positional argument; empty: none
-	optional bool   // the argument may be left out
+	argument string // name of the positional argument, or empty if there is none
+	optional bool   // whether the argument may be omitted
 	help     string
 	run      func(t *tool, ctx context.Context, argument string) error
 }
@@ -99,11 +99,11 @@
 	}
 }
 
-// Main runs the tool and gives its exit code.
+// Main runs the tool and returns its exit code.
 func Main(args []string, getenv func(string) string, out, errOut io.Writer) int {
 	t := &tool{out: out, err: errOut, options: options{
 		log: getenv("COMETLOCK_LOG"), boxList: getenv("COMETLOCK_BOX_LIST"), boxes: getenv("COMETLOCK_BOXES"),
-		operatorKey: getenv("COMETLOCK_OPERATOR_KEY"), authority: getenv("COMETLOCK_TLS_CA"), output: "text", waitTimeout: 30 * time.Second, lookFor: 10 * time.Second,
+		operatorKey: getenv("COMETLOCK_OPERATOR_KEY"), caFile: getenv("COMETLOCK_TLS_CA"), output: "text", waitTimeout: 30 * time.Second, readBackTimeout: 10 * time.Second,
 		size: capacity.TwoYears(),
 	}}
 	chosen, argument, err := t.parse(args)
@@ -130,7 +130,7 @@
 	parser.String(&t.options.log, "", "log", "IP address and port of the platform's log [COMETLOCK_LOG]")
 	parser.String(&t.options.boxList, "", "box-list", "IP address and port of the list of boxes [COMETLOCK_BOX_LIST]")
 	parser.String(&t.options.boxes, "", "boxes", "admin addresses of the boxes, instead of the list [COMETLOCK_BOXES]")
-	parser.String(&t.options.authority, "", "tls-ca", "file of the authority of the boxes' certificates; empty: admin ports without TLS [COMETLOCK_TLS_CA]")
+	parser.String(&t.options.caFile, "", "tls-ca", "file of the authority of the boxes' certificates; empty: admin ports without TLS [COMETLOCK_TLS_CA]")
 	parser.String(&t.options.output, "o", "output", "text or json")
 	rows := commands()
 	arguments := make([]string, len(rows))
@@ -144,11 +144,11 @@
 		if row.name == "apply" {
 			sub.Bool(&t.options.wait, "", "wait", "wait until the version is in force on all boxes")
 			sub.Duration(&t.options.waitTimeout, "", "wait-timeout", "longest time for --wait (duration)")
-			sub.Duration(&t.options.lookFor, "", "look-for", "how long to look for a change whose append got no answer (duration)")
+			sub.Duration(&t.options.readBackTimeout, "", "look-for", "how long to look for a change whose append got no answer (duration)")
 			sub.String(&t.options.base, "", "base", "apply only if this version is in force, as plan showed it")
 		}
 		if row.name == "capacity" {
-			t.sizeFlags(sub)
+			t.addSizeFlags(sub)
 		}
 		if row.name == "explain" {
 			sub.Bool(&t.options.failures, "", "failures", "count the failed requests by cause, with an example each")
@@ -173,19 +173,19 @@
 	return command{}, "", merry.New("a command is needed; see --help")
 }
 
-// setClient chooses how to reach the admin ports.
+// setClient sets the scheme and HTTP client for the admin ports: HTTPS if --tls-ca is set, else HTTP.
 func (t *tool) setClient() error {
 	t.scheme = "http"
-	if t.options.authority == "" {
+	if t.options.caFile == "" {
 		return nil
 	}
-	text, err := os.ReadFile(t.options.authority)
+	text, err := os.ReadFile(t.options.caFile)
 	if err != nil {
 		return merry.Prepend(err, "--tls-ca")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return merry.Errorf("--tls-ca: %s holds no certificate", t.options.authority)
+		return merry.Errorf("--tls-ca: %s holds no certificate", t.options.caFile)
 	}
 	t.scheme = "https"
 	t.client.Transport = &http.Transport{TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool}}
@@ -203,7 +203,7 @@
 	switch {
 	case errors.Is(err, configlog.ErrOutcomeUnknown):
 		return ExitOutcomeUnknown
-	case errors.Is(err, errNotEverywhere):
+	case errors.Is(err, errWaitTimeout):
 		return ExitWaitTimeout
 	case errors.Is(err, errUsage):
 		return ExitUsage
@@ -213,8 +213,8 @@
 }
 
 var (
-	errUsage         = merry.Sentinel("wrong call")
-	errNotEverywhere = merry.Sentinel("accepted, but not seen in force on all boxes in time")
+	errUsage       = merry.Sentinel("wrong call")
+	errWaitTimeout = merry.Sentinel("accepted, but not seen in force on all boxes in time")
 )
 
 func (t *tool) logClient() (logservice.Log, error) {
@@ -224,7 +224,7 @@
 	return logservice.NewClient(logservice.ClientConfig{Address: t.options.log}), nil
 }
 
-// findBoxes lists the boxes that should be asked.
+// findBoxes returns the entry boxes from --boxes or else from the box list.
 func (t *tool) findBoxes(ctx context.Context) ([]boxlist.Box, error) {
 	if t.options.boxes != "" {
 		var boxes []boxlist.Box
@@ -240,6 +240,6 @@
 	if err != nil {
 		return nil, err
 	}
-	// Backend servers stand in the list too, without an admin port.
+	// The list also contains backend servers, which have no admin port.
 	return slices.DeleteFunc(listed, func(box boxlist.Box) bool { return box.Admin == "" }), nil
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -19,19 +19,19 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-type outcome struct {
+type result struct {
 	code     int
 	out, err string
 }
 
-func run(env map[string]string, args ...string) outcome {
+func run(env map[string]string, args ...string) result {
 	var out, errOut bytes.Buffer
 	code := cli.Main(args, func(name string) string { return env[name] }, &out, &errOut)
-	return outcome{code: code, out: out.String(), err: errOut.String()}
+	return result{code: code, out: out.String(), err: errOut.String()}
 }
 
-// fleetOf starts two boxes and gives the environment that finds them.
-func fleetOf(t *testing.T) (*testfleet.Fleet, map[string]string) {
+// startFleet starts two boxes and returns the environment variables with which the tool finds them.
+func startFleet(t *testing.T) (*testfleet.Fleet, map[string]string) {
 	g := NewWithT(t)
 	fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -44,7 +44,8 @@
 	return fleet, env
 }
 
-// changedFile writes the sample file, with a change, at the addresses of a fleet.
+// changedFile writes a copy of the sample file in which the first occurrence of from is replaced by to,
+// and returns its path.
 func changedFile(t *testing.T, from, to string) string {
 	g := NewWithT(t)
 	source, err := os.ReadFile("../../examples/local.yaml")
@@ -54,7 +55,7 @@
 	return name
 }
 
-func TestWrongCallsAndFiles(t *testing.T) {
+func TestUsageAndFileErrors(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.yaml")
 	NewWithT(t).Expect(os.WriteFile(bad, []byte("deployment: x\nzonez: []\n"), 0o600)).To(Succeed())
 	cases := []struct {
@@ -64,12 +65,12 @@
 		err  string
 	}{
 		{"no command", nil, cli.ExitUsage, "a command is needed"},
-		{"no log", []string{"plan", "../../examples/local.yaml"}, cli.ExitUsage, "--log"},
-		{"no list", []string{"status"}, cli.ExitUsage, "--box-list"},
-		{"no such output", []string{"-o", "xml", "status"}, cli.ExitUsage, "text or json"},
-		{"no such file", []string{"validate", "nowhere.yaml"}, cli.ExitFailed, "nowhere.yaml"},
-		{"a file with faults", []string{"validate", bad}, cli.ExitInvalid, `line 2: unknown key "zonez"`},
-		{"the log is gone", []string{"plan", "../../examples/local.yaml", "--log", "127.0.0.1:1"}, cli.ExitFailed, "log service is not reachable"},
+		{"no log address", []string{"plan", "../../examples/local.yaml"}, cli.ExitUsage, "--log"},
+		{"no box list", []string{"status"}, cli.ExitUsage, "--box-list"},
+		{"unknown output format", []string{"-o", "xml", "status"}, cli.ExitUsage, "text or json"},
+		{"file does not exist", []string{"validate", "nowhere.yaml"}, cli.ExitFailed, "nowhere.yaml"},
+		{"invalid file", []string{"validate", bad}, cli.ExitInvalid, `line 2: unknown key "zonez"`},
+		{"log is unreachable", []string{"plan", "../../examples/local.yaml", "--log", "127.0.0.1:1"}, cli.ExitFailed, "log service is not reachable"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,9 +82,9 @@
 	}
 }
 
-func TestOperatingAFleet(t *testing.T) {
+func TestFleetOperations(t *testing.T) {
 	g := NewWithT(t)
-	fleet, env := fleetOf(t)
+	fleet, env := startFleet(t)
 	file := changedFile(t, "share: 2", "share: 3")
 
 	plan := run(env, "plan", file, "-o", "json")
@@ -93,12 +94,12 @@
 	applied := run(env, "apply", "--wait", file)
 	g.Expect(applied.code).To(Equal(cli.ExitOK), applied.err)
 	g.Expect(applied.out).To(And(ContainSubstring("accepted as version 1"), ContainSubstring("in force on 2 of 2 boxes")))
-	g.Expect(applied.err).To(ContainSubstring("in force on"), "progress goes to the error output")
+	g.Expect(applied.err).To(ContainSubstring("in force on"), "progress is written to standard error")
 
 	g.Expect(run(env, "apply", file).out).To(ContainSubstring("nothing to change"))
-	beaten := run(env, "apply", "../../examples/local.yaml", "--base", "0")
-	g.Expect(beaten.code).To(Equal(cli.ExitConflict))
-	g.Expect(beaten.err).To(ContainSubstring("version 1 is in force"))
+	conflict := run(env, "apply", "../../examples/local.yaml", "--base", "0")
+	g.Expect(conflict.code).To(Equal(cli.ExitConflict))
+	g.Expect(conflict.err).To(ContainSubstring("version 1 is in force"))
 
 	var status []struct {
 		Box    string
@@ -125,9 +126,9 @@
 	g.Expect(fleet.Box(1).Wait()).To(Succeed())
 }
 
-func TestEvacuatingAZone(t *testing.T) {
+func TestZoneEvacuation(t *testing.T) {
 	g := NewWithT(t)
-	_, env := fleetOf(t)
+	_, env := startFleet(t)
 	file := changedFile(t, "{name: zone-a, region: local}", "{name: zone-a, region: local, evacuated: true}")
 	g.Expect(run(env, "plan", file).out).To(ContainSubstring("zones/zone-a"))
 	applied := run(env, "apply", "--wait", file)
@@ -137,16 +138,16 @@
 	g.Expect(run(env, "status").out).NotTo(ContainSubstring("evacuated"))
 }
 
-func TestAnApplyWhoseAnswerIsLostIsLookedUp(t *testing.T) {
+func TestApplyWithLostResponseIsReadBack(t *testing.T) {
 	g := NewWithT(t)
-	fleet, env := fleetOf(t)
+	fleet, env := startFleet(t)
 	fleet.Set().Log().SetFaults(fakelog.Faults{LoseAnswers: 1})
 	got := run(env, "apply", changedFile(t, "share: 2", "share: 5"))
 	g.Expect(got.code).To(Equal(cli.ExitOK), got.err)
 	g.Expect(got.out).To(ContainSubstring("accepted as version 1"))
 }
 
-func TestAdminPortsWithTLSAndAKey(t *testing.T) {
+func TestAdminPortsWithTLSAndKey(t *testing.T) {
 	g := NewWithT(t)
 	written := testcerts.New(g).Write(g, t.TempDir(), 1)
 	sum := sha256.Sum256([]byte("the operators' key"))
--- a/internal/cli/configuration.go
+++ b/internal/cli/configuration.go
@@ -23,8 +23,8 @@
 	return config.Parse(source)
 }
 
-// validation is what validate prints as JSON.
-type validation struct {
+// validationResult is the JSON output of validate.
+type validationResult struct {
 	Valid  bool           `json:"valid"`
 	Digest string         `json:"digest,omitempty"`
 	Faults []config.Fault `json:"faults,omitempty"`
@@ -33,7 +33,7 @@
 func (t *tool) validate(_ context.Context, name string) error {
 	file, err := readFile(name)
 	if invalid, ok := errors.AsType[*config.InvalidError](err); ok && t.json() {
-		if printErr := t.printJSON(validation{Faults: invalid.Faults()}); printErr != nil {
+		if printErr := t.printJSON(validationResult{Faults: invalid.Faults()}); printErr != nil {
 			return printErr
 		}
 	}
@@ -46,15 +46,15 @@
 	}
 	digest := entries.Digest().String()
 	if t.json() {
-		return t.printJSON(validation{Valid: true, Digest: digest})
+		return t.printJSON(validationResult{Valid: true, Digest: digest})
 	}
 	fmt.Fprintf(t.out, "valid, digest %s: %d organisations, %d models, %d backend servers, %d plain services\n",
 		digest, len(file.Organisations), len(file.Models), len(file.BackendServers), len(file.PlainServices))
 	return nil
 }
 
-// planned is what plan prints as JSON.
-type planned struct {
+// planResult is the JSON output of plan.
+type planResult struct {
 	Base   int64    `json:"base"`
 	Set    []string `json:"set"`
 	Remove []string `json:"remove"`
@@ -79,7 +79,7 @@
 		return err
 	}
 	change := state.Entries.Diff(target)
-	plan := planned{Base: state.Version, Set: []string{}, Remove: change.Remove}
+	plan := planResult{Base: state.Version, Set: []string{}, Remove: change.Remove}
 	for _, entry := range change.Set {
 		plan.Set = append(plan.Set, entry.Name)
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (t *tool) printPlan(plan planned) {
+func (t *tool) printPlan(plan planResult) {
 	fmt.Fprintf(t.out, "against version %d:\n", plan.Base)
 	for _, name := range plan.Set {
 		fmt.Fprintf(t.out, "  set     %s\n", name)
@@ -103,14 +103,14 @@
 	}
 }
 
-// applied is what apply prints as JSON.
-type applied struct {
+// applyResult is the JSON output of apply.
+type applyResult struct {
 	Version  int64   `json:"version"`
 	ApplyID  string  `json:"apply_id"`
 	Changed  bool    `json:"changed"`
 	Seconds  float64 `json:"seconds"`
 	InForce  int     `json:"in_force"`
-	OfBoxes  int     `json:"of_boxes"`
+	BoxCount int     `json:"of_boxes"`
 	Complete bool    `json:"complete"`
 }
 
@@ -128,12 +128,12 @@
 		return err
 	}
 	began := time.Now()
-	result := applied{ApplyID: uuid.NewString(), Changed: true}
+	result := applyResult{ApplyID: uuid.NewString(), Changed: true}
 	t.progress("apply %s", result.ApplyID)
-	result.Version, err = configlog.Apply(ctx, configlog.ApplyConfig{Log: log, ApplyID: result.ApplyID, BaseVersion: base, ReadBackTimeout: t.options.lookFor}, file)
+	result.Version, err = configlog.Apply(ctx, configlog.ApplyConfig{Log: log, ApplyID: result.ApplyID, BaseVersion: base, ReadBackTimeout: t.options.readBackTimeout}, file)
 	if errors.Is(err, configlog.ErrNoChange) {
 		result.Changed = false
-		result.Version, err = inForce(ctx, log)
+		result.Version, err = versionInForce(ctx, log)
 	}
 	if err != nil {
 		return err
@@ -159,7 +159,7 @@
 	return &base, nil
 }
 
-func (t *tool) printApplied(result applied) error {
+func (t *tool) printApplied(result applyResult) error {
 	if t.json() {
 		return t.printJSON(result)
 	}
@@ -169,32 +169,32 @@
 		fmt.Fprintf(t.out, "nothing to change, version %d is in force\n", result.Version)
 	}
 	if t.options.wait {
-		fmt.Fprintf(t.out, "in force on %d of %d boxes after %.2f s\n", result.InForce, result.OfBoxes, result.Seconds)
+		fmt.Fprintf(t.out, "in force on %d of %d boxes after %.2f s\n", result.InForce, result.BoxCount, result.Seconds)
 	}
 	return nil
 }
 
-// waitPause is the pause between two looks at the boxes.
-const waitPause = 100 * time.Millisecond
+// pollInterval is the pause between two polls of the boxes' versions.
+const pollInterval = 100 * time.Millisecond
 
-// waitInForce waits until every live box has the version in force.
-func (t *tool) waitInForce(ctx context.Context, result *applied) error {
+// waitInForce waits until all live boxes have the version in force, or returns errWaitTimeout.
+func (t *tool) waitInForce(ctx context.Context, result *applyResult) error {
 	ctx, cancel := context.WithTimeout(ctx, t.options.waitTimeout)
 	defer cancel()
 	for {
 		boxes, err := t.findBoxes(ctx)
 		if err == nil {
-			result.InForce, result.OfBoxes = t.countInForce(ctx, boxes, result.Version)
-			t.progress("in force on %d of %d boxes", result.InForce, result.OfBoxes)
+			result.InForce, result.BoxCount = t.countInForce(ctx, boxes, result.Version)
+			t.progress("in force on %d of %d boxes", result.InForce, result.BoxCount)
 		}
-		if err == nil && result.OfBoxes > 0 && result.InForce == result.OfBoxes {
+		if err == nil && result.BoxCount > 0 && result.InForce == result.BoxCount {
 			result.Complete = true
 			return nil
 		}
 		select {
-		case <-time.After(waitPause):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return errNotEverywhere
+			return errWaitTimeout
 		}
 	}
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -9,8 +9,8 @@
 	"github.com/cometlock/cometlock/internal/explain"
 )
 
-// explain tells the story of one request, or counts the failed ones, from log lines
-// on standard input.
+// explain reads log lines from standard input, and prints the timeline of one request or the number of
+// failed requests by cause.
 func (t *tool) explain(_ context.Context, id string) error {
 	switch {
 	case t.options.failures && id == "":
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -13,7 +13,7 @@
 	return encoder.Encode(value)
 }
 
-// progress writes a line to the error output, where it disturbs no pipe.
+// progress writes a progress line to standard error, to keep standard output parseable.
 func (t *tool) progress(format string, args ...any) {
 	fmt.Fprintf(t.err, format+"\n", args...)
 }
--- a/internal/cli/requests.go
+++ b/internal/cli/requests.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// reviewsState is the part of a state dump that describes the reviews. Every
-// box knows all of them, since all follow the same log.
+// reviewsState is the part of a state dump that describes the reviews. Each box lists all reviews, since
+// all boxes follow the same log.
 type reviewsState struct {
 	AtRisk  int             `json:"at_risk"`
 	Waiting []waitingReview `json:"waiting"`
 }
 
-// waitingReview is a review that has no answer yet.
+// waitingReview is a queued or running review.
 type waitingReview struct {
 	ID           string    `json:"id"`
 	Organisation string    `json:"organisation"`
@@ -28,16 +28,16 @@
 	Box          string    `json:"box"`
 }
 
-// requests lists the reviews that wait or run, the oldest first.
+// requests lists the queued and running reviews, oldest first.
 func (t *tool) requests(ctx context.Context, _ string) error {
 	boxes, err := t.findBoxes(ctx)
 	if err != nil {
 		return err
 	}
 	byID := map[string]waitingReview{}
-	for _, state := range t.ask(ctx, boxes) {
+	for _, state := range t.fetchStates(ctx, boxes) {
 		for _, review := range state.Reviews.Waiting {
-			if known, ok := byID[review.ID]; !ok || known.Status == "queued" {
+			if listed, ok := byID[review.ID]; !ok || listed.Status == "queued" {
 				byID[review.ID] = review
 			}
 		}
