--- a/internal/explain/calls.go
+++ b/internal/explain/calls.go
@@ -27,15 +27,15 @@
 	FirstEvent float64 `json:"first_event"`
 }
 
-// ForEachCall passes the summary line of each call to take.
-func ForEachCall(source io.Reader, take func(Call)) error {
-	return read(source, func(l line) {
-		if l.Event != eventCall {
+// ForEachCall passes the summary line of each call to handle.
+func ForEachCall(source io.Reader, handle func(Call)) error {
+	return scanLines(source, func(l line) {
+		if l.Event != callEvent {
 			return
 		}
 		var call Call
-		if err := json.Unmarshal(l.raw, &call); err == nil { // read has decoded it once
-			take(call)
+		if err := json.Unmarshal(l.raw, &call); err == nil { // scanLines has already decoded the line
+			handle(call)
 		}
 	})
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,8 +1,8 @@
-// Package explain reads the logs of entry boxes and tells the story of one call, or
-// counts how calls failed.
+// Package explain analyses the logs of entry boxes: it prints the timeline of one call, or counts failed
+// calls by cause.
 //
-// Lines may come from many boxes in any order, and with something before the JSON,
-// as collectors put it there. What is no line of an entry box is passed over.
+// The input may contain lines of many boxes in any order, and each line may have a prefix before the
+// JSON, as log collectors add one. Lines that were not written by an entry box are skipped.
 package explain
 
 import (
@@ -21,10 +21,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxLineBytes bounds a line; those of entry boxes have some hundred bytes.
+// maxLineBytes bounds the length of a line. Lines of entry boxes are a few hundred bytes long.
 const maxLineBytes = 1 << 20
 
-// line is one log line.
+// line is one parsed log line.
 type line struct {
 	Time    time.Time `json:"time"`
 	Box     string    `json:"box"`
@@ -33,19 +33,18 @@
 	Outcome string    `json:"outcome"`
 	Reason  string    `json:"reason"`
 	Route   string    `json:"route"`
-	// raw is the whole line's JSON.
+	// raw is the complete JSON object of the line.
 	raw []byte
 }
 
-// Words of the lines: the event that ends a call's story, and the outcome of calls
-// that got a whole answer.
+// The event of a call's summary line, and the outcome of calls that received a complete answer.
 const (
-	eventCall     = "call"
-	outcomeServed = "served"
+	callEvent     = "call"
+	servedOutcome = "served"
 )
 
-// read gives each line of an entry box to take.
-func read(source io.Reader, take func(line)) error {
+// scanLines passes each line of an entry box to handle.
+func scanLines(source io.Reader, handle func(line)) error {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for scanner.Scan() {
@@ -56,10 +55,10 @@
 		raw := scanner.Bytes()[start:]
 		var decoded line
 		if err := json.Unmarshal(raw, &decoded); err != nil || decoded.Event == "" {
-			continue // another program's line
+			continue // written by another program
 		}
 		decoded.raw = slices.Clone(raw)
-		take(decoded)
+		handle(decoded)
 	}
 	if err := scanner.Err(); err != nil {
 		return merry.Prepend(err, "read log")
@@ -67,38 +66,38 @@
 	return nil
 }
 
-// beliefWindow is how far around a call changes of what its boxes believed are
-// told: a lost server or a new configuration shows within seconds.
-const beliefWindow = 2 * time.Second
+// eventWindow is the maximum time between a line of a call and an event of the same box that is included
+// in the call's timeline. A lost server or a new configuration affects calls within seconds.
+const eventWindow = 2 * time.Second
 
 // PrintTimeline prints the log lines of one call in order of time, together with the events that
 // the boxes that handled it logged within eventWindow of them.
 func PrintTimeline(source io.Reader, id string, out io.Writer) error {
-	var own, beliefs []line
-	err := read(source, func(l line) {
+	var requestLines, boxEvents []line
+	err := scanLines(source, func(l line) {
 		switch {
 		case l.Request == id:
-			own = append(own, l)
+			requestLines = append(requestLines, l)
 		case l.Request == "":
-			beliefs = append(beliefs, l)
+			boxEvents = append(boxEvents, l)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return merry.Errorf("no line names request %s", id)
 	}
-	story := own
-	for _, belief := range beliefs {
-		if slices.ContainsFunc(own, func(l line) bool {
-			return l.Box == belief.Box && l.Time.Sub(belief.Time).Abs() <= beliefWindow
+	timeline := requestLines
+	for _, event := range boxEvents {
+		if slices.ContainsFunc(requestLines, func(l line) bool {
+			return l.Box == event.Box && l.Time.Sub(event.Time).Abs() <= eventWindow
 		}) {
-			story = append(story, belief)
+			timeline = append(timeline, event)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b line) int { return a.Time.Compare(b.Time) })
-	for _, l := range story {
+	slices.SortStableFunc(timeline, func(a, b line) int { return a.Time.Compare(b.Time) })
+	for _, l := range timeline {
 		mark := " "
 		if l.Request == id {
 			mark = "*"
@@ -110,7 +109,7 @@
 	return nil
 }
 
-// details writes what a line says besides, as key=value pairs in its own order.
+// details returns the remaining fields of a line as key=value pairs, in the order of the line.
 func details(raw []byte) string {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	var pairs []string
@@ -135,17 +134,17 @@
 	}
 }
 
-// cause is what failed calls are counted by.
+// cause is the key by which failed calls are counted.
 type cause struct {
 	outcome, reason, route string
 }
 
-// failures counts calls that were not served.
+// failures counts the calls that were not served, by cause.
 type failures struct {
-	// calls counts all calls, the served ones too.
+	// calls counts all calls, including served ones.
 	calls  int
 	counts map[cause]int
-	// examples names one request for each cause.
+	// examples has the id of one request for each cause.
 	examples map[cause]string
 }
 
@@ -153,19 +152,19 @@
 // counts with the most frequent first.
 func PrintFailures(source io.Reader, out io.Writer) error {
 	f := failures{counts: map[cause]int{}, examples: map[cause]string{}}
-	if err := read(source, f.count); err != nil {
+	if err := scanLines(source, f.count); err != nil {
 		return err
 	}
 	return f.print(out)
 }
 
-// count takes in one line.
+// count adds one line to the counts.
 func (f *failures) count(l line) {
-	if l.Event != eventCall {
+	if l.Event != callEvent {
 		return
 	}
 	f.calls++
-	if l.Outcome == outcomeServed {
+	if l.Outcome == servedOutcome {
 		return
 	}
 	c := cause{l.Outcome, l.Reason, l.Route}
@@ -175,7 +174,7 @@
 	}
 }
 
-// causes lists the causes, the most frequent first.
+// causes returns the causes, most frequent first.
 func (f *failures) causes() []cause {
 	return slices.SortedFunc(maps.Keys(f.counts), func(a, b cause) int {
 		return cmp.Or(f.counts[b]-f.counts[a], strings.Compare(a.outcome+a.reason+a.route, b.outcome+b.reason+b.route))
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,16 +10,16 @@
 	"github.com/cometlock/cometlock/internal/explain"
 )
 
-func recorded(g *WithT) *os.File {
+func openRecordedLog(g *WithT) *os.File {
 	file, err := os.Open("testdata/recorded.log")
 	g.Expect(err).NotTo(HaveOccurred())
 	return file
 }
 
-func TestAStoryIsInOrderAndTellsWhatTheBoxLearnt(t *testing.T) {
+func TestTimelineIsOrderedAndIncludesBoxEvents(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
-	g.Expect(explain.PrintTimeline(recorded(g), "aaaa000000000001", &out)).To(Succeed())
+	g.Expect(explain.PrintTimeline(openRecordedLog(g), "aaaa000000000001", &out)).To(Succeed())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	g.Expect(lines).To(HaveLen(4))
 	g.Expect(lines[0]).To(And(HavePrefix("*"), ContainSubstring("try_lost"), ContainSubstring("server=i-1")))
@@ -28,16 +28,16 @@
 	g.Expect(lines[3]).To(And(ContainSubstring("outcome=unknown"), ContainSubstring("reason=no_server_answered")))
 }
 
-func TestAStoryThatNobodyToldIsAnError(t *testing.T) {
+func TestTimelineOfUnknownRequestFails(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
-	g.Expect(explain.PrintTimeline(recorded(g), "ffff", &out)).NotTo(Succeed())
+	g.Expect(explain.PrintTimeline(openRecordedLog(g), "ffff", &out)).NotTo(Succeed())
 }
 
-func TestFailuresAreCountedByCause(t *testing.T) {
+func TestFailuresAreGroupedByCause(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
-	g.Expect(explain.PrintFailures(recorded(g), &out)).To(Succeed())
+	g.Expect(explain.PrintFailures(openRecordedLog(g), &out)).To(Succeed())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	g.Expect(lines).To(HaveLen(4))
 	g.Expect(strings.Fields(lines[1])).To(Equal([]string{"2", "refused", "no_server", "r-2", "aaaa000000000003"}))
