--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' side of an entry box: metrics, health, the
-// state dump, profiles, and the order to drain.
+// Package admin implements the admin HTTP server of an entry box: metrics, health checks, the state dump,
+// profiles, and the drain request.
 package admin
 
 import (
@@ -13,36 +13,36 @@
 	"github.com/labstack/echo/v4"
 )
 
-// HeaderLeaving is on every answer of a box that is about to stop.
+// HeaderLeaving is set on every response of the admin server while the box drains.
 const HeaderLeaving = "Cometlock-Leaving"
 
 // Config sets up a Server.
 type Config struct {
 	// Metrics serves the metrics.
 	Metrics http.Handler
-	// State gives the state dump.
+	// State returns the state dump.
 	State func() any
 	// UnreadyReason returns why the box is not ready for requests, or "" if it is ready.
 	UnreadyReason func() string
-	// Leaving reports whether the box is about to stop.
+	// Leaving reports whether the box is draining.
 	Leaving func() bool
-	// Drain begins a planned stop.
+	// Drain starts a graceful shutdown.
 	Drain func()
-	// OperatorKey is the SHA-256 of the operators' key in hexadecimal; empty
-	// asks for none.
+	// OperatorKey is the SHA-256 of the operators' key in hexadecimal. If it is empty, no key is
+	// required.
 	OperatorKey string
 }
 
-// Server answers operators.
+// Server serves requests of operators, probes and metrics collectors.
 type Server struct {
 	cfg Config
 }
 
-// New makes a server.
+// New returns a server.
 func New(cfg Config) *Server { return &Server{cfg: cfg} }
 
-// Handler gives the routes. Health and metrics need no key: probes and
-// collectors have none, and they tell nothing about callers.
+// Handler returns the handler with all routes. Health checks and metrics require no key: probes and
+// collectors have none, and these responses contain nothing about callers.
 func (s *Server) Handler() http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
@@ -76,8 +76,8 @@
 		}
 		key := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		sum := sha256.Sum256([]byte(key))
-		given := hex.EncodeToString(sum[:])
-		if subtle.ConstantTimeCompare([]byte(given), []byte(strings.ToLower(s.cfg.OperatorKey))) != 1 {
+		digest := hex.EncodeToString(sum[:])
+		if subtle.ConstantTimeCompare([]byte(digest), []byte(strings.ToLower(s.cfg.OperatorKey))) != 1 {
 			return c.String(http.StatusUnauthorized, "the operators' key is missing or wrong\n")
 		}
 		return next(c)
