--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,8 +1,8 @@
 // Package telemetry sets up logs and metrics.
 //
-// Logs are one line of key=value pairs for each event. Metrics are kept by
-// tally and served in the text format that common collectors scrape. Neither
-// ever holds a key, a prompt or an answer: nothing in this module is given any.
+// A log event is one line of key=value pairs. Metrics are collected with tally and served in the
+// Prometheus text format. Neither logs nor metrics contain API keys, prompts or answers: none of these is
+// ever passed to this package.
 package telemetry
 
 import (
@@ -38,19 +38,19 @@
 	}
 }
 
-// Metrics is the root of all metrics of a process.
+// Metrics holds the root scope of a process's metrics.
 type Metrics struct {
 	scope    tally.Scope
 	reporter prometheus.Reporter
 	closer   io.Closer
 }
 
-// reportInterval is how often tally hands its counts to the reporter.
+// reportInterval is the interval at which tally passes its counts to the reporter.
 const reportInterval = time.Second
 
-// NewMetrics makes the root, with the zone and box as tags of every metric.
+// NewMetrics returns metrics whose root scope tags every metric with the zone and the box.
 func NewMetrics(box, zone string) *Metrics {
-	// A registry of its own keeps two boxes in one test process apart.
+	// Each box has a separate registry, since tests run several boxes in one process.
 	registry := client.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -61,17 +61,17 @@
 	return &Metrics{scope: scope, reporter: reporter, closer: closer}
 }
 
-// Scope gives the root scope.
+// Scope returns the root scope.
 func (m *Metrics) Scope() tally.Scope { return m.scope }
 
-// Handler serves the metrics to a collector.
+// Handler returns the handler that serves the metrics to collectors.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close hands over what was counted last.
+// Close passes the remaining counts to the reporter and stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// LatencyBuckets are the buckets of times, from half a millisecond to two
-// minutes.
+// LatencyBuckets returns the histogram buckets for latencies: exponential, from half a millisecond to
+// about one minute.
 func LatencyBuckets() tally.Buckets {
 	return tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 2, 18)
 }
