--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles makes TLS configurations from files, and takes over changed
-// files without a restart.
+// Package tlsfiles creates TLS configurations from certificate files, and reloads the files when they
+// change, without a restart.
 package tlsfiles
 
 import (
@@ -12,36 +12,36 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Config names the files.
+// Config holds the paths of the files.
 type Config struct {
 	Certificate string
 	Key         string
-	// Authority, when set, signs the certificates of both sides: connections
-	// are then mutually authenticated.
+	// Authority is the file of the CA that signs the certificates of both sides. If it is set,
+	// connections are mutually authenticated.
 	Authority string
 }
 
-// checkEvery is how often files are looked at, at the most.
-const checkEvery = time.Second
+// checkInterval is the minimum time between two checks of the files for changes.
+const checkInterval = time.Second
 
 // Reloader holds the certificate, key and CA that were last read from the files.
 type Reloader struct {
 	cfg Config
 
 	mu          sync.Mutex
-	checkedAt   time.Time
-	stamps      [3]time.Time
+	lastCheck   time.Time
+	modTimes    [3]time.Time
 	certificate *tls.Certificate
-	authorities *x509.CertPool
+	caPool      *x509.CertPool
 }
 
-// Load reads the files for the first time.
+// Load reads the files and returns a Reloader for them.
 func Load(cfg Config) (*Reloader, error) {
 	f := &Reloader{cfg: cfg}
 	if err := f.read(); err != nil {
 		return nil, err
 	}
-	f.stamps = f.modified()
+	f.modTimes = f.readModTimes()
 	return f, nil
 }
 
@@ -61,35 +61,35 @@
 			return merry.Errorf("TLS authority: %s holds no certificate", f.cfg.Authority)
 		}
 	}
-	f.certificate, f.authorities = &certificate, authorities
+	f.certificate, f.caPool = &certificate, authorities
 	return nil
 }
 
-func (f *Reloader) modified() [3]time.Time {
-	var stamps [3]time.Time
+func (f *Reloader) readModTimes() [3]time.Time {
+	var modTimes [3]time.Time
 	for i, name := range []string{f.cfg.Certificate, f.cfg.Key, f.cfg.Authority} {
 		if info, err := os.Stat(name); err == nil {
-			stamps[i] = info.ModTime()
+			modTimes[i] = info.ModTime()
 		}
 	}
-	return stamps
+	return modTimes
 }
 
-// current gives what the files hold now. While they hold something that cannot
-// be used, as in the middle of being replaced, the last good content stays.
+// current reloads the files if they changed, and returns the certificate and the CA pool. While the files
+// are invalid, for example because they are being replaced, it returns the last valid content.
 func (f *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.checkedAt) < checkEvery {
-		return f.certificate, f.authorities
+	if time.Since(f.lastCheck) < checkInterval {
+		return f.certificate, f.caPool
 	}
-	f.checkedAt = time.Now()
-	if stamps := f.modified(); stamps != f.stamps {
+	f.lastCheck = time.Now()
+	if modTimes := f.readModTimes(); modTimes != f.modTimes {
 		if err := f.read(); err == nil {
-			f.stamps = stamps
+			f.modTimes = modTimes
 		}
 	}
-	return f.certificate, f.authorities
+	return f.certificate, f.caPool
 }
 
 // ServerConfig returns the configuration of the accepting side.
@@ -112,8 +112,8 @@
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{*certificate},
-		// The library's own check includes the name; VerifyConnection below
-		// does all of it but that.
+		// The verification of crypto/tls includes the host name. VerifyConnection below does the same
+		// verification without the host name.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyChain(state, authorities)
@@ -123,7 +123,7 @@
 
 func verifyChain(state tls.ConnectionState, authorities *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 || authorities == nil {
-		return merry.New("the peer has no certificate that can be checked")
+		return merry.New("the certificate of the peer cannot be verified: it sent none, or no CA is configured")
 	}
 	options := x509.VerifyOptions{Roots: authorities, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}
 	for _, certificate := range state.PeerCertificates[1:] {
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -22,9 +22,8 @@
 	return files
 }
 
-// shake makes a connection between two sides and gives the serial number of the
-// server's certificate.
-func shake(server, client *tls.Config) (int64, error) {
+// handshake connects a client to a server and returns the serial number of the server's certificate.
+func handshake(server, client *tls.Config) (int64, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return 0, err
@@ -36,7 +35,7 @@
 			return
 		}
 		accepted := tls.Server(conn, server)
-		_, _ = accepted.Write([]byte("x")) // the client's side has the verdict
+		_, _ = accepted.Write([]byte("x")) // the client reports a failed handshake
 		_ = accepted.Close()
 		_ = conn.Close()
 	}()
@@ -46,30 +45,30 @@
 	}
 	defer func() { _ = conn.Close() }()
 	dialled := tls.Client(conn, client)
-	// With TLS 1.3 a refused client learns it at its first read.
+	// With TLS 1.3 a rejected client gets the error at its first read.
 	if _, err := io.ReadFull(dialled, make([]byte, 1)); err != nil {
 		return 0, err
 	}
 	return dialled.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
-func TestPeersNeedACertificateOfTheAuthority(t *testing.T) {
+func TestPeerCertificatesAreVerified(t *testing.T) {
 	g := NewWithT(t)
 	ours, other := testcerts.New(g), testcerts.New(g)
 	box := load(g, ours.Write(g, t.TempDir(), 7))
 	stranger := load(g, other.Write(g, t.TempDir(), 8))
-	serial, err := shake(box.ServerConfig(), box.ClientConfig())
+	serial, err := handshake(box.ServerConfig(), box.ClientConfig())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serial).To(Equal(int64(7)))
-	_, err = shake(box.ServerConfig(), stranger.ClientConfig())
-	g.Expect(err).To(HaveOccurred(), "a stranger's certificate is refused by the server")
-	_, err = shake(stranger.ServerConfig(), box.ClientConfig())
-	g.Expect(err).To(HaveOccurred(), "and by the client")
-	_, err = shake(box.ServerConfig(), &tls.Config{InsecureSkipVerify: true})
-	g.Expect(err).To(HaveOccurred(), "so is no certificate")
+	_, err = handshake(box.ServerConfig(), stranger.ClientConfig())
+	g.Expect(err).To(HaveOccurred(), "the server rejects a client certificate of another CA")
+	_, err = handshake(stranger.ServerConfig(), box.ClientConfig())
+	g.Expect(err).To(HaveOccurred(), "the client rejects a server certificate of another CA")
+	_, err = handshake(box.ServerConfig(), &tls.Config{InsecureSkipVerify: true})
+	g.Expect(err).To(HaveOccurred(), "the server rejects a client without a certificate")
 }
 
-func TestChangedFilesAreTakenOver(t *testing.T) {
+func TestChangedFilesAreReloaded(t *testing.T) {
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -88,7 +87,7 @@
 		g.Expect(os.WriteFile(cfg.Key, []byte("half a key"), 0o600)).To(Succeed())
 		g.Expect(os.Chtimes(cfg.Key, later, later)).To(Succeed())
 		time.Sleep(2 * time.Second)
-		g.Expect(serial()).To(Equal(int64(1)), "files that cannot be used change nothing")
+		g.Expect(serial()).To(Equal(int64(1)), "invalid files leave the last valid certificate in use")
 		ours.Write(g, folder, 2)
 		g.Expect(os.Chtimes(cfg.Certificate, later.Add(time.Minute), later.Add(time.Minute))).To(Succeed())
 		time.Sleep(2 * time.Second)
@@ -96,7 +95,7 @@
 	})
 }
 
-func TestFilesThatCannotBeUsedAreOneClearError(t *testing.T) {
+func TestLoadReportsUnusableFiles(t *testing.T) {
 	g := NewWithT(t)
 	_, err := tlsfiles.Load(tlsfiles.Config{Certificate: "nowhere", Key: "nowhere"})
 	g.Expect(err).To(MatchError(ContainSubstring("TLS certificate")))
