--- a/internal/schemagen/schemagen.go
+++ b/internal/schemagen/schemagen.go
@@ -1,5 +1,5 @@
-// Package schemagen makes the JSON schema of the configuration file, for
-// editors, out of the types that read it.
+// Package schemagen generates the JSON schema of the configuration file from the Go types that decode it.
+// Editors use the schema for completion and validation.
 package schemagen
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/cometlock/cometlock/internal/config"
 )
 
-// Path is where the schema is kept, from the repository's root.
+// Path is the path of the schema file, relative to the repository's root.
 const Path = "schema/cometlock.schema.json"
 
-// Generate gives the schema.
+// Generate returns the schema.
 func Generate() ([]byte, error) {
 	reflector := jsonschema.Reflector{FieldNameTag: "yaml", RequiredFromJSONSchemaTags: true, ExpandedStruct: true}
 	schema := reflector.Reflect(&config.File{})
--- a/internal/schemagen/schemagen_test.go
+++ b/internal/schemagen/schemagen_test.go
@@ -9,7 +9,7 @@
 	"github.com/cometlock/cometlock/internal/schemagen"
 )
 
-func TestTheCommittedSchemaIsTheGeneratedOne(t *testing.T) {
+func TestCommittedSchemaMatchesGenerated(t *testing.T) {
 	g := NewWithT(t)
 	want, err := schemagen.Generate()
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/schemagen/write/main.go
+++ b/internal/schemagen/write/main.go
@@ -1,4 +1,4 @@
-// Command write writes the schema into the file that is its argument.
+// Command write writes the schema to the file given as its argument.
 package main
 
 import (
