--- a/cmd/cometlock-bench/main.go
+++ b/cmd/cometlock-bench/main.go
@@ -1,4 +1,4 @@
-// Command cometlock-bench prints the figures that docs/ quotes.
+// Command cometlock-bench runs the benchmarks and prints the figures that are quoted in docs/.
 package main
 
 import (
--- a/cmd/cometlock-entry/main.go
+++ b/cmd/cometlock-entry/main.go
@@ -1,4 +1,4 @@
-// Command cometlock-entry is an entry box of cometlock on its users' platform.
+// Command cometlock-entry runs an entry box of cometlock on its users' platform.
 package main
 
 import (
--- a/cmd/cometlock-soak/main.go
+++ b/cmd/cometlock-soak/main.go
@@ -1,5 +1,5 @@
-// Command cometlock-soak plays entry boxes as real processes under faults from outside, and
-// checks what callers and backend servers see.
+// Command cometlock-soak runs soak tests: it starts entry boxes as separate processes, injects faults, and
+// checks the results at callers and backend servers.
 package main
 
 import (
--- a/cmd/cometlock-standins/main.go
+++ b/cmd/cometlock-standins/main.go
@@ -1,5 +1,5 @@
-// Command cometlock-standins is one process of stand-ins for everything around
-// the entry boxes, for trying a fleet out.
+// Command cometlock-standins runs stand-ins for all services around the entry boxes in one process, for
+// local trials of a fleet.
 package main
 
 import (
--- a/cmd/cometlock-try/main.go
+++ b/cmd/cometlock-try/main.go
@@ -1,5 +1,5 @@
-// Command cometlock-try starts a stand-in of the users' platform with entry boxes
-// before it, and sends calls until it is interrupted.
+// Command cometlock-try starts a stand-in of the users' platform with entry boxes in front of it, and sends
+// calls until it is interrupted.
 package main
 
 import (
--- a/cmd/cometlock/main.go
+++ b/cmd/cometlock/main.go
@@ -1,4 +1,4 @@
-// Command cometlock is the operators' tool.
+// Command cometlock is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/cometlockd/main.go
+++ b/cmd/cometlockd/main.go
@@ -1,4 +1,4 @@
-// Command cometlockd is an entry box of cometlock.
+// Command cometlockd runs an entry box of cometlock.
 package main
 
 import (
