--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The hub of the repository: every task has its name here.
+# The tasks of the repository: building, running, tests and generated files.
 
 VERSION ?= $(shell git describe --tags --always --dirty 2>/dev/null || echo development)
 LDFLAGS := -X github.com/cometlock/cometlock/internal/version.Version=$(VERSION)
@@ -8,26 +8,26 @@
 
 all: build
 
-# Both programs, in bin/.
+# Builds all programs into bin/.
 build:
 	go build -ldflags "$(LDFLAGS)" -o bin/ ./cmd/...
 
-# One daemon with stand-ins for everything around it.
+# Runs one daemon with stand-ins for all services that it needs.
 run: build
 	./scripts/run.sh
 
-# A stand-in of the users' platform with two entry boxes, and some traffic.
+# Runs a stand-in of the users' platform with two entry boxes, and sends some calls.
 run-platform:
 	go run ./cmd/cometlock-try
 
-# Eight daemons in four availability zones against one process of stand-ins.
+# Runs eight daemons in four availability zones and one process of stand-ins.
 fleet: build
 	./scripts/fleet.sh
 
-# Everything that CI checks.
+# Runs all checks of CI.
 test: format lint words unit fuzz
 
-# Every decoder of bytes from outside, on a fixed number of inputs each.
+# Fuzzes each decoder of untrusted bytes with a fixed number of inputs.
 FUZZ_INPUTS ?= 3000
 fuzz:
 	./scripts/fuzz.sh $(FUZZ_INPUTS)
@@ -39,25 +39,25 @@
 	go vet $(PACKAGES)
 	go tool revive -config revive.toml $(PACKAGES)
 
-# Fails when the platform's names stand outside platform/.
+# Fails if code outside platform/ contains names of the platform's protocols.
 words:
 	./scripts/wirewords.sh
 
-# Fails when a file is not formatted; `go tool gofumpt -w .` mends it.
+# Fails if a file is not formatted; `go tool gofumpt -w .` formats all files.
 format:
 	@unformatted="$$(go tool gofumpt -l .)"; \
 	if [ -n "$$unformatted" ]; then echo "not formatted:"; echo "$$unformatted"; exit 1; fi
 
-# Generated code and files are committed; this makes them anew.
+# Regenerates the generated code and files, which are committed.
 generate:
 	go generate $(PACKAGES)
 
-# Prints the figures quoted in docs/. Wall-clock figures are ratios in one run.
+# Prints the figures quoted in docs/. Wall-clock figures are ratios of measurements in the same run.
 bench:
 	go run ./cmd/cometlock-bench
 
-# Prints the tables of placement policies, and writes bench-policy.json,
-# bench-sites.json and the plots in bench-plots/.
+# Prints the tables that compare placement policies, and writes bench-policy.json, bench-sites.json and
+# the plots in bench-plots/.
 policy:
 	go run ./cmd/cometlock-bench policy
 
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Eight daemons in four availability zones against one process of stand-ins, for
-# trying failures by hand. Ends what it started, by process id.
+# Starts eight daemons in four availability zones and one process of stand-ins, for testing
+# failures by hand. On exit it stops the processes that it started, by process id.
 #   fleet.sh          runs until interrupted
-#   fleet.sh SECONDS  runs for so long
+#   fleet.sh SECONDS  runs for this number of seconds
 set -eu
 cd "$(dirname "$0")/.."
 export COMETLOCK_LOG=127.0.0.1:8183 COMETLOCK_BOX_LIST=127.0.0.1:8184
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs every fuzz target of the repository on a fixed number of inputs.
+# Runs each fuzz target of the repository with a fixed number of inputs:
+#   fuzz.sh INPUTS
 set -eu
 cd "$(dirname "$0")/.."
 inputs=$1
--- a/scripts/mixed-versions.sh
+++ b/scripts/mixed-versions.sh
@@ -1,15 +1,16 @@
 #!/usr/bin/env bash
-# Runs the programs of this tree beside those of an older revision, and has each read what
-# the other one wrote:
+# Tests that the programs of this tree and of an older revision work in the same fleet, and that each can
+# read what the other one wrote:
 #   mixed-versions.sh REVISION [RUNS] [SEED]
 #
-#   1. cometlock-entry: soaks in which half of the boxes start from the old program, and each
-#      restart of a box changes sides, so that owners, hubs, followers and readers of both
-#      serve one fleet, and each reads the platform's store as the other left it.
-#   2. cometlockd: one fleet of both; configuration, claims and reviews written by one side
-#      are read by the other one, also after all boxes of the writing side are gone.
+#   1. cometlock-entry: soak tests in which half of the boxes start with the old program, and each
+#      restart of a box switches to the other program. Thus owners, hubs, followers and readers of
+#      both versions serve one fleet, and each version reads the platform's store as the other
+#      version wrote it.
+#   2. cometlockd: one fleet with boxes of both versions. Configuration, claims and reviews written by
+#      one version are read by the other one, also after all boxes of the writing version are stopped.
 #
-# Needs curl besides Go and git. Ports from PORT on (default 23000) must be free.
+# Requires Go, git and curl. The ports from PORT on (default 23000) must be free.
 set -eu
 cd "$(dirname "$0")/.."
 revision=${1:?usage: mixed-versions.sh REVISION [RUNS] [SEED]}
@@ -19,7 +20,7 @@
 work=$(mktemp -d)
 started=()
 
-# stop ends the processes with these ids, and waits for them.
+# stop PID... terminates the processes and waits for them.
 stop() {
   for pid in "$@"; do kill -TERM "$pid" 2>/dev/null || true; done
   for pid in "$@"; do wait "$pid" 2>/dev/null || true; done
@@ -37,8 +38,9 @@
 (cd "$work/old-source" && go build -o "$work/old/" ./cmd/...)
 go build -o "$work/new/" ./cmd/...
 
-echo "== cometlock-entry: $runs soaks of both programs in each mode, from seed $seed"
-# The soak starts each box with the path of its settings, which is the same at each restart.
+echo "== cometlock-entry: $runs soak tests of both programs in each mode, from seed $seed"
+# The soak test starts each box with the path of its settings file, which stays the same across restarts.
+# The wrapper counts the starts in a file next to it and selects the program by box number and count.
 cat >"$work/either" <<'EITHER'
 #!/usr/bin/env bash
 starts=$(($(cat "$COMETLOCK_SETTINGS.starts" 2>/dev/null || echo 0) + 1))
@@ -64,7 +66,7 @@
 COMETLOCK_ANSWER_KEYS=$(od -An -tx1 -N32 /dev/urandom | tr -d ' \n')
 export COMETLOCK_ANSWER_KEYS
 zones=(zone-a zone-a zone-b zone-b)
-at() { echo "127.0.0.1:$((port + 10 + 10 * $1 + $2))"; } # BOX SERVICE: 0 callers, 1 operators, 2 peers
+at() { echo "127.0.0.1:$((port + 10 + 10 * $1 + $2))"; } # at BOX PORT: port 0 is for callers, 1 for operators, 2 for peers
 boxes=""
 for i in 0 1 2 3; do boxes+="entry-$i,${zones[i]},$(at $i 2),$(at $i 1),$(at $i 0);"; done
 "$work/old/cometlock-standins" --file "$work/config.yaml" --boxes "$boxes" --log "$COMETLOCK_LOG" --box-list "$COMETLOCK_BOX_LIST" 2>"$work/standins.log" &
@@ -72,19 +74,19 @@
 sleep 1
 
 pids=()
-# run_box BOX SIDE starts a box from a side's program.
+# run_box BOX VERSION starts a box with the old or new program.
 run_box() {
   "$work/$2/cometlockd" --box "entry-$1" --zone "${zones[$1]}" --listen "$(at "$1" 0)" --admin "$(at "$1" 1)" \
     --peer "$(at "$1" 2)" --drain-delay 0s 2>>"$work/entry-$1-$2.log" &
   pids[$1]=$!
   started+=($!)
 }
-# swap BOX SIDE replaces a box.
+# swap BOX VERSION stops a box and starts it again with the old or new program.
 swap() {
   stop "${pids[$1]}"
   run_box "$1" "$2"
 }
-# await WHAT COMMAND... retries the command for 30 s.
+# await DESCRIPTION COMMAND... retries the command for up to 30 s, and fails the script if it never succeeds.
 await() {
   local what=$1
   shift
@@ -95,24 +97,26 @@
     fi
     sleep 0.2
   done
-  echo "NOT SEEN: $what"
+  echo "FAILED: $what (not within 30 s)"
   exit 1
 }
 ready() {
   for i in 0 1 2 3; do curl -fsS "http://$(at $i 1)/ready" || return 1; done
 }
-# agree compares what both command lines say of the boxes' names, zones, readiness and versions.
+# agree checks that the command-line tools of both versions report the same names, zones, readiness and
+# configuration versions of the boxes.
 agree() {
   local old new
   old=$("$work/old/cometlock" status | awk '{print $1,$2,$3,$4}')
   new=$("$work/new/cometlock" status | awk '{print $1,$2,$3,$4}')
   [ "$(grep -c '^entry-' <<<"$new")" -eq 4 ] && [ "$old" = "$new" ]
 }
-# charge BOX KEY sends a call that may run once; it prints the head and the body.
+# charge BOX KEY sends a call with an idempotency key, which must run at most once, and prints the response
+# headers and body.
 charge() {
   curl -isS -m 10 -X POST "http://$(at "$1" 0)/services/booking/charges" -H 'Authorization: Bearer sk-lot-demo' -H "Idempotency-Key: $2" -d '5 euro'
 }
-# new_key prints a UUID of version 7.
+# new_key prints a new UUID of version 7.
 new_key() {
   local time random
   time=$(printf '%012x' "$(date +%s%3N)")
@@ -132,35 +136,35 @@
     -d '{"model":"scene-review","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Hello"}]}' | grep -q '\[DONE\]'
 }
 apply() { "$work/$1/cometlock" apply --wait "$work/config.yaml" >"$work/apply.log"; }
-# change gives the configuration another value, so that it can be applied again.
+# change VALUE changes one value of the configuration, so that applying it creates a new version.
 change() { sed -i -E "s/queue_length: [0-9]+/queue_length: $1/" "$work/config.yaml"; }
 serve() { for i in 0 1 2 3; do await "$1: entry-$i streams an answer" stream $i; done; }
 
 for i in 0 1 2 3; do run_box $i "$([ $((i % 2)) -eq 0 ] && echo old || echo new)"; done
 sleep 2
 apply old
-await "a configuration of the old program is in force on all boxes" ready
+await "a configuration applied by the old program is in force on all boxes" ready
 await "both command lines show the same boxes" agree
 serve "both"
 key_old=$(new_key) key_new=$(new_key)
 charge 0 "$key_old" >"$work/charge-old"
 charge 1 "$key_new" >"$work/charge-new"
-await "a claim of the old program is answered by the new one" replayed 1 "$key_old"
-await "a claim of the new program is answered by the old one" replayed 2 "$key_new"
+await "the new program replays the response of a claim of the old one" replayed 1 "$key_old"
+await "the old program replays the response of a claim of the new one" replayed 2 "$key_new"
 review_old=$(accept_review 0)
 review_new=$(accept_review 3)
-await "a review of the old program is read from the new one" completed 3 "$review_old"
-await "a review of the new program is read from the old one" completed 0 "$review_new"
+await "the new program returns the result of a review that the old one accepted" completed 3 "$review_old"
+await "the old program returns the result of a review that the new one accepted" completed 0 "$review_new"
 change 4095
 apply new
-await "a configuration of the new program is in force on all boxes" ready
+await "a configuration applied by the new program is in force on all boxes" ready
 
 review_left=$(accept_review 2)
 for i in 0 2; do swap $i new; done
-await "all boxes are of the new program" ready
+await "all boxes run the new program" ready
 serve "new"
-await "a claim of the old program outlives it" replayed 0 "$key_old"
-await "a review that the old program accepted is completed" completed 2 "$review_left"
+await "a claim of the old program is replayed after its boxes are replaced" replayed 0 "$key_old"
+await "a review that the old program accepted is completed after its boxes are replaced" completed 2 "$review_left"
 key_alone=$(new_key)
 charge 2 "$key_alone" >"$work/charge-new-alone"
 change 4094
@@ -168,8 +172,8 @@
 review_left=$(accept_review 1)
 
 for i in 0 1 2 3; do swap $i old; done
-await "all boxes are of the old program" ready
+await "all boxes run the old program" ready
 serve "old"
-await "a claim of the new program is read on the way back" replayed 3 "$key_alone"
-await "a review that the new program accepted is completed on the way back" completed 0 "$review_left"
+await "a claim of the new program is replayed after the downgrade" replayed 3 "$key_alone"
+await "a review that the new program accepted is completed after the downgrade" completed 0 "$review_left"
 echo "passed"
--- a/scripts/unit.sh
+++ b/scripts/unit.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs all tests with the race detector but for those that KNOWN-RED.txt lists, which are
-# run apart and only told of. A line of that file is: package | test | command and seed |
-# what was seen | cause | issue. It has three lines at most.
+# Runs the tests with the race detector, except those in KNOWN-RED.txt. The tests in that file are run
+# separately, and their results are printed but do not change the exit code. The file has at most three
+# lines of this form: package | test | command and seed | what was seen | cause | issue
 set -eu
 cd "$(dirname "$0")/.."
 red=KNOWN-RED.txt
