--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,7 +16,7 @@
 // HeaderLeaving is set on every response of the admin server while the box drains.
 const HeaderLeaving = "Cometlock-Leaving"
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
 	// Metrics serves the metrics.
 	Metrics http.Handler
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,8 +1,8 @@
 // Package cli implements cometlock, the command-line tool for operators.
 //
 // The tool reads and appends configuration directly in the platform's log. If an entry box did the
-// append and crashed while doing so, the outcome would be unknown to the operator. All other commands
-// use the admin ports of the boxes.
+// append and crashed while doing so, the outcome would be unknown to the operator. Commands that need the
+// state of boxes use their admin ports.
 package cli
 
 import (
@@ -41,7 +41,8 @@
 	ExitUsage = 2
 	// ExitInvalid is an invalid configuration file; nothing was applied.
 	ExitInvalid = 3
-	// ExitConflict is an apply that lost to a concurrent one; nothing was applied.
+	// ExitConflict is an apply that was rejected because another change was applied first; nothing was
+	// applied.
 	ExitConflict = 4
 	// ExitOutcomeUnknown is an apply that may or may not have taken effect.
 	ExitOutcomeUnknown = 5
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -269,7 +269,8 @@
 }
 
 // advisoryReports returns the advisories that engines and servers of routes sent in their responses
-// to this box. The key is the name of the engine, or the name with the address of the route's server.
+// to this box. Reports of engines are keyed by the engine's name, those of servers of routes by a name
+// that contains the server's address.
 func (d *Daemon) advisoryReports() map[string]*advisory.Report {
 	reports := d.zoneView.AdvisoryReports()
 	maps.Copy(reports, d.router.AdvisoryReports())
--- a/internal/daemonmain/interrupt_test.go
+++ b/internal/daemonmain/interrupt_test.go
@@ -82,8 +82,8 @@
 	defer signal.Reset(syscall.SIGINT)
 	tests := []struct {
 		name string
-		// send sends a signal to the script's process group or to the script alone. It is called times
-		// times.
+		// send sends a signal to the script's process group or to the script alone. times is the number
+		// of calls.
 		send  func(script int) error
 		times int
 	}{
--- a/internal/linelog/linelog.go
+++ b/internal/linelog/linelog.go
@@ -19,7 +19,7 @@
 	"github.com/cometlock/cometlock/internal/ring"
 )
 
-// Config sets up a Writer.
+// Config configures a Writer.
 type Config struct {
 	Output io.Writer
 	// Capacity is the maximum number of queued lines.
