--- a/internal/worth/causes.go
+++ b/internal/worth/causes.go
@@ -40,7 +40,7 @@
 func NewCauses() *Causes { return &Causes{counts: map[string]map[int]int{}} }
 
 // Read counts the calls in a log.
-func (c *Causes) Read(source io.Reader) error { return explain.Calls(source, c.count) }
+func (c *Causes) Read(source io.Reader) error { return explain.ForEachCall(source, c.count) }
 
 // count counts the call of one log line. Calls without an objective or a prompt are ignored.
 func (c *Causes) count(call explain.Call) {
@@ -70,11 +70,11 @@
 		return causeNoAnswer
 	case call.FirstEvent <= call.Objective:
 		return causeInTime
-	case call.Waited > longWaitShare*call.Objective:
+	case call.QueueTime > longWaitShare*call.Objective:
 		return causeQueued
-	case call.Waited+call.Expected > call.Objective:
+	case call.QueueTime+call.Expected > call.Objective:
 		return causePredictedLate
-	case call.FetchedFrom != "" && call.FirstEvent-call.Waited-call.Expected > lateByShare*call.Objective:
+	case call.FetchedFrom != "" && call.FirstEvent-call.QueueTime-call.Expected > lateByShare*call.Objective:
 		return causeFetch
 	default:
 		return causeRunner
