--- a/internal/bench/apply.go
+++ b/internal/bench/apply.go
@@ -53,7 +53,7 @@
 		}
 	}
 	var total time.Duration
-	file := fleet.Set().File()
+	file := fleet.StandIns().File()
 	for round := range applyRounds {
 		file.Limits.QueueLength = 1000 + round
 		began := time.Now()
--- a/internal/bench/overhead.go
+++ b/internal/bench/overhead.go
@@ -52,7 +52,7 @@
 	if err := inRepository(); err != nil {
 		return err
 	}
-	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a"}, Engine: fakeengine.Config{KeepRuns: time.Second}})
+	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a"}, Engine: fakeengine.Config{RunRetention: time.Second}})
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 
 // serverAddress is where a server is that the baseline talks to.
 func serverAddress(fleet *testfleet.Fleet, name string) string {
-	for _, server := range fleet.Set().File().BackendServers {
+	for _, server := range fleet.StandIns().File().BackendServers {
 		if server.Name == name {
 			return server.Address
 		}
--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -53,7 +53,7 @@
 	if err := inRepository(); err != nil {
 		return err
 	}
-	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a", "zone-b", "zone-a"}, Engine: fakeengine.Config{KeepRuns: 5 * time.Second}})
+	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a", "zone-b", "zone-a"}, Engine: fakeengine.Config{RunRetention: 5 * time.Second}})
 	if err != nil {
 		return err
 	}
@@ -103,13 +103,13 @@
 	s.mu.Lock()
 	s.faults++
 	s.mu.Unlock()
-	set := s.fleet.Set()
+	set := s.fleet.StandIns()
 	engine := s.someEngine(random)
 	switch random.IntN(9) {
 	case 0:
 		set.Log().SetFaults(fakelog.Faults{Down: true})
 	case 1:
-		set.Log().SetFaults(fakelog.Faults{LoseAnswers: 5})
+		set.Log().SetFaults(fakelog.Faults{LoseResponses: 5})
 	case 2:
 		set.Log().SetFaults(fakelog.Faults{LateAppends: 3, Delay: 300 * time.Millisecond})
 	case 3:
@@ -119,27 +119,27 @@
 	case 5:
 		engine.SetFaults(fakeengine.Faults{DropRun: true, ForgetRuns: true})
 	case 6:
-		engine.SetFaults(fakeengine.Faults{Refuse: http.StatusServiceUnavailable})
+		engine.SetFaults(fakeengine.Faults{RejectStatus: http.StatusServiceUnavailable})
 	case 7:
 		engine.SetFaults(fakeengine.Faults{Leaving: true})
 	case 8:
-		set.Service("booking-zone-a-1").SetFaults(fakeservice.Faults{LoseAnswers: 3})
-		set.Service("booking-zone-b-1").SetFaults(fakeservice.Faults{LoseAnswers: 3})
+		set.Service("booking-zone-a-1").SetFaults(fakeservice.Faults{LoseResponses: 3})
+		set.Service("booking-zone-b-1").SetFaults(fakeservice.Faults{LoseResponses: 3})
 	}
 }
 
 func (s *soak) someEngine(random *rand.Rand) *fakeengine.Engine {
 	var runners []string
-	for _, server := range s.fleet.Set().File().BackendServers {
+	for _, server := range s.fleet.StandIns().File().BackendServers {
 		if server.Role == config.RoleRunner {
 			runners = append(runners, server.Name)
 		}
 	}
-	return s.fleet.Set().Engine(runners[random.IntN(len(runners))])
+	return s.fleet.StandIns().Engine(runners[random.IntN(len(runners))])
 }
 
 func (s *soak) heal() {
-	set := s.fleet.Set()
+	set := s.fleet.StandIns()
 	set.Log().SetFaults(fakelog.Faults{})
 	for _, server := range set.File().BackendServers {
 		switch server.Role {
@@ -208,7 +208,7 @@
 		s.count("chat", answer.Header.Get("Cometlock-Outcome"))
 		return
 	}
-	if !testfleet.Whole(answer.Body) {
+	if !testfleet.IsComplete(answer.Body) {
 		s.count("chat", "cut, and told so")
 		if !strings.Contains(answer.Body, `"outcome"`) {
 			s.wrongAnswer("a stream was cut without a word")
@@ -315,7 +315,7 @@
 func (s *soak) report(out io.Writer, took time.Duration) error {
 	runs := map[string]int{}
 	for _, name := range []string{"booking-zone-a-1", "booking-zone-b-1"} {
-		for key, count := range s.fleet.Set().Service(name).Ledger().Runs {
+		for key, count := range s.fleet.StandIns().Service(name).Ledger().Runs {
 			runs[key] += count
 		}
 	}
--- a/internal/bench/streams.go
+++ b/internal/bench/streams.go
@@ -78,8 +78,8 @@
 func heldMemory(streams, promptBytes int, throughBox bool) (uint64, error) {
 	fleet, err := testfleet.Start(testfleet.Config{
 		File: sampleFile, Zones: []string{"zone-a"},
-		Engine: fakeengine.Config{DecodeInterval: time.Hour, FirstAtOnce: true},
-		Change: func(file *config.File) { widen(file, streams) },
+		Engine:     fakeengine.Config{DecodeInterval: time.Hour, NoFirstDelay: true},
+		EditConfig: func(file *config.File) { widen(file, streams) },
 	})
 	if err != nil {
 		return 0, err
@@ -134,9 +134,9 @@
 
 func runsAtEngines(fleet *testfleet.Fleet) int {
 	runs := 0
-	for _, server := range fleet.Set().File().BackendServers {
+	for _, server := range fleet.StandIns().File().BackendServers {
 		if server.Role == config.RoleRunner {
-			for _, count := range fleet.Set().Engine(server.Name).Ledger().Starts {
+			for _, count := range fleet.StandIns().Engine(server.Name).Ledger().Starts {
 				runs += count
 			}
 		}
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -189,7 +189,7 @@
 	case 0:
 		return fakelog.Faults{Down: true}
 	case 1:
-		return fakelog.Faults{LoseAnswers: rapid.IntRange(1, 5).Draw(t, "lose")}
+		return fakelog.Faults{LoseResponses: rapid.IntRange(1, 5).Draw(t, "lose")}
 	case 2:
 		delay := time.Duration(rapid.IntRange(1, 8000).Draw(t, "late")) * time.Millisecond
 		return fakelog.Faults{LateAppends: rapid.IntRange(1, 3).Draw(t, "count"), Delay: delay}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -39,7 +39,7 @@
 	for i := range 2 {
 		g.Eventually(func() bool { return fleet.Box(i).State().Ready }, "20s", "5ms").Should(BeTrue())
 	}
-	env := map[string]string{"COMETLOCK_LOG": fleet.Set().LogAddress(), "COMETLOCK_BOX_LIST": fleet.Set().BoxListAddress()}
+	env := map[string]string{"COMETLOCK_LOG": fleet.StandIns().LogAddress(), "COMETLOCK_BOX_LIST": fleet.StandIns().BoxListAddress()}
 	g.Eventually(func() string { return run(env, "status").out }, "20s", "20ms").Should(And(ContainSubstring("box-1"), ContainSubstring("box-2")))
 	return fleet, env
 }
@@ -140,7 +140,7 @@
 func TestAnApplyWhoseAnswerIsLostIsLookedUp(t *testing.T) {
 	g := NewWithT(t)
 	fleet, env := fleetOf(t)
-	fleet.Set().Log().SetFaults(fakelog.Faults{LoseAnswers: 1})
+	fleet.StandIns().Log().SetFaults(fakelog.Faults{LoseResponses: 1})
 	got := run(env, "apply", changedFile(t, "share: 2", "share: 5"))
 	g.Expect(got.code).To(Equal(cli.ExitOK), got.err)
 	g.Expect(got.out).To(ContainSubstring("accepted as version 1"))
@@ -150,7 +150,7 @@
 	g := NewWithT(t)
 	written := testcerts.New(g).Write(g, t.TempDir(), 1)
 	sum := sha256.Sum256([]byte("the operators' key"))
-	fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a"}, Settings: func(s *settings.Settings) {
+	fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a"}, EditSettings: func(s *settings.Settings) {
 		s.CallerTLS = settings.TLSFiles{Certificate: written.Certificate, Key: written.Key}
 		s.OperatorKey = hex.EncodeToString(sum[:])
 	}})
--- a/internal/configlog/configlog_test.go
+++ b/internal/configlog/configlog_test.go
@@ -42,7 +42,7 @@
 		wantAfter string
 	}{
 		{name: "no fault", wantAfter: "new"},
-		{name: "the answer is lost after the write", faults: fakelog.Faults{LoseAnswers: 1}, wantAfter: "new"},
+		{name: "the answer is lost after the write", faults: fakelog.Faults{LoseResponses: 1}, wantAfter: "new"},
 		{name: "the write takes effect late", faults: fakelog.Faults{LateAppends: 1, Delay: 2 * time.Second}, wantAfter: "new"},
 		{name: "the write takes effect after we stopped looking", faults: fakelog.Faults{LateAppends: 1, Delay: 20 * time.Second}, wantErr: configlog.ErrOutcomeUnknown, wantAfter: "new"},
 	}
--- a/internal/configlog/history_test.go
+++ b/internal/configlog/history_test.go
@@ -71,7 +71,7 @@
 	}
 	if rapid.IntRange(0, 4).Draw(t, "lose") == 0 {
 		h.faults++
-		h.log.SetFaults(fakelog.Faults{LoseAnswers: 1})
+		h.log.SetFaults(fakelog.Faults{LoseResponses: 1})
 	}
 	offset, err := h.log.Append(context.Background(), configlog.Stream, data)
 	if errors.Is(err, logservice.ErrAmbiguous) {
--- a/internal/e2e/answers_test.go
+++ b/internal/e2e/answers_test.go
@@ -33,7 +33,7 @@
 			setFaults(fleet, faults)
 			answer := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 40, true)})
 			Expect(answer.Status).To(Equal(http.StatusOK))
-			Expect(testfleet.Whole(answer.Body)).To(BeTrue(), "%+v", faults)
+			Expect(testfleet.IsComplete(answer.Body)).To(BeTrue(), "%+v", faults)
 			Expect(streamText(answer.Body)).To(Equal(wantText("Tell me", 40)), "%+v", faults)
 			Expect(testfleet.EventData(answer.Body)).To(HaveLen(40))
 		}
@@ -57,7 +57,7 @@
 		rest := do(fleet.Box(1), testfleet.Call{Path: "/v1/answers/" + name + "?starting_after=7"})
 		Expect(rest.Status).To(Equal(http.StatusOK))
 		Expect(testfleet.EventData(rest.Body)).To(Equal(testfleet.EventData(first.Body)[8:]))
-		Expect(testfleet.Whole(rest.Body)).To(BeTrue())
+		Expect(testfleet.IsComplete(rest.Body)).To(BeTrue())
 	})
 
 	It("is nobody else's, whatever they guess", func() {
@@ -81,7 +81,7 @@
 	It("comes from another runner when the first loses the run before its first chunk", func() {
 		fleet := start(testfleet.Config{})
 		setFaults(fleet, fakeengine.Faults{DropRun: true, ForgetRuns: true})
-		fleet.Set().Engine("runner-zone-a-2").SetFaults(fakeengine.Faults{})
+		fleet.StandIns().Engine("runner-zone-a-2").SetFaults(fakeengine.Faults{})
 		for range 4 {
 			answer := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 5, true)})
 			Expect(streamText(answer.Body)).To(Equal(wantText("Tell me", 5)))
@@ -103,13 +103,13 @@
 		setFaults(fleet, fakeengine.Faults{BreakAfter: 2, ForgetRuns: true})
 		answer := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 5, true)})
 		Expect(answer.Status).To(Equal(http.StatusOK))
-		Expect(testfleet.Whole(answer.Body)).To(BeFalse())
+		Expect(testfleet.IsComplete(answer.Body)).To(BeFalse())
 		Expect(answer.Body).To(ContainSubstring(`"outcome":"ran"`))
 	})
 
 	It("of an engine that answers rubbish, or by other weights, is refused and disturbs nothing", func() {
 		fleet := start(testfleet.Config{})
-		for _, faults := range []fakeengine.Faults{{Rubbish: true, ForgetRuns: true}, {WrongWeights: true}} {
+		for _, faults := range []fakeengine.Faults{{MalformedResponse: true, ForgetRuns: true}, {WrongWeights: true}} {
 			setFaults(fleet, faults)
 			answer := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 5, true)})
 			Expect(answer.Status).To(Equal(http.StatusBadGateway))
@@ -124,7 +124,7 @@
 	It("is cancelled at the engine when the caller goes away", func() {
 		fleet := start(testfleet.Config{Engine: fakeengine.Config{DecodeInterval: 5 * time.Millisecond}})
 		ctx, cancel := context.WithCancel(context.Background())
-		response, err := fleet.Box(0).Begin(ctx, testfleet.Call{Path: completions, Body: chat("Tell me", 100_000, true)})
+		response, err := fleet.Box(0).Send(ctx, testfleet.Call{Path: completions, Body: chat("Tell me", 100_000, true)})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadFull(response.Body, make([]byte, 100))
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -26,7 +26,7 @@
 // start starts a fleet that ends with the spec.
 func start(cfg testfleet.Config) *testfleet.Fleet {
 	GinkgoHelper()
-	cfg.Log = GinkgoWriter
+	cfg.LogOutput = GinkgoWriter
 	if cfg.Zones == nil {
 		cfg.Zones = []string{"zone-a"}
 	}
@@ -53,7 +53,7 @@
 	}, "20s", "5ms").Should(Equal(16))
 }
 
-func do(box *testfleet.Box, call testfleet.Call) testfleet.Answer {
+func do(box *testfleet.Box, call testfleet.Call) testfleet.Response {
 	GinkgoHelper()
 	answer, err := box.Do(call)
 	Expect(err).NotTo(HaveOccurred())
@@ -109,9 +109,9 @@
 // engines lists the engines of a fleet.
 func engines(fleet *testfleet.Fleet) []*fakeengine.Engine {
 	var all []*fakeengine.Engine
-	for _, server := range fleet.Set().File().BackendServers {
+	for _, server := range fleet.StandIns().File().BackendServers {
 		if server.Role == config.RoleRunner {
-			all = append(all, fleet.Set().Engine(server.Name))
+			all = append(all, fleet.StandIns().Engine(server.Name))
 		}
 	}
 	return all
@@ -135,11 +135,11 @@
 	return total, most
 }
 
-func outcome(answer testfleet.Answer) apierror.Outcome {
+func outcome(answer testfleet.Response) apierror.Outcome {
 	return apierror.Outcome(answer.Header.Get("Cometlock-Outcome"))
 }
 
-func errorCode(answer testfleet.Answer) string {
+func errorCode(answer testfleet.Response) string {
 	var body apierror.Body
 	if json.Unmarshal([]byte(answer.Body), &body) != nil {
 		return "not an error: " + answer.Body
--- a/internal/e2e/input_test.go
+++ b/internal/e2e/input_test.go
@@ -14,7 +14,7 @@
 
 var _ = Describe("Bad input", func() {
 	It("gets a clear error each and disturbs nothing else", func() {
-		fleet := start(testfleet.Config{Change: func(file *config.File) { file.Limits.BodyBytes = 4096 }})
+		fleet := start(testfleet.Config{EditConfig: func(file *config.File) { file.Limits.BodyBytes = 4096 }})
 		box := fleet.Box(0)
 		good := chat("Hello", 2, false)
 		header := func(name, value string) map[string]string { return map[string]string{name: value} }
--- a/internal/e2e/kept_test.go
+++ b/internal/e2e/kept_test.go
@@ -21,7 +21,7 @@
 func longText(name string) string { return name + strings.Repeat(" clause of the rulebook", 730) }
 
 func storeBoxes(fleet *testfleet.Fleet) []*fakestore.Store {
-	return []*fakestore.Store{fleet.Set().Store("store-zone-a"), fleet.Set().Store("store-zone-b")}
+	return []*fakestore.Store{fleet.StandIns().Store("store-zone-a"), fleet.StandIns().Store("store-zone-b")}
 }
 
 func ledgers(fleet *testfleet.Fleet) (cached, wrong int) {
@@ -37,7 +37,7 @@
 	smallCaches := func(change func(*config.File)) testfleet.Config {
 		return testfleet.Config{
 			Engine: fakeengine.Config{CacheBlocks: 20, PrefillTokensPerSecond: 100_000},
-			Change: func(file *config.File) {
+			EditConfig: func(file *config.File) {
 				for i := range file.Models {
 					file.Models[i].PrefillTokensPerSecond = 500
 					file.Models[i].KVBytesPerToken = 1 << 10
@@ -80,10 +80,10 @@
 
 	It("that the store box lost, tore or mixed up is a miss, and the answer is right", func() {
 		for _, faults := range []fakestore.Faults{
-			{Down: true}, {WrongBytes: true}, {Torn: true, NoChecks: true}, {StaleNames: true, NoChecks: true, WrongBytes: true},
+			{Down: true}, {CorruptReads: true}, {TruncateWrites: true, SkipChecks: true}, {StaleNames: true, SkipChecks: true, CorruptReads: true},
 		} {
 			fleet := start(smallCaches(nil))
-			if faults.Torn {
+			if faults.TruncateWrites {
 				for _, store := range storeBoxes(fleet) {
 					store.SetFaults(faults)
 				}
@@ -128,7 +128,7 @@
 		}))
 		// Blocks that no entry box knows of fill the store boxes from the start.
 		client := storebox.NewClient(storebox.ClientConfig{})
-		for _, server := range fleet.Set().File().BackendServers {
+		for _, server := range fleet.StandIns().File().BackendServers {
 			for i := 0; server.Role == config.RoleStoreBox && i < 40; i++ {
 				key := prefix.NewChain(prefix.NewSalt("gone", "m", fmt.Sprint(i)), make([]byte, prefix.BlockBytes)).Keys()[0]
 				Expect(client.Put(context.Background(), server.Address, key, make([]byte, 128))).To(Succeed())
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -28,7 +28,7 @@
 }
 
 func services(fleet *testfleet.Fleet) []*fakeservice.Service {
-	return []*fakeservice.Service{fleet.Set().Service("booking-zone-a-1"), fleet.Set().Service("booking-zone-b-1")}
+	return []*fakeservice.Service{fleet.StandIns().Service("booking-zone-a-1"), fleet.StandIns().Service("booking-zone-b-1")}
 }
 
 // charged counts how often the calls with a key ran, by the services' ledgers.
@@ -91,7 +91,7 @@
 	It("whose answer is lost ends unknown and never runs again", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		for _, service := range services(fleet) {
-			service.SetFaults(fakeservice.Faults{LoseAnswers: 1})
+			service.SetFaults(fakeservice.Faults{LoseResponses: 1})
 		}
 		key := newKey()
 		answer := do(fleet.Box(0), charge(key, ""))
@@ -109,7 +109,7 @@
 		for range 5 {
 			// A good call leaves a connection behind where connections are kept.
 			Expect(do(fleet.Box(0), charge(newKey(), "")).Status).To(Equal(http.StatusOK))
-			booking.SetFaults(fakeservice.Faults{LoseAnswers: 1})
+			booking.SetFaults(fakeservice.Faults{LoseResponses: 1})
 			key := newKey()
 			answer := do(fleet.Box(0), charge(key, ""))
 			Expect(outcome(answer)).To(Equal(apierror.Unknown))
@@ -121,7 +121,7 @@
 
 	It("is not run while the log is down, and runs later under the same key", func() {
 		fleet := start(testfleet.Config{})
-		fleet.Set().Log().SetFaults(fakelog.Faults{Down: true})
+		fleet.StandIns().Log().SetFaults(fakelog.Faults{Down: true})
 		key := newKey()
 		answer := do(fleet.Box(0), charge(key, "5 euro"))
 		Expect(answer.Status).To(Equal(http.StatusServiceUnavailable))
@@ -132,7 +132,7 @@
 		withoutKey := do(fleet.Box(0), charge("", "5 euro"))
 		Expect(withoutKey.Status).To(Equal(http.StatusOK), "without a key no log is needed")
 
-		fleet.Set().Log().SetFaults(fakelog.Faults{})
+		fleet.StandIns().Log().SetFaults(fakelog.Faults{})
 		Eventually(func() int { return do(fleet.Box(0), charge(key, "5 euro")).Status }, "20s").Should(Equal(http.StatusOK))
 		Expect(charged(fleet, key)).To(Equal(1))
 	})
@@ -140,7 +140,7 @@
 	It("survives a log whose answers are lost", func() {
 		fleet := start(testfleet.Config{})
 		for i := range 10 {
-			fleet.Set().Log().SetFaults(fakelog.Faults{LoseAnswers: 2})
+			fleet.StandIns().Log().SetFaults(fakelog.Faults{LoseResponses: 2})
 			key := newKey()
 			answer := do(fleet.Box(0), charge(key, fmt.Sprint(i)))
 			Expect(answer.Status).To(Equal(http.StatusOK))
@@ -150,7 +150,7 @@
 
 	It("that cannot be handed over frees its key", func() {
 		fleet := start(testfleet.Config{})
-		file := fleet.Set().File()
+		file := fleet.StandIns().File()
 		for i := range file.BackendServers {
 			if file.BackendServers[i].Role == "plain-service" {
 				file.BackendServers[i].Address = fmt.Sprintf("127.0.0.1:%d", i+1) // nothing listens there
@@ -212,7 +212,7 @@
 	It("is served from another zone while the own one is evacuated, and from its own afterwards", func() {
 		fleet := start(testfleet.Config{})
 		servedBy := func(evacuated bool) string {
-			file := fleet.Set().File()
+			file := fleet.StandIns().File()
 			for i := range file.Zones {
 				file.Zones[i].Evacuated = evacuated && file.Zones[i].Name == "zone-a"
 			}
@@ -230,7 +230,7 @@
 
 	It("is served from another zone when the own zone's server is gone", func() {
 		fleet := start(testfleet.Config{})
-		file := fleet.Set().File()
+		file := fleet.StandIns().File()
 		for i := range file.BackendServers {
 			if file.BackendServers[i].Name == "booking-zone-a-1" {
 				file.BackendServers[i].Address = "127.0.0.1:1"
--- a/internal/e2e/reviews_test.go
+++ b/internal/e2e/reviews_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func readReview(answer testfleet.Answer) reviewBody {
+func readReview(answer testfleet.Response) reviewBody {
 	GinkgoHelper()
 	Expect(answer.Status).To(Equal(http.StatusOK), answer.Body)
 	var body reviewBody
@@ -59,10 +59,10 @@
 var _ = Describe("A review", func() {
 	It("is accepted once it is durable and arrives at any box", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
-		appends := fleet.Set().Log().Appends()
+		appends := fleet.StandIns().Log().Appends()
 		accepted := readReview(do(fleet.Box(0), newReview("A long brief", nil)))
 		Expect(accepted.Status).To(Or(Equal("queued"), Equal("in_progress"), Equal("completed")))
-		Expect(fleet.Set().Log().Appends()).To(BeNumerically(">", appends))
+		Expect(fleet.StandIns().Log().Appends()).To(BeNumerically(">", appends))
 		for i := range 2 {
 			got := eventuallyCompleted(fleet.Box(i), accepted.ID)
 			Expect(got.Output[0].Content[0].Text).To(Equal(wantText("A long brief", 30)))
@@ -94,24 +94,24 @@
 
 	It("is not accepted while the log is down", func() {
 		fleet := start(testfleet.Config{})
-		fleet.Set().Log().SetFaults(fakelog.Faults{Down: true})
+		fleet.StandIns().Log().SetFaults(fakelog.Faults{Down: true})
 		answer := do(fleet.Box(0), newReview("A long brief", nil))
 		Expect(answer.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(outcome(answer)).To(Equal(apierror.NotRun))
-		fleet.Set().Log().SetFaults(fakelog.Faults{})
+		fleet.StandIns().Log().SetFaults(fakelog.Faults{})
 		Expect(fleet.Box(0).State().Reviews.Known).To(BeZero())
 	})
 
 	It("is accepted though the log's answer is lost, and ends though the log goes down meanwhile", func() {
 		fleet := start(testfleet.Config{Engine: fakeengine.Config{DecodeInterval: 5 * time.Millisecond}})
-		fleet.Set().Log().SetFaults(fakelog.Faults{LoseAnswers: 1})
+		fleet.StandIns().Log().SetFaults(fakelog.Faults{LoseResponses: 1})
 		accepted := readReview(do(fleet.Box(0), newReview("A long brief", nil)))
 		Eventually(func() int { return fleet.Box(0).State().Reviews.Running }, "20s", "5ms").Should(Equal(1))
-		fleet.Set().Log().SetFaults(fakelog.Faults{Down: true})
+		fleet.StandIns().Log().SetFaults(fakelog.Faults{Down: true})
 		Consistently(func() string {
 			return readReview(do(fleet.Box(0), testfleet.Call{Path: reviewsPath + "/" + accepted.ID})).Status
 		}, "500ms", "50ms").ShouldNot(Equal("completed"), "an end that is not in the log is none")
-		fleet.Set().Log().SetFaults(fakelog.Faults{})
+		fleet.StandIns().Log().SetFaults(fakelog.Faults{})
 		eventuallyCompleted(fleet.Box(0), accepted.ID)
 	})
 
@@ -143,7 +143,7 @@
 	})
 
 	It("that will miss its deadline shows up well before", func() {
-		fleet := start(testfleet.Config{Zones: []string{"zone-a"}, Engine: fakeengine.Config{Faults: fakeengine.Faults{Refuse: http.StatusServiceUnavailable}}})
+		fleet := start(testfleet.Config{Zones: []string{"zone-a"}, Engine: fakeengine.Config{Faults: fakeengine.Faults{RejectStatus: http.StatusServiceUnavailable}}})
 		deadline := 3 * time.Second
 		sent := time.Now()
 		id := readReview(do(fleet.Box(0), newReview("A long brief", map[string]string{"Cometlock-Deadline": "3"}))).ID
--- a/internal/e2e/routes_test.go
+++ b/internal/e2e/routes_test.go
@@ -30,7 +30,7 @@
 		cutOff, err := fleet.AddBoxWithoutLog("zone-b")
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() int { return do(cutOff, desk).Status }, "20s", "10ms").Should(Equal(200))
-		file := fleet.Set().File()
+		file := fleet.StandIns().File()
 		file.Routes = file.Routes[:1] // the charges
 		file.Routes[0].Host = "charges.example"
 		_, err = fleet.Apply(file)
@@ -44,9 +44,9 @@
 	It("finish their calls when a box is asked to stop", func() {
 		fleet := start(testfleet.Config{})
 		for _, name := range []string{"booking-zone-a-1", "booking-zone-b-1"} {
-			fleet.Set().Service(name).SetFaults(fakeservice.Faults{Delay: 300 * time.Millisecond})
+			fleet.StandIns().Service(name).SetFaults(fakeservice.Faults{Delay: 300 * time.Millisecond})
 		}
-		answers := make(chan testfleet.Answer)
+		answers := make(chan testfleet.Response)
 		go func() {
 			defer GinkgoRecover()
 			answers <- do(fleet.Box(0), desk)
--- a/internal/e2e/secrets_test.go
+++ b/internal/e2e/secrets_test.go
@@ -34,7 +34,7 @@
 var _ = Describe("Logs, dumps and metrics", func() {
 	It("hold no key, prompt or answer", func() {
 		logs := &lockedBuffer{}
-		fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a"}, Log: logs})
+		fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a"}, LogOutput: logs})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(fleet.Close)
 		eventuallyReady(fleet.Box(0))
--- a/internal/e2e/stops_test.go
+++ b/internal/e2e/stops_test.go
@@ -28,7 +28,7 @@
 		for i := range streams {
 			ended.Go(func() {
 				defer GinkgoRecover()
-				response, err := box.Begin(context.Background(), testfleet.Call{Path: completions, Body: chat("Tell me", 30, true)})
+				response, err := box.Send(context.Background(), testfleet.Call{Path: completions, Body: chat("Tell me", 30, true)})
 				begun.Done()
 				Expect(err).NotTo(HaveOccurred())
 				body, err := io.ReadAll(response.Body)
@@ -41,7 +41,7 @@
 		ended.Wait()
 		Expect(box.Wait()).To(Succeed())
 		for _, body := range bodies {
-			Expect(testfleet.Whole(body)).To(BeTrue())
+			Expect(testfleet.IsComplete(body)).To(BeTrue())
 			Expect(streamText(body)).To(Equal(wantText("Tell me", 30)))
 		}
 		Expect(do(fleet.Box(1), testfleet.Call{Path: completions, Body: chat("Tell me", 2, true)}).Status).To(Equal(http.StatusOK))
@@ -49,7 +49,7 @@
 
 	It("of a backend server gives it nothing new after three seconds", func() {
 		fleet := start(testfleet.Config{})
-		leaving := fleet.Set().Engine("runner-zone-a-2")
+		leaving := fleet.StandIns().Engine("runner-zone-a-2")
 		leaving.SetFaults(fakeengine.Faults{Leaving: true})
 		Eventually(func() bool {
 			for _, server := range fleet.Box(0).State().ServersOf.Servers {
@@ -72,7 +72,7 @@
 	It("reaches a zone that is cut off from the log through its peers, and never goes back", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		// A box whose log nobody answers.
-		file := fleet.Set().File()
+		file := fleet.StandIns().File()
 		file.Limits.QueueLength = 777
 		cut, err := fleet.AddBoxWithoutLog("zone-b")
 		Expect(err).NotTo(HaveOccurred())
@@ -89,7 +89,7 @@
 	It("comes from peers when the log is down and a box is new", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-a"}})
 		version := fleet.Box(0).State().Config.Version
-		fleet.Set().Log().SetFaults(fakelog.Faults{Down: true})
+		fleet.StandIns().Log().SetFaults(fakelog.Faults{Down: true})
 		fleet.Box(1).Stop()
 		Expect(fleet.Box(1).Wait()).To(Succeed())
 		fresh, err := fleet.AddBox("zone-a")
@@ -100,7 +100,7 @@
 	})
 
 	It("that nobody knows makes a box refuse as not run", func() {
-		fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a"}, Unapplied: true})
+		fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a"}, NoConfig: true})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(fleet.Close)
 		answer := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 2, true)})
@@ -112,7 +112,7 @@
 
 	It("takes effect in every box: keys, models, limits", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
-		file := fleet.Set().File()
+		file := fleet.StandIns().File()
 		file.Organisations = file.Organisations[:1]
 		version, err := fleet.Apply(file)
 		Expect(err).NotTo(HaveOccurred())
@@ -130,8 +130,8 @@
 var _ = Describe("Overload", func() {
 	It("is refused as not run with a time to come back", func() {
 		fleet := start(testfleet.Config{
-			Engine: fakeengine.Config{DecodeInterval: 50 * time.Millisecond},
-			Change: func(file *config.File) { file.Limits.QueueLength = 3; setSlots(file, 1) },
+			Engine:     fakeengine.Config{DecodeInterval: 50 * time.Millisecond},
+			EditConfig: func(file *config.File) { file.Limits.QueueLength = 3; setSlots(file, 1) },
 		})
 		const callers = 30
 		var mu sync.Mutex
@@ -161,7 +161,7 @@
 	})
 
 	It("refuses at once what cannot begin before its deadline", func() {
-		fleet := start(testfleet.Config{Change: func(file *config.File) {
+		fleet := start(testfleet.Config{EditConfig: func(file *config.File) {
 			for i := range file.Models {
 				file.Models[i].PrefillTokensPerSecond = 1
 			}
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -20,8 +20,8 @@
 		bad := settings.TLSFiles(stranger.Write(Default, GinkgoT().TempDir(), 2))
 		files := good
 		fleet := start(testfleet.Config{
-			Zones:    []string{"zone-a", "zone-a"},
-			Settings: func(s *settings.Settings) { s.PeerTLS = files },
+			Zones:        []string{"zone-a", "zone-a"},
+			EditSettings: func(s *settings.Settings) { s.PeerTLS = files },
 		})
 		friend, err := fleet.AddBoxWithoutLog("zone-a")
 		Expect(err).NotTo(HaveOccurred())
@@ -38,7 +38,7 @@
 		written := ours.Write(Default, GinkgoT().TempDir(), 1)
 		fleet, err := testfleet.Start(testfleet.Config{
 			Zones: []string{"zone-a"},
-			Settings: func(s *settings.Settings) {
+			EditSettings: func(s *settings.Settings) {
 				s.CallerTLS = settings.TLSFiles{Certificate: written.Certificate, Key: written.Key}
 			},
 		})
--- a/internal/e2e/weights_test.go
+++ b/internal/e2e/weights_test.go
@@ -19,7 +19,7 @@
 func loaded(fleet *testfleet.Fleet, version string) int {
 	count := 0
 	for _, e := range engines(fleet) {
-		if e.Loaded("scene-review") == version {
+		if e.LoadedVersion("scene-review") == version {
 			count++
 		}
 	}
@@ -32,7 +32,7 @@
 			Zones:  []string{"zone-a", "zone-b", "zone-a"},
 			Engine: fakeengine.Config{LoadTime: 100 * time.Millisecond, DecodeInterval: 2 * time.Millisecond},
 		})
-		file := fleet.Set().File()
+		file := fleet.StandIns().File()
 		for i := range file.Models {
 			file.Models[i].AcceptWeights = []string{file.Models[i].Weights}
 			file.Models[i].Weights = "v2"
@@ -62,7 +62,7 @@
 		Eventually(func() int { return loaded(fleet, "v2") }, "60s", "20ms").Should(Equal(6))
 		close(stop)
 		ended.Wait()
-		Expect(fleet.Set().WeightStore().Most()).To(BeNumerically("<=", file.WeightStore.ParallelLoads))
+		Expect(fleet.StandIns().WeightStore().PeakLoads()).To(BeNumerically("<=", file.WeightStore.ParallelLoads))
 		for _, count := range served {
 			Expect(count).To(BeNumerically(">", 0))
 		}
@@ -70,7 +70,7 @@
 
 	It("that no runner has make requests wait for nobody: they are refused as not run", func() {
 		fleet := start(testfleet.Config{Engine: fakeengine.Config{LoadTime: time.Hour}})
-		file := fleet.Set().File()
+		file := fleet.StandIns().File()
 		for i := range file.Models {
 			file.Models[i].Weights = "v2"
 		}
@@ -86,7 +86,7 @@
 		fleet := start(testfleet.Config{})
 		client := engine.NewClient(engine.ClientConfig{})
 		address := ""
-		for _, server := range fleet.Set().File().BackendServers {
+		for _, server := range fleet.StandIns().File().BackendServers {
 			if server.Role == config.RoleRunner {
 				address = server.Address
 			}
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -36,14 +36,14 @@
 	PrefillTokensPerSecond float64
 	// DecodeInterval is the time between chunks; 0 takes no time.
 	DecodeInterval time.Duration
-	// FirstAtOnce lets the first chunk come without the interval.
-	FirstAtOnce bool
+	// NoFirstDelay lets the first chunk come without the interval.
+	NoFirstDelay bool
 	// LoadTime is how long one load of weights takes when few load at once.
 	LoadTime time.Duration
 	// WeightStore is shared by the engines of a deployment; nil never slows.
 	WeightStore *WeightStore
-	// KeepRuns is for how long a finished run can still be resumed.
-	KeepRuns time.Duration
+	// RunRetention is for how long a finished run can still be resumed.
+	RunRetention time.Duration
 	// Faults are there from the start.
 	Faults Faults
 }
@@ -59,20 +59,20 @@
 	RepeatEvery int `json:"repeat_every"`
 	// SwapEvery sends every n-th chunk after the one that follows it.
 	SwapEvery int `json:"swap_every"`
-	// Rubbish answers every run with bytes that are no answer.
-	Rubbish bool `json:"rubbish"`
-	// Refuse answers every run with this status.
-	Refuse int `json:"refuse"`
-	// Mute takes every run and never answers.
-	Mute bool `json:"mute"`
+	// MalformedResponse answers every run with bytes that are no answer.
+	MalformedResponse bool `json:"rubbish"`
+	// RejectStatus answers every run with this status.
+	RejectStatus int `json:"refuse"`
+	// NoResponse takes every run and never answers.
+	NoResponse bool `json:"mute"`
 	// DropRun takes a run, starts it, and closes the connection.
 	DropRun bool `json:"drop_run"`
 	// ForgetRuns makes every resume fail.
 	ForgetRuns bool `json:"forget_runs"`
 	// WrongWeights names another version in every answer.
 	WrongWeights bool `json:"wrong_weights"`
-	// LoseEvents leaves out every n-th cache event.
-	LoseEvents int `json:"lose_events"`
+	// DropEvery leaves out every n-th cache event.
+	DropEvery int `json:"lose_events"`
 	// ReportLag is the age of every load report.
 	ReportLag time.Duration `json:"report_lag"`
 	// Leaving announces that the engine is about to stop.
@@ -141,8 +141,8 @@
 	if cfg.CacheBlocks == 0 {
 		cfg.CacheBlocks = defaultCacheBlocks
 	}
-	if cfg.KeepRuns == 0 {
-		cfg.KeepRuns = defaultKeepRuns
+	if cfg.RunRetention == 0 {
+		cfg.RunRetention = defaultKeepRuns
 	}
 	life, stop := context.WithCancel(context.Background())
 	e := &Engine{
@@ -270,7 +270,7 @@
 
 // loop takes the run through batch and prefill and decodes it.
 func (r *run) loop(ctx context.Context, e *Engine) {
-	defer time.AfterFunc(e.cfg.KeepRuns, func() { e.forget(r.id) })
+	defer time.AfterFunc(e.cfg.RunRetention, func() { e.forget(r.id) })
 	defer r.cancel()
 	if !e.slots.acquire(ctx, r.priority) {
 		e.finishPrefill(r, 0, false)
@@ -282,7 +282,7 @@
 		return
 	}
 	for i := range r.tokens {
-		if at := i == 0 && e.cfg.FirstAtOnce; !at && !waiting.For(ctx, e.cfg.DecodeInterval) {
+		if at := i == 0 && e.cfg.NoFirstDelay; !at && !waiting.For(ctx, e.cfg.DecodeInterval) {
 			return
 		}
 		r.add(r.chunk(i, cached))
--- a/internal/fakeengine/handler.go
+++ b/internal/fakeengine/handler.go
@@ -51,8 +51,8 @@
 
 func (e *Engine) serveStart(w http.ResponseWriter, r *http.Request, chat bool) {
 	faults := e.currentFaults()
-	if faults.Refuse != 0 {
-		refuse(w, faults.Refuse, "refused on request")
+	if faults.RejectStatus != 0 {
+		refuse(w, faults.RejectStatus, "refused on request")
 		return
 	}
 	var b body
@@ -60,7 +60,7 @@
 		refuse(w, http.StatusBadRequest, "the body is not a request")
 		return
 	}
-	weights := e.Loaded(b.Model)
+	weights := e.LoadedVersion(b.Model)
 	if weights == "" || (r.Header.Get(engine.HeaderWeights) != "" && r.Header.Get(engine.HeaderWeights) != weights) {
 		refuse(w, http.StatusConflict, "the wanted weights are not loaded")
 		return
@@ -70,11 +70,11 @@
 	if faults.DropRun {
 		panic(http.ErrAbortHandler)
 	}
-	if faults.Mute {
+	if faults.NoResponse {
 		<-r.Context().Done()
 		return
 	}
-	if faults.Rubbish {
+	if faults.MalformedResponse {
 		w.Header().Set(engine.HeaderWeights, weights)
 		_, _ = io.WriteString(w, "\x00\x01 this is no answer\n\n")
 		return
@@ -290,7 +290,7 @@
 	}
 	events := e.cache.after(after)
 	events.Incarnation = e.incarnation
-	if lose := e.currentFaults().LoseEvents; lose > 0 && !events.Snapshot {
+	if lose := e.currentFaults().DropEvery; lose > 0 && !events.Snapshot {
 		kept := events.Events[:0]
 		for _, event := range events.Events {
 			if event.Sequence%int64(lose) != 0 {
--- a/internal/fakeengine/weights.go
+++ b/internal/fakeengine/weights.go
@@ -19,8 +19,8 @@
 	most    int
 }
 
-// Most gives the largest number of loads that ran at once.
-func (w *WeightStore) Most() int {
+// PeakLoads gives the largest number of loads that ran at once.
+func (w *WeightStore) PeakLoads() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.most
@@ -89,8 +89,8 @@
 	}
 }
 
-// Loaded gives the version that answers for a model now.
-func (e *Engine) Loaded(model string) string {
+// LoadedVersion gives the version that answers for a model now.
+func (e *Engine) LoadedVersion(model string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.weights[model]
--- a/internal/fakelog/fakelog.go
+++ b/internal/fakelog/fakelog.go
@@ -20,8 +20,8 @@
 type Faults struct {
 	// Down refuses every call before it has any effect.
 	Down bool `json:"down"`
-	// LoseAnswers is how many coming appends take effect without an answer.
-	LoseAnswers int `json:"lose_answers"`
+	// LoseResponses is how many coming appends take effect without an answer.
+	LoseResponses int `json:"lose_answers"`
 	// LateAppends is how many coming appends get no answer and take effect
 	// only after Delay.
 	LateAppends int `json:"late_appends"`
@@ -126,7 +126,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if faults.LoseAnswers > 0 {
+	if faults.LoseResponses > 0 {
 		return 0, logservice.ErrAmbiguous
 	}
 	return offset, nil
@@ -141,8 +141,8 @@
 		l.faults.LateAppends--
 		return faults
 	}
-	if l.faults.LoseAnswers > 0 {
-		l.faults.LoseAnswers--
+	if l.faults.LoseResponses > 0 {
+		l.faults.LoseResponses--
 	}
 	return faults
 }
--- a/internal/fakeservice/fakeservice.go
+++ b/internal/fakeservice/fakeservice.go
@@ -14,8 +14,8 @@
 
 // Faults says how the service misbehaves.
 type Faults struct {
-	// LoseAnswers is how many coming calls run and get no answer.
-	LoseAnswers int `json:"lose_answers"`
+	// LoseResponses is how many coming calls run and get no answer.
+	LoseResponses int `json:"lose_answers"`
 	// Delay is the time from running a call to its answer.
 	Delay time.Duration `json:"delay"`
 	// Status, when set, is the status of every answer.
@@ -84,7 +84,7 @@
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	faults, run := s.take(r.Header.Get("Idempotency-Key"))
 	time.Sleep(faults.Delay)
-	if faults.LoseAnswers > 0 {
+	if faults.LoseResponses > 0 {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Run", fmt.Sprint(run))
@@ -111,8 +111,8 @@
 		s.runs[key]++
 	}
 	faults := s.faults
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.LoseResponses > 0 {
+		s.faults.LoseResponses--
 	}
 	return faults, s.total
 }
--- a/internal/fakesharedlog/fakesharedlog.go
+++ b/internal/fakesharedlog/fakesharedlog.go
@@ -25,8 +25,8 @@
 // New makes an empty log.
 func New() *Log { return &Log{log: fakelog.New()} }
 
-// Faults gives access to the faults of the log beneath.
-func (l *Log) Faults() *fakelog.Log { return l.log }
+// Underlying gives access to the faults of the log beneath.
+func (l *Log) Underlying() *fakelog.Log { return l.log }
 
 // entry is a record as it lies in the log beneath.
 type entry struct {
--- a/internal/fakestore/fakestore.go
+++ b/internal/fakestore/fakestore.go
@@ -20,15 +20,15 @@
 type Faults struct {
 	// Down refuses every call.
 	Down bool `json:"down"`
-	// Torn keeps only the first half of what is written and says nothing.
-	Torn bool `json:"torn"`
-	// WrongBytes flips a bit in what is read.
-	WrongBytes bool `json:"wrong_bytes"`
+	// TruncateWrites keeps only the first half of what is written and says nothing.
+	TruncateWrites bool `json:"torn"`
+	// CorruptReads flips a bit in what is read.
+	CorruptReads bool `json:"wrong_bytes"`
 	// StaleNames answers a look-up of a freed name with what it was, and reads
 	// whatever the slot holds now.
 	StaleNames bool `json:"stale_names"`
-	// NoChecks seals anything and reads any generation, as a careless box.
-	NoChecks bool `json:"no_checks"`
+	// SkipChecks seals anything and reads any generation, as a careless box.
+	SkipChecks bool `json:"no_checks"`
 	// Delay is added to every read of a block.
 	Delay time.Duration `json:"delay"`
 }
@@ -141,7 +141,7 @@
 		http.Error(w, "another generation", http.StatusConflict)
 		return
 	}
-	if s.faults.Torn {
+	if s.faults.TruncateWrites {
 		data = data[:len(data)/2]
 	}
 	held.data = data
@@ -160,7 +160,7 @@
 	}
 	digest := sha256.Sum256(held.data)
 	whole := held.generation == name.Generation && int64(len(held.data)) == name.Length && bytes.Equal(digest[:], name.Digest)
-	if !whole && !s.faults.NoChecks {
+	if !whole && !s.faults.SkipChecks {
 		http.Error(w, "the bytes are not those of the seal", http.StatusConflict)
 		return
 	}
@@ -173,13 +173,13 @@
 		return
 	}
 	current := strconv.FormatInt(held.generation, 10) == r.URL.Query().Get("generation") && held.sealed
-	if !current && !s.faults.NoChecks {
+	if !current && !s.faults.SkipChecks {
 		http.Error(w, "another generation", http.StatusConflict)
 		return
 	}
 	s.reads++
 	data := bytes.Clone(held.data)
-	if s.faults.WrongBytes && len(data) > 0 {
+	if s.faults.CorruptReads && len(data) > 0 {
 		data[len(data)/2] ^= 1
 	}
 	delay := s.faults.Delay
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -59,8 +59,8 @@
 // Address is where clients connect.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes how bytes travel from now on.
-func (p *Proxy) Set(link Link) {
+// SetLink changes how bytes travel from now on.
+func (p *Proxy) SetLink(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.link = link
@@ -82,8 +82,8 @@
 	}
 }
 
-// Mute has all connections that are open fall silent for good.
-func (p *Proxy) Mute() {
+// Blackhole has all connections that are open fall silent for good.
+func (p *Proxy) Blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for pair := range p.pairs {
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -54,11 +54,11 @@
 		passes, later, fresh bool
 	}{
 		{"nothing", func(*faultproxy.Proxy) {}, true, true, true},
-		{"holds the way there", func(p *faultproxy.Proxy) { p.Set(faultproxy.Link{HoldToServer: true}) }, false, true, false},
-		{"holds the way back", func(p *faultproxy.Proxy) { p.Set(faultproxy.Link{HoldToClient: true}) }, false, true, false},
-		{"silences what is open", func(p *faultproxy.Proxy) { p.Mute() }, false, false, true},
+		{"holds the way there", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{HoldToServer: true}) }, false, true, false},
+		{"holds the way back", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{HoldToClient: true}) }, false, true, false},
+		{"silences what is open", func(p *faultproxy.Proxy) { p.Blackhole() }, false, false, true},
 		{"resets", func(p *faultproxy.Proxy) { p.Reset() }, false, false, true},
-		{"delays by more", func(p *faultproxy.Proxy) { p.Set(faultproxy.Link{Delay: soon}) }, false, true, false},
+		{"delays by more", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{Delay: soon}) }, false, true, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 			another, err := net.Dial("tcp", proxy.Address())
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(exchange(another, soon) == nil).To(Equal(test.fresh))
-			proxy.Set(faultproxy.Link{})
+			proxy.SetLink(faultproxy.Link{})
 			if !test.passes {
 				limit := soon
 				if test.later {
--- a/internal/loadshare/boxes_test.go
+++ b/internal/loadshare/boxes_test.go
@@ -40,14 +40,14 @@
 
 // While the list has not been read, it is unknown how many boxes are more than half.
 func TestTheListedCountIsUnknownWithoutTheLog(t *testing.T) {
-	down := func(log *fakesharedlog.Log) { log.Faults().SetFaults(fakelog.Faults{Down: true}) }
+	down := func(log *fakesharedlog.Log) { log.Underlying().SetFaults(fakelog.Faults{Down: true}) }
 	followList(t, down, func(g *WithT, log *fakesharedlog.Log, listedCount func() int) {
 		time.Sleep(time.Minute)
 		g.Expect(listedCount()).To(BeZero())
-		log.Faults().SetFaults(fakelog.Faults{})
+		log.Underlying().SetFaults(fakelog.Faults{})
 		time.Sleep(time.Minute)
 		g.Expect(listedCount()).To(Equal(1))
-		log.Faults().SetFaults(fakelog.Faults{Down: true})
+		log.Underlying().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(time.Minute)
 		g.Expect(listedCount()).To(Equal(1))
 	})
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -53,7 +53,7 @@
 func TestABoxThatStartsWithoutTheLogReceivesTheConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	log, away := fakesharedlog.New(), fakesharedlog.New()
-	away.Faults().SetFaults(fakelog.Faults{Down: true})
+	away.Underlying().SetFaults(fakelog.Faults{Down: true})
 	want := registry.Snapshot{
 		Operator: []sharedlog.Record{{Key: "config", Value: []byte("v"), Offset: 7}}, Servers: []sharedlog.Record{{Key: "s", Value: []byte("ready"), Offset: 9}},
 	}
--- a/internal/orderlease/orderlease_test.go
+++ b/internal/orderlease/orderlease_test.go
@@ -71,9 +71,9 @@
 		defer cancel()
 		log := fakesharedlog.New()
 		a, b := start(ctx, log, "a"), start(ctx, log, "b")
-		log.Faults().SetFaults(fakelog.Faults{LateAppends: 1, Delay: 2 * time.Second})
+		log.Underlying().SetFaults(fakelog.Faults{LateAppends: 1, Delay: 2 * time.Second})
 		g.Expect(permitted(ctx, a)).To(BeFalse())
-		log.Faults().SetFaults(fakelog.Faults{})
+		log.Underlying().SetFaults(fakelog.Faults{})
 		g.Expect(permitted(ctx, b)).To(BeTrue())
 		time.Sleep(2500 * time.Millisecond)
 		g.Expect(permitted(ctx, a)).To(BeFalse(), "the condition of its append no longer holds")
@@ -136,8 +136,8 @@
 	}
 	for range 60 {
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
-		log.Faults().SetFaults(fakelog.Faults{
-			Down: random.IntN(4) == 0, LoseAnswers: random.IntN(3), LateAppends: random.IntN(2),
+		log.Underlying().SetFaults(fakelog.Faults{
+			Down: random.IntN(4) == 0, LoseResponses: random.IntN(3), LateAppends: random.IntN(2),
 			Delay: time.Duration(random.IntN(400)) * time.Millisecond,
 		})
 	}
--- a/internal/orderlease/suspended_test.go
+++ b/internal/orderlease/suspended_test.go
@@ -26,7 +26,7 @@
 		log := fakesharedlog.New()
 		lease := start(ctx, log, "a")
 		g.Expect(permitted(ctx, lease)).To(BeTrue())
-		log.Faults().SetFaults(fakelog.Faults{Down: true})
+		log.Underlying().SetFaults(fakelog.Faults{Down: true})
 		g.Expect(permitted(ctx, lease)).To(BeTrue(), "within the permission that it has")
 		machine.Suspend(5 * time.Second)
 		g.Expect(permitted(ctx, lease)).To(BeFalse())
--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -35,10 +35,10 @@
 	inBubble(t, func(g *WithT, b *testBox) {
 		b.putZone("a", "{}")
 		b.putZone("b", "{}")
-		b.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		b.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(5 * time.Second)
 		b.log.Put(sharedlog.Operator, "evacuate/a", nil)
-		b.log.Faults().ExpireOlder(0)
+		b.log.Underlying().ExpireOlder(0)
 		time.Sleep(2 * time.Second)
 		g.Expect(b.fleet.EvacuatedZones()).To(Equal([]string{"b"}))
 	})
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -115,7 +115,7 @@
 		b.log.Put(sharedlog.Operator, "config", []byte("v"))
 		b.log.Put(sharedlog.Servers, "server", []byte("ready"))
 		time.Sleep(time.Second)
-		b.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		b.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(time.Minute)
 		g.Expect(b.version()).To(BeEquivalentTo(1))
 		g.Expect(b.hasServer()).To(BeTrue())
@@ -131,9 +131,9 @@
 	inBubble(t, func(g *WithT, b *testBox) {
 		b.log.Put(sharedlog.Operator, "config", []byte("v"))
 		time.Sleep(time.Second)
-		b.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		b.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(10 * time.Second)
-		b.log.Faults().SetFaults(fakelog.Faults{})
+		b.log.Underlying().SetFaults(fakelog.Faults{})
 		back := time.Now()
 		time.Sleep(time.Second)
 		g.Expect(b.registry.OperatorReadAt()).To(BeTemporally(">=", back))
@@ -155,7 +155,7 @@
 	inBubble(t, func(g *WithT, b *testBox) {
 		b.log.Put(sharedlog.Servers, "one", []byte("ready"))
 		time.Sleep(time.Second)
-		b.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		b.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(time.Second)
 		b.log.Put(sharedlog.Servers, "one", nil)
 		b.log.Put(sharedlog.Servers, "two", []byte("ready"))
@@ -228,7 +228,7 @@
 		}, 0},
 		{"after an outage", func(b *testBox) {
 			time.Sleep(5 * time.Second)
-			b.log.Faults().SetFaults(fakelog.Faults{Down: true})
+			b.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 			time.Sleep(5 * time.Second)
 			b.log.Put(sharedlog.Operator, "m", []byte("vv"))
 		}, 5},
@@ -238,13 +238,13 @@
 		}, 0},
 		{"from another box, after an outage", func(b *testBox) {
 			time.Sleep(5 * time.Second)
-			b.log.Faults().SetFaults(fakelog.Faults{Down: true})
+			b.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 			time.Sleep(5 * time.Second)
 			b.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Second}}}, time.Now())
 		}, 1},
 		{"by a message that may be old, after an outage", func(b *testBox) {
 			time.Sleep(5 * time.Second)
-			b.log.Faults().SetFaults(fakelog.Faults{Down: true})
+			b.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 			time.Sleep(5 * time.Second)
 			b.registry.MergeWeights(map[string][]registry.PeerWeights{"m": {{Version: 2, Age: time.Second}}}, time.Time{})
 		}, 5},
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -13,7 +13,7 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-func logDown(log *fakesharedlog.Log) { log.Faults().SetFaults(fakelog.Faults{Down: true}) }
+func logDown(log *fakesharedlog.Log) { log.Underlying().SetFaults(fakelog.Faults{Down: true}) }
 
 // peerSnapshot is what another box read: configuration 2, weights 3 of model "m", a server.
 var peerSnapshot = registry.Snapshot{
--- a/internal/review/history_test.go
+++ b/internal/review/history_test.go
@@ -134,7 +134,7 @@
 	if e.kind == "fault" {
 		e.fault = rapid.SampledFrom([]fakelog.Faults{
 			{Down: true},
-			{LoseAnswers: 2},
+			{LoseResponses: 2},
 			{LateAppends: 2, Delay: 7 * time.Second},
 			{Delay: 2 * time.Second},
 		}).Draw(t, "fault")
--- a/internal/soak/advisories.go
+++ b/internal/soak/advisories.go
@@ -21,11 +21,11 @@
 // advisories are the kinds that PlanAdvisories draws. They are ordinary work.
 var advisories = []Kind{LimitServer, DrainInAnswers, PauseServer}
 
-// LimitPerSecond is the rate limit that servers name, in requests a second.
-const LimitPerSecond = 2.0
+// RateLimitPerSecond is the rate limit that servers name, in requests a second.
+const RateLimitPerSecond = 2.0
 
-// PauseLength is the pause that servers ask for.
-const PauseLength = 2 * time.Second
+// PauseDuration is the pause that servers ask for.
+const PauseDuration = 2 * time.Second
 
 const (
 	// advisoriesEvery is the mean time between two of them.
@@ -46,7 +46,7 @@
 func PlanAdvisories(cfg PlanConfig) []Fault {
 	chance := rand.New(rand.NewPCG(cfg.Seed, 2))
 	var faults []Fault
-	for at := advisoriesEvery / 2; at < cfg.Length; at += time.Duration(chance.ExpFloat64() * float64(advisoriesEvery)) {
+	for at := advisoriesEvery / 2; at < cfg.LoadDuration; at += time.Duration(chance.ExpFloat64() * float64(advisoriesEvery)) {
 		faults = append(faults, draw(chance, cfg, advisories[chance.IntN(len(advisories))], at))
 	}
 	return faults
@@ -73,7 +73,7 @@
 	var all []received
 	for _, arrival := range h.Received {
 		if a := byID[arrival.ID]; a != nil && arrival.Server == server && arrival.At >= from && arrival.At < until {
-			all = append(all, received{at: arrival.At, began: a.Began, from: process{a.Box, a.Life}})
+			all = append(all, received{at: arrival.At, began: a.Began, from: process{a.Box, a.Incarnation}})
 		}
 	}
 	slices.SortFunc(all, func(a, b received) int { return int(a.at - b.at) })
@@ -86,9 +86,9 @@
 	return !h.disturbed(from, to, func(f Fault) bool {
 		switch f.Kind.touches() {
 		case oneBox:
-			return f.Subject == box && f.Kind != Reload
+			return f.Target == box && f.Kind != ReloadSettings
 		case oneServer:
-			return f.Kind == SilenceServers || f.Subject == server && !slices.Contains(advisories, f.Kind) && f.Kind != Leave && f.Kind != ColdServer
+			return f.Kind == StallServers || f.Target == server && !slices.Contains(advisories, f.Kind) && f.Kind != LeaveServer && f.Kind != ColdServer
 		default:
 			return false
 		}
@@ -137,9 +137,9 @@
 		for at-times[first] >= limitWindow {
 			first++
 		}
-		if count := i - first + 1; float64(count) > limitOverage*LimitPerSecond*limitWindow.Seconds()+limitSlack {
-			report(PromiseLimit, "server %d takes %.1f a second from %v on, and got %d calls in the %v before %v",
-				advisory.Server, LimitPerSecond, advisory.At.Round(time.Millisecond), count, limitWindow, at.Round(time.Millisecond))
+		if count := i - first + 1; float64(count) > limitOverage*RateLimitPerSecond*limitWindow.Seconds()+limitSlack {
+			report(InvariantRateLimit, "server %d takes %.1f a second from %v on, and got %d calls in the %v before %v",
+				advisory.Server, RateLimitPerSecond, advisory.At.Round(time.Millisecond), count, limitWindow, at.Round(time.Millisecond))
 			return
 		}
 	}
@@ -150,7 +150,7 @@
 	for _, call := range calls {
 		at, known := told[call.from]
 		if known && call.began > at+leaveLimit && h.undisturbed(call.from.box, advisory.Server, at, call.at) {
-			report(PromiseDraining, "server %d had said to box %d/%d before %v that it drains, and was reached at %v",
+			report(InvariantDraining, "server %d had said to box %d/%d before %v that it drains, and was reached at %v",
 				advisory.Server, call.from.box, call.from.life, at.Round(time.Millisecond), call.at.Round(time.Millisecond))
 			return
 		}
@@ -159,7 +159,7 @@
 
 func (h *History) checkPause(advisory Advisory, calls []received, report reporter) {
 	for i, asked := range calls {
-		end := asked.at + PauseLength
+		end := asked.at + PauseDuration
 		if !h.undisturbed(asked.from.box, advisory.Server, asked.at, end) {
 			continue
 		}
@@ -170,8 +170,8 @@
 			}
 		}
 		if count > pausedAllowed {
-			report(PromisePause, "server %d asked box %d/%d for %v at %v, and got %d calls from it",
-				advisory.Server, asked.from.box, asked.from.life, PauseLength, asked.at.Round(time.Millisecond), count)
+			report(InvariantPause, "server %d asked box %d/%d for %v at %v, and got %d calls from it",
+				advisory.Server, asked.from.box, asked.from.life, PauseDuration, asked.at.Round(time.Millisecond), count)
 			return
 		}
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Call is a kind of call.
-type Call uint8
+// CallKind is a kind of call.
+type CallKind uint8
 
 // Kinds of calls.
 const (
 	// Stream may be resumed at another server.
-	Stream Call = iota
-	// Repeatable may run more than once, Once at most once.
+	Stream CallKind = iota
+	// Repeatable may run more than once, AtMostOnce at most once.
 	Repeatable
-	Once
+	AtMostOnce
 	// Probe asks which versions of the configuration are in force at a box.
 	Probe
 )
 
-// End is what a caller got.
-type End uint8
+// Outcome is what a caller got.
+type Outcome uint8
 
 // Ends of calls.
 const (
-	// Whole answers are those of the call's own server, each piece once.
-	Whole End = iota
+	// CompleteResponse answers are those of the call's own server, each piece once.
+	CompleteResponse Outcome = iota
 	// NotRun is a refusal that says so.
 	NotRun
 	// Unknown says that the call may have run, or that no answer came.
 	Unknown
-	// Cut answers broke off after a part.
-	Cut
-	// Wrong answers look whole and are not the call's.
-	Wrong
+	// TruncatedResponse answers broke off after a part.
+	TruncatedResponse
+	// WrongResponse answers look whole and are not the call's.
+	WrongResponse
 	// Denied calls were turned away as at fault.
 	Denied
 	// Failed is a server's own failure, and Closed a connection that ended before an answer.
@@ -45,18 +45,18 @@
 
 var endNames = []string{"whole", "not run", "unknown", "cut", "wrong", "denied", "failed", "closed"}
 
-func (e End) String() string { return endNames[e] }
+func (e Outcome) String() string { return endNames[e] }
 
 // Attempt is one call of a caller's.
 type Attempt struct {
-	ID   string
-	Call Call
-	// Box is where it was sent, and Life the number of that box's process.
-	Box, Life    int
-	Began, Ended time.Duration
-	End          End
-	// Limit is the time that the caller gave it.
-	Limit time.Duration
+	ID       string
+	CallKind CallKind
+	// Box is where it was sent, and Incarnation the number of that box's process.
+	Box, Incarnation int
+	Began, Ended     time.Duration
+	Outcome          Outcome
+	// CallTimeout is the time that the caller gave it.
+	CallTimeout time.Duration
 	// Version is the version of the configuration that a probe asks for, or whose key the call
 	// has; zero for a key that is always good.
 	Version int
@@ -69,8 +69,8 @@
 	At     time.Duration
 }
 
-// Moment is when something was declared: a version of the configuration, or a server's leaving.
-type Moment struct {
+// Event is when something was declared: a version of the configuration, or a server's leaving.
+type Event struct {
 	At      time.Duration
 	Version int
 	Server  int
@@ -80,55 +80,55 @@
 
 // History is all that was seen in one run.
 type History struct {
-	Faults   []Fault
-	Attempts []Attempt
-	Arrivals []Arrival
-	Versions []Moment
-	Leavings []Moment
-	// Evacuations are those of the second zone, and Colds are when servers said that they are cold.
-	Evacuations, Colds []Moment
+	Faults         []Fault
+	Attempts       []Attempt
+	Arrivals       []Arrival
+	Versions       []Event
+	LeavingPeriods []Event
+	// Evacuations are those of the second zone, and ColdPeriods are when servers said that they are cold.
+	Evacuations, ColdPeriods []Event
 	// Advisories are the times in which servers said something of themselves in their answers, and
 	// Received all calls that came to servers and were meant for them, also those turned away.
 	Advisories []Advisory
 	Received   []Arrival
 	// BadFetches tell of kept parts that were fetched and should not have been.
 	BadFetches []string
-	// PartsKept and PartsFreed are what the store boxes hold at the end, and let go of before.
-	PartsKept, PartsFreed int
+	// PartsStored and PartsFreed are what the store boxes hold at the end, and let go of before.
+	PartsStored, PartsFreed int
 	// StuckBoxes are planned stops that did not end in time.
 	StuckBoxes int
-	// Grace is the time that a box has for a planned stop.
-	Grace time.Duration
-	// Length is when the last fault was over and all was to work again.
-	Length time.Duration
+	// StopTimeout is the time that a box has for a planned stop.
+	StopTimeout time.Duration
+	// FaultsEnd is when the last fault was over and all was to work again.
+	FaultsEnd time.Duration
 }
 
 // Violation is a promise that was not kept.
 type Violation struct {
-	Promise string
-	Story   string
+	Invariant string
+	Details   string
 }
 
-func (v Violation) String() string { return v.Promise + ": " + v.Story }
+func (v Violation) String() string { return v.Invariant + ": " + v.Details }
 
 // Promises.
 const (
-	PromiseOwn       = "an answer is whole and its caller's own"
-	PromiseOnce      = "a call that may not be repeated runs once"
-	PromiseNotRun    = "what is refused as not run has not run"
-	PromiseLost      = "no call is lost in ordinary work"
-	PromiseLeaving   = "a server that leaves gets nothing new"
-	PromiseEvacuated = "a server of an evacuated zone gets nothing new"
-	PromiseCold      = "a cold server gets no more than it bears"
-	PromiseLimit     = "a server that names a rate limit gets no more from all boxes that know of it"
-	PromiseDraining  = "a server that says in an answer that it drains gets nothing new from that box"
-	PromisePause     = "a server that asks a box for a pause gets one"
-	PromiseForward   = "a configuration never comes back"
-	PromiseKeys      = "a key that was taken away opens nothing"
-	PromiseAllowed   = "nobody is denied what every configuration allows"
-	PromiseParts     = "kept parts are fetched whole, and only for calls of their own kind"
-	PromiseStops     = "a planned stop ends in time"
-	PromiseRecovers  = "all calls are served again once the faults are over"
+	InvariantOwnResponse     = "an answer is whole and its caller's own"
+	InvariantAtMostOnce      = "a call that may not be repeated runs once"
+	InvariantNotRun          = "what is refused as not run has not run"
+	InvariantNoLoss          = "no call is lost in ordinary work"
+	InvariantLeaving         = "a server that leaves gets nothing new"
+	InvariantEvacuated       = "a server of an evacuated zone gets nothing new"
+	InvariantCold            = "a cold server gets no more than it bears"
+	InvariantRateLimit       = "a server that names a rate limit gets no more from all boxes that know of it"
+	InvariantDraining        = "a server that says in an answer that it drains gets nothing new from that box"
+	InvariantPause           = "a server that asks a box for a pause gets one"
+	InvariantMonotonicConfig = "a configuration never comes back"
+	InvariantRevokedKeys     = "a key that was taken away opens nothing"
+	InvariantAllowed         = "nobody is denied what every configuration allows"
+	InvariantParts           = "kept parts are fetched whole, and only for calls of their own kind"
+	InvariantStops           = "a planned stop ends in time"
+	InvariantRecovery        = "all calls are served again once the faults are over"
 )
 
 const (
@@ -159,10 +159,10 @@
 		a := &h.Attempts[i]
 		checkAnswer(a, runs[a.ID], report)
 		if h.lost(a, runs[a.ID]) {
-			report(PromiseLost, "%s", a.story())
+			report(InvariantNoLoss, "%s", a.story())
 		}
-		if a.Began > h.Length+recovery && a.End != Whole && a.Call != Probe && a.Version == 0 {
-			report(PromiseRecovers, "%s", a.story())
+		if a.Began > h.FaultsEnd+recovery && a.Outcome != CompleteResponse && a.CallKind != Probe && a.Version == 0 {
+			report(InvariantRecovery, "%s", a.story())
 		}
 	}
 	h.checkForward(report)
@@ -172,10 +172,10 @@
 	h.checkCold(report)
 	h.checkAdvisories(report)
 	for _, story := range h.BadFetches {
-		report(PromiseParts, "%s", story)
+		report(InvariantParts, "%s", story)
 	}
 	if h.StuckBoxes > 0 {
-		report(PromiseStops, "%d boxes were still there", h.StuckBoxes)
+		report(InvariantStops, "%d boxes were still there", h.StuckBoxes)
 	}
 	return found
 }
@@ -183,7 +183,7 @@
 type reporter func(promise, format string, args ...any)
 
 func (a *Attempt) story() string {
-	return fmt.Sprintf("%s at box %d/%d from %v to %v: %v", a.ID, a.Box, a.Life, a.Began.Round(time.Millisecond), a.Ended.Round(time.Millisecond), a.End)
+	return fmt.Sprintf("%s at box %d/%d from %v to %v: %v", a.ID, a.Box, a.Incarnation, a.Began.Round(time.Millisecond), a.Ended.Round(time.Millisecond), a.Outcome)
 }
 
 func (h *History) runs() map[string]int {
@@ -196,35 +196,35 @@
 
 func checkAnswer(a *Attempt, runs int, report reporter) {
 	switch {
-	case a.End == Wrong:
-		report(PromiseOwn, "%s", a.story())
-	case a.Call == Once && runs > 1:
-		report(PromiseOnce, "%s ran %d times", a.story(), runs)
-	case a.End == NotRun && runs > 0:
-		report(PromiseNotRun, "%s ran %d times", a.story(), runs)
-	case a.End == Denied && a.Call != Probe && a.Version == 0:
-		report(PromiseAllowed, "%s", a.story())
+	case a.Outcome == WrongResponse:
+		report(InvariantOwnResponse, "%s", a.story())
+	case a.CallKind == AtMostOnce && runs > 1:
+		report(InvariantAtMostOnce, "%s ran %d times", a.story(), runs)
+	case a.Outcome == NotRun && runs > 0:
+		report(InvariantNotRun, "%s ran %d times", a.story(), runs)
+	case a.Outcome == Denied && a.CallKind != Probe && a.Version == 0:
+		report(InvariantAllowed, "%s", a.story())
 	}
 }
 
 // lost reports whether a call was lost with nothing but ordinary work around it. One that crosses
 // the close of its connection and reached no server is not: its caller may send it again.
 func (h *History) lost(a *Attempt, runs int) bool {
-	if a.End != Unknown && a.End != Cut && a.End != Failed && !(a.End == Closed && runs > 0) {
+	if a.Outcome != Unknown && a.Outcome != TruncatedResponse && a.Outcome != Failed && !(a.Outcome == Closed && runs > 0) {
 		return false
 	}
-	if a.Ended-a.Began >= time.Duration(lateEnd*float64(a.Limit)) || h.outlastedStop(a) {
+	if a.Ended-a.Began >= time.Duration(lateEnd*float64(a.CallTimeout)) || h.outlastedStop(a) {
 		return false
 	}
-	return !h.disturbed(a.Began-contact, a.Ended, func(f Fault) bool { return !f.Kind.Ordinary() })
+	return !h.disturbed(a.Began-contact, a.Ended, func(f Fault) bool { return !f.Kind.IsRoutine() })
 }
 
 // outlastedStop reports whether a call that a box took soon after the order to stop was still at
 // work at its server when nearly all of the box's time for that was over.
 func (h *History) outlastedStop(a *Attempt) bool {
 	for _, fault := range h.Faults {
-		last := fault.At + time.Duration(lastOfGrace*float64(h.Grace))
-		if fault.Kind == Replace && fault.Subject == a.Box && a.Began <= fault.At+takenAfterStop && a.Ended >= last && a.Ended <= fault.At+h.Grace {
+		last := fault.Start + time.Duration(lastOfGrace*float64(h.StopTimeout))
+		if fault.Kind == RestartBox && fault.Target == a.Box && a.Began <= fault.Start+takenAfterStop && a.Ended >= last && a.Ended <= fault.Start+h.StopTimeout {
 			return true
 		}
 	}
@@ -234,7 +234,7 @@
 // disturbed reports whether a fault of some kind lay in a span of time.
 func (h *History) disturbed(from, to time.Duration, counts func(Fault) bool) bool {
 	for _, fault := range h.Faults {
-		if fault.At < to && fault.End() > from && counts(fault) {
+		if fault.Start < to && fault.End() > from && counts(fault) {
 			return true
 		}
 	}
@@ -244,8 +244,8 @@
 // inTouch reports whether a box was left alone with the log for long enough before a moment.
 func (h *History) inTouch(box int, at time.Duration) bool {
 	return !h.disturbed(at-contact, at, func(f Fault) bool {
-		if f.Kind == PauseBox || f.Kind == Replace || !f.Kind.Ordinary() {
-			return f.Kind.touches() == everything || f.Kind.touches() == oneBox && f.Subject == box
+		if f.Kind == PauseBox || f.Kind == RestartBox || !f.Kind.IsRoutine() {
+			return f.Kind.touches() == everything || f.Kind.touches() == oneBox && f.Target == box
 		}
 		return false
 	})
@@ -257,14 +257,14 @@
 	type life struct{ box, life int }
 	for i := range h.Attempts {
 		shown := &h.Attempts[i]
-		if shown.Call != Probe || shown.End != Whole {
+		if shown.CallKind != Probe || shown.Outcome != CompleteResponse {
 			continue
 		}
 		for j := range h.Attempts {
 			later := &h.Attempts[j]
-			if later.Call == Probe && later.End == Whole && later.Version < shown.Version && later.Began > shown.Ended &&
-				(life{later.Box, later.Life}) == (life{shown.Box, shown.Life}) {
-				report(PromiseForward, "version %d after %d: %s", later.Version, shown.Version, later.story())
+			if later.CallKind == Probe && later.Outcome == CompleteResponse && later.Version < shown.Version && later.Began > shown.Ended &&
+				(life{later.Box, later.Incarnation}) == (life{shown.Box, shown.Incarnation}) {
+				report(InvariantMonotonicConfig, "version %d after %d: %s", later.Version, shown.Version, later.story())
 			}
 		}
 	}
@@ -281,8 +281,8 @@
 	for i := range h.Attempts {
 		a := &h.Attempts[i]
 		at, gone := replaced[a.Version]
-		if a.Version > 0 && gone && a.End == Whole && a.Began > at+inForce && h.inTouch(a.Box, a.Began) {
-			report(PromiseKeys, "version %d was replaced at %v: %s", a.Version, at.Round(time.Millisecond), a.story())
+		if a.Version > 0 && gone && a.Outcome == CompleteResponse && a.Began > at+inForce && h.inTouch(a.Box, a.Began) {
+			report(InvariantRevokedKeys, "version %d was replaced at %v: %s", a.Version, at.Round(time.Millisecond), a.story())
 		}
 	}
 }
@@ -290,12 +290,12 @@
 // checkLeaving looks for calls that reached a server long after it said that it leaves.
 func (h *History) checkLeaving(report reporter) {
 	byID := h.byID()
-	for _, leaving := range h.Leavings {
+	for _, leaving := range h.LeavingPeriods {
 		for _, arrival := range h.Arrivals {
 			a := byID[arrival.ID]
 			late := arrival.Server == leaving.Server && arrival.At > leaving.At+leaveLimit && arrival.At < leaving.Until
 			if late && a != nil && !h.endedSince(leaving, arrival.At) && a.Began > leaving.At && h.inTouch(a.Box, arrival.At) {
-				report(PromiseLeaving, "server %d left at %v, and was reached at %v: %s", leaving.Server, leaving.At.Round(time.Millisecond), arrival.At.Round(time.Millisecond), a.story())
+				report(InvariantLeaving, "server %d left at %v, and was reached at %v: %s", leaving.Server, leaving.At.Round(time.Millisecond), arrival.At.Round(time.Millisecond), a.story())
 			}
 		}
 	}
@@ -303,6 +303,6 @@
 
 // endedSince reports whether a server that had said it leaves ended before a moment: its next life
 // leaves no more.
-func (h *History) endedSince(leaving Moment, at time.Duration) bool {
-	return h.disturbed(leaving.At, at, func(f Fault) bool { return f.Kind == EndServer && f.Subject == leaving.Server })
+func (h *History) endedSince(leaving Event, at time.Duration) bool {
+	return h.disturbed(leaving.At, at, func(f Fault) bool { return f.Kind == KillServer && f.Target == leaving.Server })
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -17,60 +17,60 @@
 // Kinds of faults. The first group is ordinary work and slowness, in which no call may be lost;
 // the others are failures.
 const (
-	// Declare brings another version of the configuration into force.
-	Declare Kind = "declare"
-	// Reload has a box read its settings again.
-	Reload Kind = "reload"
-	// Replace stops a box as planned, and starts it anew.
-	Replace Kind = "replace"
+	// ApplyConfig brings another version of the configuration into force.
+	ApplyConfig Kind = "declare"
+	// ReloadSettings has a box read its settings again.
+	ReloadSettings Kind = "reload"
+	// RestartBox stops a box as planned, and starts it anew.
+	RestartBox Kind = "replace"
 	// PauseBox takes the processor from a box, as a stopped process lacks it.
 	PauseBox Kind = "pause_box"
-	// SilenceServers has servers say nothing for a while; they keep all that they run.
-	SilenceServers Kind = "silence_servers"
-	// NameWeights names newer weights, which all runners are to load.
-	NameWeights Kind = "name_weights"
-	// Leave has a server announce that it leaves; it serves on, and comes back later.
-	Leave Kind = "leave"
+	// StallServers has servers say nothing for a while; they keep all that they run.
+	StallServers Kind = "silence_servers"
+	// UpdateWeights names newer weights, which all runners are to load.
+	UpdateWeights Kind = "name_weights"
+	// LeaveServer has a server announce that it leaves; it serves on, and comes back later.
+	LeaveServer Kind = "leave"
 
 	// KillBox ends a box at once; it is started anew later.
 	KillBox Kind = "kill_box"
-	// EndServer ends a server without a word; it is back later in another life.
-	EndServer Kind = "end_server"
+	// KillServer ends a server without a word; it is back later in another life.
+	KillServer Kind = "end_server"
 	// The next are faults of the way to a server: slow, cut one way or the other, reset, and
 	// silent for good on the connections that are open.
-	DelayServer   Kind = "delay_server"
-	CutToServer   Kind = "cut_to_server"
-	CutFromServer Kind = "cut_from_server"
-	ResetServer   Kind = "reset_server"
-	MuteServer    Kind = "mute_server"
-	// DelayLog, HoldLog, ResetLog and MuteLog are faults of a box's way to the log, LogDown one
+	DelayServer     Kind = "delay_server"
+	CutToServer     Kind = "cut_to_server"
+	CutFromServer   Kind = "cut_from_server"
+	ResetServer     Kind = "reset_server"
+	BlackholeServer Kind = "mute_server"
+	// DelayLog, HoldLog, ResetLog and BlackholeLog are faults of a box's way to the log, LogDown one
 	// of the log itself.
-	DelayLog Kind = "delay_log"
-	HoldLog  Kind = "hold_log"
-	ResetLog Kind = "reset_log"
-	MuteLog  Kind = "mute_log"
-	LogDown  Kind = "log_down"
+	DelayLog     Kind = "delay_log"
+	HoldLog      Kind = "hold_log"
+	ResetLog     Kind = "reset_log"
+	BlackholeLog Kind = "mute_log"
+	LogDown      Kind = "log_down"
 	// EmptyStore has a store box begin another life, with nothing kept.
 	EmptyStore Kind = "empty_store"
 )
 
 // ordinary are the kinds in which no call may be lost.
-var ordinary = []Kind{Declare, Reload, Replace, PauseBox, SilenceServers, NameWeights, Leave}
+var ordinary = []Kind{ApplyConfig, ReloadSettings, RestartBox, PauseBox, StallServers, UpdateWeights, LeaveServer}
 
 // failures are the other kinds.
-var failures = []Kind{KillBox, EndServer, DelayServer, CutToServer, CutFromServer, ResetServer, MuteServer, DelayLog, HoldLog, ResetLog, MuteLog, LogDown, EmptyStore}
+var failures = []Kind{KillBox, KillServer, DelayServer, CutToServer, CutFromServer, ResetServer, BlackholeServer, DelayLog, HoldLog, ResetLog, BlackholeLog, LogDown, EmptyStore}
 
-// Ordinary reports whether no call may be lost for a fault of the kind.
-func (k Kind) Ordinary() bool {
+// IsRoutine reports whether no call may be lost for a fault of the kind.
+func (k Kind) IsRoutine() bool {
 	return slices.Contains(ordinary, k) || slices.Contains(operations, k) || slices.Contains(advisories, k)
 }
 
 // touches says what a fault concerns.
 func (k Kind) touches() subject {
 	switch k {
-	case Declare, LogDown, NameWeights, EmptyStore, EvacuateZone:
+	case ApplyConfig, LogDown, UpdateWeights, EmptyStore, EvacuateZone:
 		return everything
-	case Reload, Replace, PauseBox, KillBox, DelayLog, HoldLog, ResetLog, MuteLog:
+	case ReloadSettings, RestartBox, PauseBox, KillBox, DelayLog, HoldLog, ResetLog, BlackholeLog:
 		return oneBox
 	default:
 		return oneServer
@@ -88,32 +88,32 @@
 // Fault is one thing that is done.
 type Fault struct {
 	Kind Kind
-	// At is when, from the start of the load on, and For how long; kinds that are over at once
+	// Start is when, from the start of the load on, and ActiveFor how long; kinds that are over at once
 	// have a length too, after which their subject is whole again.
-	At, For time.Duration
-	// Subject is the number of the box or the server. Count is how many servers, from that one
+	Start, ActiveFor time.Duration
+	// Target is the number of the box or the server. ServerCount is how many servers, from that one
 	// on, are silenced.
-	Subject int
-	Count   int
+	Target      int
+	ServerCount int
 }
 
 // String gives the fault as one line of a report.
 func (f Fault) String() string {
-	return fmt.Sprintf("%v %s %d (%d) for %v", f.At.Round(time.Millisecond), f.Kind, f.Subject, f.Count, f.For.Round(time.Millisecond))
+	return fmt.Sprintf("%v %s %d (%d) for %v", f.Start.Round(time.Millisecond), f.Kind, f.Target, f.ServerCount, f.ActiveFor.Round(time.Millisecond))
 }
 
 // End is when the fault is over.
-func (f Fault) End() time.Duration { return f.At + f.For }
+func (f Fault) End() time.Duration { return f.Start + f.ActiveFor }
 
 // PlanConfig says how many faults come, and to what.
 type PlanConfig struct {
 	Seed           uint64
 	Boxes, Servers int
-	Length         time.Duration
-	// Every is the mean time between two faults. They last longer, so they overlap.
-	Every time.Duration
-	// OnlyOrdinary leaves out failures, so that any lost call is a fault of the boxes'.
-	OnlyOrdinary bool
+	LoadDuration   time.Duration
+	// MeanInterval is the mean time between two faults. They last longer, so they overlap.
+	MeanInterval time.Duration
+	// RoutineOnly leaves out failures, so that any lost call is a fault of the boxes'.
+	RoutineOnly bool
 }
 
 // Lengths of faults.
@@ -128,33 +128,33 @@
 func Plan(cfg PlanConfig) []Fault {
 	chance := rand.New(rand.NewPCG(cfg.Seed, 0))
 	kinds := ordinary
-	if !cfg.OnlyOrdinary {
+	if !cfg.RoutineOnly {
 		kinds = append(slices.Clone(ordinary), failures...)
 	}
 	var faults []Fault
-	for at := cfg.Every; at < cfg.Length; {
+	for at := cfg.MeanInterval; at < cfg.LoadDuration; {
 		kind := kinds[chance.IntN(len(kinds))]
 		for range 1 + chance.IntN(seriesLength) {
 			faults = append(faults, draw(chance, cfg, kind, at))
-			at += time.Duration(chance.ExpFloat64() * float64(cfg.Every))
+			at += time.Duration(chance.ExpFloat64() * float64(cfg.MeanInterval))
 		}
 	}
-	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	return slices.DeleteFunc(faults, func(f Fault) bool { return f.At >= cfg.Length })
+	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
+	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Start >= cfg.LoadDuration })
 }
 
 func draw(chance *rand.Rand, cfg PlanConfig, kind Kind, at time.Duration) Fault {
 	length := shortestFault + time.Duration(chance.Int64N(int64(longestFault-shortestFault)))
-	fault := Fault{Kind: kind, At: at, For: length, Count: 1}
+	fault := Fault{Kind: kind, Start: at, ActiveFor: length, ServerCount: 1}
 	switch kind.touches() {
 	case oneBox:
-		fault.Subject = chance.IntN(cfg.Boxes)
+		fault.Target = chance.IntN(cfg.Boxes)
 	case oneServer:
-		fault.Subject = chance.IntN(cfg.Servers)
+		fault.Target = chance.IntN(cfg.Servers)
 	case everything:
 	}
-	if kind == SilenceServers {
-		fault.Count = 1 + chance.IntN(cfg.Servers)
+	if kind == StallServers {
+		fault.ServerCount = 1 + chance.IntN(cfg.Servers)
 	}
 	return fault
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -15,14 +15,14 @@
 // Each promise is broken by a history made for it, and kept by one that differs only in what
 // excuses it; so each check is known to find what it looks for.
 func TestEachCheckFindsWhatItLooksFor(t *testing.T) {
-	lost := soak.Attempt{ID: "a", Call: soak.Stream, Began: 10 * second, Ended: 14 * second, End: soak.Cut, Limit: 12 * second}
+	lost := soak.Attempt{ID: "a", CallKind: soak.Stream, Began: 10 * second, Ended: 14 * second, Outcome: soak.TruncatedResponse, CallTimeout: 12 * second}
 	with := func(a soak.Attempt, change func(*soak.Attempt)) []soak.Attempt {
 		change(&a)
 		return []soak.Attempt{a}
 	}
-	served := soak.Attempt{ID: "a", Call: soak.Once, Began: 10 * second, Ended: 11 * second, End: soak.Whole, Limit: 12 * second}
+	served := soak.Attempt{ID: "a", CallKind: soak.AtMostOnce, Began: 10 * second, Ended: 11 * second, Outcome: soak.CompleteResponse, CallTimeout: 12 * second}
 	repeated := served
-	repeated.Call = soak.Repeatable
+	repeated.CallKind = soak.Repeatable
 	arrivals := func(server int, times ...time.Duration) (all []soak.Arrival) {
 		for _, at := range times {
 			all = append(all, soak.Arrival{ID: "a", Server: server, At: at})
@@ -31,65 +31,65 @@
 	}
 	probes := func(first, then int, life int) []soak.Attempt {
 		return []soak.Attempt{
-			{ID: "p1", Call: soak.Probe, Box: 1, Life: 1, Began: second, Ended: second, End: soak.Whole, Version: first},
-			{ID: "p2", Call: soak.Probe, Box: 1, Life: life, Began: 2 * second, Ended: 2 * second, End: soak.Whole, Version: then},
+			{ID: "p1", CallKind: soak.Probe, Box: 1, Incarnation: 1, Began: second, Ended: second, Outcome: soak.CompleteResponse, Version: first},
+			{ID: "p2", CallKind: soak.Probe, Box: 1, Incarnation: life, Began: 2 * second, Ended: 2 * second, Outcome: soak.CompleteResponse, Version: then},
 		}
 	}
-	versions := []soak.Moment{{At: 0, Version: 1}, {At: 5 * second, Version: 2}}
-	leaving := []soak.Moment{{At: 8 * second, Server: 3, Until: 20 * second}}
+	versions := []soak.Event{{At: 0, Version: 1}, {At: 5 * second, Version: 2}}
+	leaving := []soak.Event{{At: 8 * second, Server: 3, Until: 20 * second}}
 	tests := []struct {
 		name    string
 		history soak.History
 		broken  string
 	}{
 		{"a whole answer", soak.History{Attempts: []soak.Attempt{served}}, ""},
-		{"an answer of another call", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.End = soak.Wrong })}, soak.PromiseOwn},
-		{"two runs", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a"}, {ID: "a", Server: 1}}}, soak.PromiseOnce},
-		{"two runs of a call that may", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Call = soak.Repeatable }), Arrivals: []soak.Arrival{{ID: "a"}, {ID: "a"}}}, ""},
-		{"refused and run", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.End = soak.NotRun }), Arrivals: []soak.Arrival{{ID: "a"}}}, soak.PromiseNotRun},
-		{"cut while servers are silent", soak.History{Attempts: []soak.Attempt{lost}, Faults: []soak.Fault{{Kind: soak.SilenceServers, At: 9 * second, For: 5 * second}}}, soak.PromiseLost},
-		{"cut while a box is paused", soak.History{Attempts: []soak.Attempt{lost}, Faults: []soak.Fault{{Kind: soak.PauseBox, At: 9 * second, For: second}}}, soak.PromiseLost},
-		{"cut as its server ends", soak.History{Attempts: []soak.Attempt{lost}, Faults: []soak.Fault{{Kind: soak.EndServer, At: 9 * second, For: second}}}, ""},
-		{"cut long after a server ended", soak.History{Attempts: []soak.Attempt{lost}, Faults: []soak.Fault{{Kind: soak.EndServer, At: 5 * second, For: second}}}, soak.PromiseLost},
-		{"cut as the time for a stop ends", soak.History{Attempts: []soak.Attempt{lost}, Grace: 8 * second, Faults: []soak.Fault{{Kind: soak.Replace, At: 7 * second, For: 8 * second}}}, ""},
-		{"cut well before that", soak.History{Attempts: []soak.Attempt{lost}, Grace: 8 * second, Faults: []soak.Fault{{Kind: soak.Replace, At: 8 * second, For: 8 * second}}}, soak.PromiseLost},
-		{"cut at another box than the one that stops", soak.History{Attempts: []soak.Attempt{lost}, Grace: 8 * second, Faults: []soak.Fault{{Kind: soak.Replace, Subject: 1, At: 7 * second, For: 8 * second}}}, soak.PromiseLost},
+		{"an answer of another call", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Outcome = soak.WrongResponse })}, soak.InvariantOwnResponse},
+		{"two runs", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a"}, {ID: "a", Server: 1}}}, soak.InvariantAtMostOnce},
+		{"two runs of a call that may", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.CallKind = soak.Repeatable }), Arrivals: []soak.Arrival{{ID: "a"}, {ID: "a"}}}, ""},
+		{"refused and run", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Outcome = soak.NotRun }), Arrivals: []soak.Arrival{{ID: "a"}}}, soak.InvariantNotRun},
+		{"cut while servers are silent", soak.History{Attempts: []soak.Attempt{lost}, Faults: []soak.Fault{{Kind: soak.StallServers, Start: 9 * second, ActiveFor: 5 * second}}}, soak.InvariantNoLoss},
+		{"cut while a box is paused", soak.History{Attempts: []soak.Attempt{lost}, Faults: []soak.Fault{{Kind: soak.PauseBox, Start: 9 * second, ActiveFor: second}}}, soak.InvariantNoLoss},
+		{"cut as its server ends", soak.History{Attempts: []soak.Attempt{lost}, Faults: []soak.Fault{{Kind: soak.KillServer, Start: 9 * second, ActiveFor: second}}}, ""},
+		{"cut long after a server ended", soak.History{Attempts: []soak.Attempt{lost}, Faults: []soak.Fault{{Kind: soak.KillServer, Start: 5 * second, ActiveFor: second}}}, soak.InvariantNoLoss},
+		{"cut as the time for a stop ends", soak.History{Attempts: []soak.Attempt{lost}, StopTimeout: 8 * second, Faults: []soak.Fault{{Kind: soak.RestartBox, Start: 7 * second, ActiveFor: 8 * second}}}, ""},
+		{"cut well before that", soak.History{Attempts: []soak.Attempt{lost}, StopTimeout: 8 * second, Faults: []soak.Fault{{Kind: soak.RestartBox, Start: 8 * second, ActiveFor: 8 * second}}}, soak.InvariantNoLoss},
+		{"cut at another box than the one that stops", soak.History{Attempts: []soak.Attempt{lost}, StopTimeout: 8 * second, Faults: []soak.Fault{{Kind: soak.RestartBox, Target: 1, Start: 7 * second, ActiveFor: 8 * second}}}, soak.InvariantNoLoss},
 		{"cut late in its time", soak.History{Attempts: with(lost, func(a *soak.Attempt) { a.Ended = 19 * second })}, ""},
-		{"denied", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.End = soak.Denied })}, soak.PromiseAllowed},
-		{"denied for an old key", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.End, a.Version = soak.Denied, 1 }), Versions: versions}, ""},
-		{"served by an old key", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Version = 1 }), Versions: versions}, soak.PromiseKeys},
-		{"served by an old key without the log", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Version = 1 }), Versions: versions, Faults: []soak.Fault{{Kind: soak.LogDown, At: 8 * second, For: second}}}, ""},
-		{"a configuration that comes back", soak.History{Attempts: probes(3, 2, 1)}, soak.PromiseForward},
+		{"denied", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Outcome = soak.Denied })}, soak.InvariantAllowed},
+		{"denied for an old key", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Outcome, a.Version = soak.Denied, 1 }), Versions: versions}, ""},
+		{"served by an old key", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Version = 1 }), Versions: versions}, soak.InvariantRevokedKeys},
+		{"served by an old key without the log", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Version = 1 }), Versions: versions, Faults: []soak.Fault{{Kind: soak.LogDown, Start: 8 * second, ActiveFor: second}}}, ""},
+		{"a configuration that comes back", soak.History{Attempts: probes(3, 2, 1)}, soak.InvariantMonotonicConfig},
 		{"an older one in another life", soak.History{Attempts: probes(3, 2, 2)}, ""},
 		{"a newer one", soak.History{Attempts: probes(2, 3, 1)}, ""},
-		{"a call to a server that left", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 3, At: 10500 * time.Millisecond}}, Leavings: leaving}, soak.PromiseLeaving},
-		{"a call to another server", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 2, At: 10500 * time.Millisecond}}, Leavings: leaving}, ""},
-		{"a call by a box that was paused", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 3, At: 10500 * time.Millisecond}}, Leavings: leaving, Faults: []soak.Fault{{Kind: soak.PauseBox, At: 9 * second, For: second}}}, ""},
-		{"a call to its next life", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 3, At: 10500 * time.Millisecond}}, Leavings: leaving, Faults: []soak.Fault{{Kind: soak.EndServer, Subject: 3, At: 9 * second, For: second}}}, ""},
-		{"a call to an evacuated zone", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 2, At: 10500 * time.Millisecond}}, Evacuations: leaving}, soak.PromiseEvacuated},
+		{"a call to a server that left", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 3, At: 10500 * time.Millisecond}}, LeavingPeriods: leaving}, soak.InvariantLeaving},
+		{"a call to another server", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 2, At: 10500 * time.Millisecond}}, LeavingPeriods: leaving}, ""},
+		{"a call by a box that was paused", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 3, At: 10500 * time.Millisecond}}, LeavingPeriods: leaving, Faults: []soak.Fault{{Kind: soak.PauseBox, Start: 9 * second, ActiveFor: second}}}, ""},
+		{"a call to its next life", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 3, At: 10500 * time.Millisecond}}, LeavingPeriods: leaving, Faults: []soak.Fault{{Kind: soak.KillServer, Target: 3, Start: 9 * second, ActiveFor: second}}}, ""},
+		{"a call to an evacuated zone", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 2, At: 10500 * time.Millisecond}}, Evacuations: leaving}, soak.InvariantEvacuated},
 		{"a call to the other zone", soak.History{Attempts: []soak.Attempt{served}, Arrivals: []soak.Arrival{{ID: "a", Server: 1, At: 10500 * time.Millisecond}}, Evacuations: leaving}, ""},
 		{"a call that began before the evacuation", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Began = 7 * second }), Arrivals: []soak.Arrival{{ID: "a", Server: 2, At: 10500 * time.Millisecond}}, Evacuations: leaving}, ""},
-		{"three calls in a second at a cold server", soak.History{Attempts: []soak.Attempt{repeated}, Arrivals: arrivals(3, 10500*time.Millisecond, 10600*time.Millisecond, 11400*time.Millisecond), Colds: leaving}, soak.PromiseCold},
-		{"two of them, and a third later", soak.History{Attempts: []soak.Attempt{repeated}, Arrivals: arrivals(3, 10500*time.Millisecond, 10600*time.Millisecond, 11500*time.Millisecond), Colds: leaving}, ""},
-		{"three at a server that is not cold", soak.History{Attempts: []soak.Attempt{repeated}, Arrivals: arrivals(4, 10500*time.Millisecond, 10600*time.Millisecond, 11400*time.Millisecond), Colds: leaving}, ""},
-		{"a limited server that gets more", advised(soak.LimitServer, 18, 200*time.Millisecond), soak.PromiseLimit},
+		{"three calls in a second at a cold server", soak.History{Attempts: []soak.Attempt{repeated}, Arrivals: arrivals(3, 10500*time.Millisecond, 10600*time.Millisecond, 11400*time.Millisecond), ColdPeriods: leaving}, soak.InvariantCold},
+		{"two of them, and a third later", soak.History{Attempts: []soak.Attempt{repeated}, Arrivals: arrivals(3, 10500*time.Millisecond, 10600*time.Millisecond, 11500*time.Millisecond), ColdPeriods: leaving}, ""},
+		{"three at a server that is not cold", soak.History{Attempts: []soak.Attempt{repeated}, Arrivals: arrivals(4, 10500*time.Millisecond, 10600*time.Millisecond, 11400*time.Millisecond), ColdPeriods: leaving}, ""},
+		{"a limited server that gets more", advised(soak.LimitServer, 18, 200*time.Millisecond), soak.InvariantRateLimit},
 		{"a limited server that gets as many as allowed", advised(soak.LimitServer, 17, 200*time.Millisecond), ""},
-		{"a server that drains and is called on", advised(soak.DrainInAnswers, 8, 500*time.Millisecond), soak.PromiseDraining},
+		{"a server that drains and is called on", advised(soak.DrainInAnswers, 8, 500*time.Millisecond), soak.InvariantDraining},
 		{"a server that drains and is called soon after", advised(soak.DrainInAnswers, 6, 400*time.Millisecond), ""},
 		{"a box that calls on in a pause", advised(soak.PauseServer, 3, 700*time.Millisecond), ""},
-		{"a box that calls on and on in a pause", advised(soak.PauseServer, 4, 600*time.Millisecond), soak.PromisePause},
-		{"a box that was paused itself", withFault(advised(soak.PauseServer, 4, 600*time.Millisecond), soak.Fault{Kind: soak.PauseBox, At: 13 * second, For: second}), ""},
-		{"a part that was freed under its fetch", soak.History{BadFetches: []string{"freed"}}, soak.PromiseParts},
-		{"a stop without end", soak.History{StuckBoxes: 1}, soak.PromiseStops},
-		{"refused long after the last fault", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.End = soak.NotRun }), Length: 4 * second}, soak.PromiseRecovers},
-		{"denied for an old key long after", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.End, a.Version = soak.Denied, 1 }), Versions: versions, Length: 4 * second}, ""},
-		{"refused soon after the last fault", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.End = soak.NotRun }), Length: 6 * second}, ""},
+		{"a box that calls on and on in a pause", advised(soak.PauseServer, 4, 600*time.Millisecond), soak.InvariantPause},
+		{"a box that was paused itself", withFault(advised(soak.PauseServer, 4, 600*time.Millisecond), soak.Fault{Kind: soak.PauseBox, Start: 13 * second, ActiveFor: second}), ""},
+		{"a part that was freed under its fetch", soak.History{BadFetches: []string{"freed"}}, soak.InvariantParts},
+		{"a stop without end", soak.History{StuckBoxes: 1}, soak.InvariantStops},
+		{"refused long after the last fault", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Outcome = soak.NotRun }), FaultsEnd: 4 * second}, soak.InvariantRecovery},
+		{"denied for an old key long after", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Outcome, a.Version = soak.Denied, 1 }), Versions: versions, FaultsEnd: 4 * second}, ""},
+		{"refused soon after the last fault", soak.History{Attempts: with(served, func(a *soak.Attempt) { a.Outcome = soak.NotRun }), FaultsEnd: 6 * second}, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			if test.history.Length == 0 {
-				test.history.Length = 100 * second
+			if test.history.FaultsEnd == 0 {
+				test.history.FaultsEnd = 100 * second
 			}
 			found := soak.Check(&test.history)
 			if test.broken == "" {
@@ -97,7 +97,7 @@
 				return
 			}
 			g.Expect(found).To(HaveLen(1))
-			g.Expect(found[0].Promise).To(Equal(test.broken))
+			g.Expect(found[0].Invariant).To(Equal(test.broken))
 		})
 	}
 }
@@ -109,7 +109,7 @@
 	history := soak.History{Advisories: []soak.Advisory{{Kind: kind, Server: 3, At: 10 * second, Until: until}}}
 	add := func(at time.Duration) {
 		id := fmt.Sprint("a-", at)
-		history.Attempts = append(history.Attempts, soak.Attempt{ID: id, Box: 1, Life: 1, Began: at, Ended: at, End: soak.Whole})
+		history.Attempts = append(history.Attempts, soak.Attempt{ID: id, Box: 1, Incarnation: 1, Began: at, Ended: at, Outcome: soak.CompleteResponse})
 		history.Received = append(history.Received, soak.Arrival{ID: id, Server: 3, At: at})
 	}
 	add(told)
@@ -124,14 +124,14 @@
 }
 
 func withFault(history soak.History, fault soak.Fault) soak.History {
-	fault.Subject = 1
+	fault.Target = 1
 	history.Faults = append(history.Faults, fault)
 	return history
 }
 
 func TestASeedAlwaysGivesTheSamePlan(t *testing.T) {
 	g := NewWithT(t)
-	cfg := soak.PlanConfig{Seed: 7, Boxes: 4, Servers: 8, Length: 30 * second, Every: 500 * time.Millisecond}
+	cfg := soak.PlanConfig{Seed: 7, Boxes: 4, Servers: 8, LoadDuration: 30 * second, MeanInterval: 500 * time.Millisecond}
 	plan := soak.Plan(cfg)
 	g.Expect(soak.Plan(cfg)).To(Equal(plan))
 	kinds := map[soak.Kind]bool{}
@@ -139,19 +139,19 @@
 		cfg.Seed = seed
 		for _, fault := range soak.Plan(cfg) {
 			kinds[fault.Kind] = true
-			g.Expect(fault.At).To(BeNumerically("<", cfg.Length))
+			g.Expect(fault.Start).To(BeNumerically("<", cfg.LoadDuration))
 		}
 	}
 	g.Expect(len(kinds)).To(Equal(20), "all kinds come")
-	cfg.OnlyOrdinary = true
+	cfg.RoutineOnly = true
 	for _, fault := range soak.Plan(cfg) {
-		g.Expect(fault.Kind.Ordinary()).To(BeTrue())
+		g.Expect(fault.Kind.IsRoutine()).To(BeTrue())
 	}
 }
 
 func TestShrinkingLeavesWhatIsNeeded(t *testing.T) {
 	g := NewWithT(t)
-	plan := soak.Plan(soak.PlanConfig{Seed: 7, Boxes: 4, Servers: 8, Length: 30 * second, Every: 500 * time.Millisecond})
+	plan := soak.Plan(soak.PlanConfig{Seed: 7, Boxes: 4, Servers: 8, LoadDuration: 30 * second, MeanInterval: 500 * time.Millisecond})
 	first, last := plan[3], plan[len(plan)-2]
 	needs := func(faults []soak.Fault) bool {
 		return contains(faults, first) && contains(faults, last)
--- a/internal/soak/zones.go
+++ b/internal/soak/zones.go
@@ -16,14 +16,14 @@
 	ColdServer Kind = "cold_server"
 )
 
-// operations are the kinds that PlanZones draws. They are ordinary work.
+// operations are the kinds that PlanOperations draws. They are ordinary work.
 var operations = []Kind{EvacuateZone, ColdServer}
 
 // InSecondZone reports whether a server is in the second of two zones.
 func InSecondZone(server int) bool { return server/2%2 == 1 }
 
-// ColdAllowed is how many calls all boxes together may send a cold server in any second.
-const ColdAllowed = 2
+// MaxColdCallsPerSecond is how many calls all boxes together may send a cold server in any second.
+const MaxColdCallsPerSecond = 2
 
 const (
 	// zonesEvery is the mean time between two operations.
@@ -34,11 +34,11 @@
 	coldLimit       = 2 * time.Second
 )
 
-// PlanZones draws the operations of a seed.
-func PlanZones(cfg PlanConfig) []Fault {
+// PlanOperations draws the operations of a seed.
+func PlanOperations(cfg PlanConfig) []Fault {
 	chance := rand.New(rand.NewPCG(cfg.Seed, 1))
 	var faults []Fault
-	for at := zonesEvery / 2; at < cfg.Length; at += time.Duration(chance.ExpFloat64() * float64(zonesEvery)) {
+	for at := zonesEvery / 2; at < cfg.LoadDuration; at += time.Duration(chance.ExpFloat64() * float64(zonesEvery)) {
 		faults = append(faults, draw(chance, cfg, operations[chance.IntN(len(operations))], at))
 	}
 	return faults
@@ -52,7 +52,7 @@
 			a := byID[arrival.ID]
 			late := InSecondZone(arrival.Server) && arrival.At > evacuation.At+evacuationLimit && arrival.At < evacuation.Until
 			if late && a != nil && a.Began > evacuation.At && h.inTouch(a.Box, arrival.At) {
-				report(PromiseEvacuated, "evacuated at %v, and server %d was reached at %v: %s", evacuation.At.Round(time.Millisecond), arrival.Server, arrival.At.Round(time.Millisecond), a.story())
+				report(InvariantEvacuated, "evacuated at %v, and server %d was reached at %v: %s", evacuation.At.Round(time.Millisecond), arrival.Server, arrival.At.Round(time.Millisecond), a.story())
 			}
 		}
 	}
@@ -61,7 +61,7 @@
 // checkCold looks for seconds in which boxes that know of it sent a cold server too much.
 func (h *History) checkCold(report reporter) {
 	byID := h.byID()
-	for _, cold := range h.Colds {
+	for _, cold := range h.ColdPeriods {
 		var times []time.Duration
 		for _, arrival := range h.Arrivals {
 			a := byID[arrival.ID]
@@ -76,8 +76,8 @@
 			for at-times[first] >= time.Second {
 				first++
 			}
-			if count := i - first + 1; count > ColdAllowed {
-				report(PromiseCold, "server %d was cold from %v on, and got %d calls in the second before %v", cold.Server, cold.At.Round(time.Millisecond), count, at.Round(time.Millisecond))
+			if count := i - first + 1; count > MaxColdCallsPerSecond {
+				report(InvariantCold, "server %d was cold from %v on, and got %d calls in the second before %v", cold.Server, cold.At.Round(time.Millisecond), count, at.Round(time.Millisecond))
 			}
 		}
 	}
--- a/internal/storebox/storebox_test.go
+++ b/internal/storebox/storebox_test.go
@@ -46,13 +46,13 @@
 		hit    bool
 	}{
 		{name: "whole", hit: true},
-		{name: "a torn write that the box notices", write: fakestore.Faults{Torn: true}},
-		{name: "a torn write that the box does not notice", write: fakestore.Faults{Torn: true, NoChecks: true}},
-		{name: "wrong bytes", read: fakestore.Faults{WrongBytes: true}},
+		{name: "a torn write that the box notices", write: fakestore.Faults{TruncateWrites: true}},
+		{name: "a torn write that the box does not notice", write: fakestore.Faults{TruncateWrites: true, SkipChecks: true}},
+		{name: "wrong bytes", read: fakestore.Faults{CorruptReads: true}},
 		{name: "freed", freed: true},
 		{name: "freed, and the box still resolves the name", freed: true, read: fakestore.Faults{StaleNames: true}},
 		{name: "freed and used for another block", freed: true, reused: true, read: fakestore.Faults{StaleNames: true}},
-		{name: "freed and used for another block, from a box that checks nothing", freed: true, reused: true, read: fakestore.Faults{StaleNames: true, NoChecks: true}},
+		{name: "freed and used for another block, from a box that checks nothing", freed: true, reused: true, read: fakestore.Faults{StaleNames: true, SkipChecks: true}},
 		{name: "an unreachable box", read: fakestore.Faults{Down: true}},
 	}
 	for _, c := range cases {
@@ -95,7 +95,7 @@
 // returns exactly the block of its name.
 func TestReadsDuringFreesAreCorrectOrMiss(t *testing.T) {
 	b := newBox(t, 1<<20)
-	b.store.SetFaults(fakestore.Faults{NoChecks: true, StaleNames: true})
+	b.store.SetFaults(fakestore.Faults{SkipChecks: true, StaleNames: true})
 	ctx := context.Background()
 	const keys, rounds = 5, 60
 	var ended sync.WaitGroup
--- a/internal/testfleet/testfleet.go
+++ b/internal/testfleet/testfleet.go
@@ -37,17 +37,17 @@
 	Engine fakeengine.Config
 	// Zones is the zone of each entry box to start.
 	Zones []string
-	// Change alters the configuration before it is applied.
-	Change func(*config.File)
+	// EditConfig alters the configuration before it is applied.
+	EditConfig func(*config.File)
 	// File is the configuration file; empty is the sample one, as seen from a
 	// package of internal/.
 	File string
-	// Unapplied leaves the log without any configuration.
-	Unapplied bool
-	// Log takes the boxes' logs; nil drops them.
-	Log io.Writer
-	// Settings alters the settings of every box.
-	Settings func(*settings.Settings)
+	// NoConfig leaves the log without any configuration.
+	NoConfig bool
+	// LogOutput takes the boxes' logs; nil drops them.
+	LogOutput io.Writer
+	// EditSettings alters the settings of every box.
+	EditSettings func(*settings.Settings)
 }
 
 // Fleet is a running fleet.
@@ -84,18 +84,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if cfg.Change != nil {
-		cfg.Change(file)
+	if cfg.EditConfig != nil {
+		cfg.EditConfig(file)
 	}
 	set, err := standins.Start(standins.Config{File: file, AnyPort: true, Engine: cfg.Engine})
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{cfg: cfg, set: set, logger: zerolog.Nop()}
-	if cfg.Log != nil {
-		f.logger = zerolog.New(zerolog.ConsoleWriter{Out: cfg.Log, NoColor: true})
+	if cfg.LogOutput != nil {
+		f.logger = zerolog.New(zerolog.ConsoleWriter{Out: cfg.LogOutput, NoColor: true})
 	}
-	if !cfg.Unapplied {
+	if !cfg.NoConfig {
 		if _, err := f.Apply(file); err != nil {
 			f.Close()
 			return nil, err
@@ -133,8 +133,8 @@
 		Log: logAddress, BoxList: f.set.BoxListAddress(), AnswerKeys: [][]byte{answerKey},
 		LogRetention: 24 * time.Hour, StopTimeout: time.Minute, RingCapacity: 1024,
 	}
-	if f.cfg.Settings != nil {
-		f.cfg.Settings(&cfg)
+	if f.cfg.EditSettings != nil {
+		f.cfg.EditSettings(&cfg)
 	}
 	started, err := daemon.New(cfg, f.logger)
 	if err != nil {
@@ -174,7 +174,7 @@
 }
 
 // Set gives the stand-ins.
-func (f *Fleet) Set() *standins.Set { return f.set }
+func (f *Fleet) StandIns() *standins.Set { return f.set }
 
 // Box gives a box by the order of its start, from 0.
 func (f *Fleet) Box(i int) *Box {
@@ -207,8 +207,8 @@
 	Header map[string]string
 }
 
-// Answer is the answer to a call.
-type Answer struct {
+// Response is the answer to a call.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   string
@@ -220,18 +220,18 @@
 var client = &http.Client{Timeout: time.Minute, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // Do makes a call of the box and reads the whole answer.
-func (b *Box) Do(call Call) (Answer, error) {
-	response, err := b.Begin(context.Background(), call)
+func (b *Box) Do(call Call) (Response, error) {
+	response, err := b.Send(context.Background(), call)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return Answer{Status: response.StatusCode, Header: response.Header, Body: string(body), Broken: err != nil}, nil
+	return Response{Status: response.StatusCode, Header: response.Header, Body: string(body), Broken: err != nil}, nil
 }
 
-// Begin makes a call and leaves its answer to be read.
-func (b *Box) Begin(ctx context.Context, call Call) (*http.Response, error) {
+// Send makes a call and leaves its answer to be read.
+func (b *Box) Send(ctx context.Context, call Call) (*http.Response, error) {
 	if call.Method == "" {
 		call.Method = http.MethodGet
 		if call.Body != "" {
@@ -265,5 +265,5 @@
 	return data
 }
 
-// Whole reports whether a stream came to its end.
-func Whole(body string) bool { return strings.HasSuffix(body, "data: [DONE]\n\n") }
+// IsComplete reports whether a stream came to its end.
+func IsComplete(body string) bool { return strings.HasSuffix(body, "data: [DONE]\n\n") }
--- a/internal/zonereader/zonereader_test.go
+++ b/internal/zonereader/zonereader_test.go
@@ -389,7 +389,7 @@
 // An outage of the log is no reason to leave the reader, nor to change the view.
 func TestLogOutageChangesNothing(t *testing.T) {
 	inBubble(t, 5, func(g *WithT, f *testFleet) {
-		f.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		f.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(20 * time.Second)
 		g.Expect(f.countVersion(1)).To(Equal(5))
 		f.log.Put(sharedlog.Operator, "config", []byte("vv")) // the write also ends the outage
