--- a/internal/soak/advisories.go
+++ b/internal/soak/advisories.go
@@ -1,5 +1,6 @@
-// What servers say of themselves in their answers, and what boxes that got such an answer may send them
-// afterwards. It is drawn apart from the other faults, so that a seed's other faults stay as they are.
+// Advisories: what servers report about themselves in their responses, and what a box that received
+// such a response may send them afterwards. They are drawn from their own random sequence, so that the
+// other faults of a seed stay the same.
 
 package soak
 
@@ -10,95 +11,98 @@
 )
 
 const (
-	// LimitServer has a server name a rate limit in its answers.
+	// LimitServer has a server announce a rate limit in its responses.
 	LimitServer Kind = "limit_server"
-	// DrainInAnswers has a server say in its answers that it drains; its entry says so later.
+	// DrainInAnswers has a server announce in its responses that it is draining. Its registry entry
+	// says so later.
 	DrainInAnswers Kind = "drain_in_answers"
-	// PauseServer has a server turn all calls away and ask for pauses.
+	// PauseServer has a server reject all calls and ask for a pause (Retry-After).
 	PauseServer Kind = "pause_server"
 )
 
-// advisories are the kinds that PlanAdvisories draws. They are ordinary work.
-var advisories = []Kind{LimitServer, DrainInAnswers, PauseServer}
+// advisoryKinds are the kinds that PlanAdvisories draws. They are routine operations.
+var advisoryKinds = []Kind{LimitServer, DrainInAnswers, PauseServer}
 
-// RateLimitPerSecond is the rate limit that servers name, in requests a second.
+// RateLimitPerSecond is the rate limit that servers announce, in requests per second.
 const RateLimitPerSecond = 2.0
 
 // PauseDuration is the pause that servers ask for.
 const PauseDuration = 2 * time.Second
 
 const (
-	// advisoriesEvery is the mean time between two of them.
-	advisoriesEvery = 3 * time.Second
-	// limitWindow is the span in which requests to a limited server are counted; from limitGrace after it
-	// named its limit, one and a half times the limit and limitSlack more may come.
-	limitWindow  = 4 * time.Second
-	limitGrace   = contact
-	limitOverage = 1.5
-	limitSlack   = 5
-	// answerTime is the time of an answer to a box, after which what it says binds the box.
-	answerTime = 500 * time.Millisecond
-	// pausedAllowed is how many calls may still come from a box in a pause.
-	pausedAllowed = 2
+	// meanAdvisoryInterval is the mean time between two advisories.
+	meanAdvisoryInterval = 3 * time.Second
+	// rateWindow is the sliding window in which requests to a rate-limited server are counted. From
+	// rateGrace after the server announced its limit on, a window may contain rateTolerance (one and a
+	// half) times the limit, plus rateSlack requests.
+	rateWindow    = 4 * time.Second
+	rateGrace     = syncTime
+	rateTolerance = 1.5
+	rateSlack     = 5
+	// responseTime is the time that a response takes to reach the box. After it the box has to follow
+	// the advisory in the response.
+	responseTime = 500 * time.Millisecond
+	// maxCallsInPause is how many calls a box may still send during a pause.
+	maxCallsInPause = 2
 )
 
 // PlanAdvisories draws the advisories of a seed.
 func PlanAdvisories(cfg PlanConfig) []Fault {
-	chance := rand.New(rand.NewPCG(cfg.Seed, 2))
+	rng := rand.New(rand.NewPCG(cfg.Seed, 2))
 	var faults []Fault
-	for at := advisoriesEvery / 2; at < cfg.LoadDuration; at += time.Duration(chance.ExpFloat64() * float64(advisoriesEvery)) {
-		faults = append(faults, draw(chance, cfg, advisories[chance.IntN(len(advisories))], at))
+	for at := meanAdvisoryInterval / 2; at < cfg.LoadDuration; at += time.Duration(rng.ExpFloat64() * float64(meanAdvisoryInterval)) {
+		faults = append(faults, drawFault(rng, cfg, advisoryKinds[rng.IntN(len(advisoryKinds))], at))
 	}
 	return faults
 }
 
-// Advisory is a time in which a server said something of itself in all of its answers.
+// Advisory is a period in which all responses of a server had the same advisory.
 type Advisory struct {
 	Kind      Kind
 	Server    int
 	At, Until time.Duration
 }
 
-// process is one life of a box.
-type process struct{ box, life int }
+// process is one incarnation of a box.
+type process struct{ box, incarnation int }
 
-// received is a call that came to a server, and the process that sent it.
-type received struct {
+// receivedCall is a call that reached a server, and the process that sent it.
+type receivedCall struct {
 	at, began time.Duration
-	from      process
+	sender    process
 }
 
-// receivedBy lists the calls that came to a server within a span of time, in their order.
-func (h *History) receivedBy(server int, from, until time.Duration, byID map[string]*Attempt) []received {
-	var all []received
+// receivedBy returns the calls that reached a server in a period, ordered by time.
+func (h *History) receivedBy(server int, from, until time.Duration, byID map[string]*Attempt) []receivedCall {
+	var all []receivedCall
 	for _, arrival := range h.Received {
 		if a := byID[arrival.ID]; a != nil && arrival.Server == server && arrival.At >= from && arrival.At < until {
-			all = append(all, received{at: arrival.At, began: a.Began, from: process{a.Box, a.Incarnation}})
+			all = append(all, receivedCall{at: arrival.At, began: a.Began, sender: process{a.Box, a.Incarnation}})
 		}
 	}
-	slices.SortFunc(all, func(a, b received) int { return int(a.at - b.at) })
+	slices.SortFunc(all, func(a, b receivedCall) int { return int(a.at - b.at) })
 	return all
 }
 
-// undisturbed reports whether nothing happened to a box, or to a server and the ways to it, in a span of
-// time.
-func (h *History) undisturbed(box, server int, from, to time.Duration) bool {
-	return !h.disturbed(from, to, func(f Fault) bool {
-		switch f.Kind.touches() {
+// isUndisturbed reports whether no fault affected a box, a server or the connections between them in a
+// period.
+func (h *History) isUndisturbed(box, server int, from, to time.Duration) bool {
+	return !h.isDisturbed(from, to, func(f Fault) bool {
+		switch f.Kind.scope() {
 		case oneBox:
 			return f.Target == box && f.Kind != ReloadSettings
 		case oneServer:
-			return f.Kind == StallServers || f.Target == server && !slices.Contains(advisories, f.Kind) && f.Kind != LeaveServer && f.Kind != ColdServer
+			return f.Kind == StallServers || f.Target == server && !slices.Contains(advisoryKinds, f.Kind) && f.Kind != LeaveServer && f.Kind != ColdServer
 		default:
 			return false
 		}
 	})
 }
 
-// checkAdvisories looks for calls that go against what a server had said to the box that sent them, and
-// reports the first for each advisory.
-func (h *History) checkAdvisories(report reporter) {
-	byID := h.byID()
+// checkAdvisories looks for calls that violate an advisory which the sending box had received, and reports
+// the first one of each advisory.
+func (h *History) checkAdvisories(report reportFunc) {
+	byID := h.attemptsByID()
 	for _, advisory := range h.Advisories {
 		calls := h.receivedBy(advisory.Server, advisory.At, advisory.Until, byID)
 		switch advisory.Kind {
@@ -112,66 +116,67 @@
 	}
 }
 
-// toldAt gives when each process had its first answer of a server for certain.
-func (h *History) toldAt(server int, calls []received) map[process]time.Duration {
-	told := map[process]time.Duration{}
+// firstResponses returns, for each process, the time by which it has certainly received its first
+// response from a server.
+func (h *History) firstResponses(server int, calls []receivedCall) map[process]time.Duration {
+	informedAt := map[process]time.Duration{}
 	for _, call := range calls {
-		if _, known := told[call.from]; !known && h.undisturbed(call.from.box, server, call.at, call.at+answerTime) {
-			told[call.from] = call.at + answerTime
+		if _, found := informedAt[call.sender]; !found && h.isUndisturbed(call.sender.box, server, call.at, call.at+responseTime) {
+			informedAt[call.sender] = call.at + responseTime
 		}
 	}
-	return told
+	return informedAt
 }
 
-func (h *History) checkLimit(advisory Advisory, calls []received, report reporter) {
-	told := h.toldAt(advisory.Server, calls)
+func (h *History) checkLimit(advisory Advisory, calls []receivedCall, report reportFunc) {
+	informedAt := h.firstResponses(advisory.Server, calls)
 	var times []time.Duration
 	for _, call := range calls {
-		at, known := told[call.from]
-		if known && call.at > at && call.at > advisory.At+limitGrace && h.undisturbed(call.from.box, advisory.Server, call.at-limitWindow-contact, call.at) {
+		at, informed := informedAt[call.sender]
+		if informed && call.at > at && call.at > advisory.At+rateGrace && h.isUndisturbed(call.sender.box, advisory.Server, call.at-rateWindow-syncTime, call.at) {
 			times = append(times, call.at)
 		}
 	}
 	first := 0
 	for i, at := range times {
-		for at-times[first] >= limitWindow {
+		for at-times[first] >= rateWindow {
 			first++
 		}
-		if count := i - first + 1; float64(count) > limitOverage*RateLimitPerSecond*limitWindow.Seconds()+limitSlack {
-			report(InvariantRateLimit, "server %d takes %.1f a second from %v on, and got %d calls in the %v before %v",
-				advisory.Server, RateLimitPerSecond, advisory.At.Round(time.Millisecond), count, limitWindow, at.Round(time.Millisecond))
+		if count := i - first + 1; float64(count) > rateTolerance*RateLimitPerSecond*rateWindow.Seconds()+rateSlack {
+			report(InvariantRateLimit, "server %d announced a limit of %.1f requests per second from %v on and received %d calls in the %v before %v",
+				advisory.Server, RateLimitPerSecond, advisory.At.Round(time.Millisecond), count, rateWindow, at.Round(time.Millisecond))
 			return
 		}
 	}
 }
 
-func (h *History) checkDraining(advisory Advisory, calls []received, report reporter) {
-	told := h.toldAt(advisory.Server, calls)
+func (h *History) checkDraining(advisory Advisory, calls []receivedCall, report reportFunc) {
+	informedAt := h.firstResponses(advisory.Server, calls)
 	for _, call := range calls {
-		at, known := told[call.from]
-		if known && call.began > at+leaveLimit && h.undisturbed(call.from.box, advisory.Server, at, call.at) {
-			report(InvariantDraining, "server %d had said to box %d/%d before %v that it drains, and was reached at %v",
-				advisory.Server, call.from.box, call.from.life, at.Round(time.Millisecond), call.at.Round(time.Millisecond))
+		at, informed := informedAt[call.sender]
+		if informed && call.began > at+leaveDeadline && h.isUndisturbed(call.sender.box, advisory.Server, at, call.at) {
+			report(InvariantDraining, "server %d announced to box %d/%d before %v that it is draining, but received a call at %v",
+				advisory.Server, call.sender.box, call.sender.incarnation, at.Round(time.Millisecond), call.at.Round(time.Millisecond))
 			return
 		}
 	}
 }
 
-func (h *History) checkPause(advisory Advisory, calls []received, report reporter) {
-	for i, asked := range calls {
-		end := asked.at + PauseDuration
-		if !h.undisturbed(asked.from.box, advisory.Server, asked.at, end) {
+func (h *History) checkPause(advisory Advisory, calls []receivedCall, report reportFunc) {
+	for i, pauseCall := range calls {
+		end := pauseCall.at + PauseDuration
+		if !h.isUndisturbed(pauseCall.sender.box, advisory.Server, pauseCall.at, end) {
 			continue
 		}
 		count := 0
 		for _, call := range calls[i+1:] {
-			if call.from == asked.from && call.at > asked.at+answerTime && call.at < end {
+			if call.sender == pauseCall.sender && call.at > pauseCall.at+responseTime && call.at < end {
 				count++
 			}
 		}
-		if count > pausedAllowed {
-			report(InvariantPause, "server %d asked box %d/%d for %v at %v, and got %d calls from it",
-				advisory.Server, asked.from.box, asked.from.life, PauseDuration, asked.at.Round(time.Millisecond), count)
+		if count > maxCallsInPause {
+			report(InvariantPause, "server %d asked box %d/%d for a pause of %v at %v, but received %d calls from it",
+				advisory.Server, pauseCall.sender.box, pauseCall.sender.incarnation, PauseDuration, pauseCall.at.Round(time.Millisecond), count)
 			return
 		}
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -1,4 +1,4 @@
-// What callers and servers saw, and the promises that it is held against.
+// The history that callers and servers record, and the invariants that it is checked against.
 
 package soak
 
@@ -7,103 +7,109 @@
 	"time"
 )
 
-// CallKind is a kind of call.
+// CallKind is how a call may be repeated.
 type CallKind uint8
 
 // Kinds of calls.
 const (
-	// Stream may be resumed at another server.
+	// Stream calls may be resumed at another server.
 	Stream CallKind = iota
-	// Repeatable may run more than once, AtMostOnce at most once.
+	// Repeatable calls may run more than once; AtMostOnce calls may not.
 	Repeatable
 	AtMostOnce
-	// Probe asks which versions of the configuration are in force at a box.
+	// Probe calls use a route that only one version of the configuration has. They show which
+	// version the box uses.
 	Probe
 )
 
-// Outcome is what a caller got.
+// Outcome is the result of a call as its caller saw it.
 type Outcome uint8
 
-// Ends of calls.
+// Outcomes of calls.
 const (
-	// CompleteResponse answers are those of the call's own server, each piece once.
+	// CompleteResponse is the full response of the server that ran the call, each chunk once.
 	CompleteResponse Outcome = iota
-	// NotRun is a refusal that says so.
+	// NotRun is a rejection which says that the call did not run.
 	NotRun
-	// Unknown says that the call may have run, or that no answer came.
+	// Unknown is an error which says that the call may have run, or no response at all.
 	Unknown
-	// TruncatedResponse answers broke off after a part.
+	// TruncatedResponse is a response that ended early.
 	TruncatedResponse
-	// WrongResponse answers look whole and are not the call's.
+	// WrongResponse is a response that looks complete but belongs to another call.
 	WrongResponse
-	// Denied calls were turned away as at fault.
+	// Denied is a rejection that blames the caller, for example for its key.
 	Denied
-	// Failed is a server's own failure, and Closed a connection that ended before an answer.
+	// Failed is an error of the server itself. Closed is a connection that was closed before
+	// a response.
 	Failed
 	Closed
 )
 
-var endNames = []string{"whole", "not run", "unknown", "cut", "wrong", "denied", "failed", "closed"}
+var outcomeNames = []string{"whole", "not run", "unknown", "cut", "wrong", "denied", "failed", "closed"}
 
-func (e Outcome) String() string { return endNames[e] }
+func (e Outcome) String() string { return outcomeNames[e] }
 
-// Attempt is one call of a caller's.
+// Attempt is one call by a caller.
 type Attempt struct {
 	ID       string
 	CallKind CallKind
-	// Box is where it was sent, and Incarnation the number of that box's process.
+	// Box is the box that the call was sent to, and Incarnation the number of that box's process.
 	Box, Incarnation int
 	Began, Ended     time.Duration
 	Outcome          Outcome
-	// CallTimeout is the time that the caller gave it.
+	// CallTimeout is the caller's timeout for the call.
 	CallTimeout time.Duration
-	// Version is the version of the configuration that a probe asks for, or whose key the call
-	// has; zero for a key that is always good.
+	// Version is the version of the configuration that has the route of a probe, or the key of
+	// another call. It is zero for a key that every version has.
 	Version int
 }
 
-// Arrival is a call that came to a server and was run.
+// Arrival is a call that reached a server.
 type Arrival struct {
 	ID     string
 	Server int
 	At     time.Duration
 }
 
-// Event is when something was declared: a version of the configuration, or a server's leaving.
+// Event is an operator's or a server's announcement: a version of the configuration, or a server that
+// leaves or is cold.
 type Event struct {
 	At      time.Duration
 	Version int
 	Server  int
-	// Until is when the server came back.
+	// Until is when the announcement was withdrawn.
 	Until time.Duration
 }
 
-// History is all that was seen in one run.
+// History is the record of one run.
 type History struct {
-	Faults         []Fault
-	Attempts       []Attempt
+	Faults   []Fault
+	Attempts []Attempt
+	// Arrivals are the calls that servers ran.
 	Arrivals       []Arrival
 	Versions       []Event
 	LeavingPeriods []Event
-	// Evacuations are those of the second zone, and ColdPeriods are when servers said that they are cold.
+	// Evacuations are the evacuations of the second zone, and ColdPeriods the periods in which servers
+	// reported that they are cold.
 	Evacuations, ColdPeriods []Event
-	// Advisories are the times in which servers said something of themselves in their answers, and
-	// Received all calls that came to servers and were meant for them, also those turned away.
+	// Advisories are the periods in which servers had an advisory in their responses. Received are all
+	// calls that reached the server that they were sent to, including those that it rejected.
 	Advisories []Advisory
 	Received   []Arrival
-	// BadFetches tell of kept parts that were fetched and should not have been.
+	// BadFetches describe stored parts that were fetched although they should not have been.
 	BadFetches []string
-	// PartsStored and PartsFreed are what the store boxes hold at the end, and let go of before.
+	// PartsStored is the number of parts in the store boxes at the end, and PartsFreed the number that
+	// they freed before.
 	PartsStored, PartsFreed int
-	// StuckBoxes are planned stops that did not end in time.
+	// StuckBoxes is the number of boxes whose graceful stop did not end in time.
 	StuckBoxes int
-	// StopTimeout is the time that a box has for a planned stop.
+	// StopTimeout is the time that a box has for a graceful stop.
 	StopTimeout time.Duration
-	// FaultsEnd is when the last fault was over and all was to work again.
+	// FaultsEnd is when the last fault ended, after which everything should work again.
 	FaultsEnd time.Duration
 }
 
-// Violation is a promise that was not kept.
+// Violation is a violated invariant.
 type Violation struct {
 	Invariant string
 	Details   string
@@ -111,82 +117,86 @@
 
 func (v Violation) String() string { return v.Invariant + ": " + v.Details }
 
-// Promises.
+// Invariants.
 const (
-	InvariantOwnResponse     = "an answer is whole and its caller's own"
-	InvariantAtMostOnce      = "a call that may not be repeated runs once"
-	InvariantNotRun          = "what is refused as not run has not run"
-	InvariantNoLoss          = "no call is lost in ordinary work"
-	InvariantLeaving         = "a server that leaves gets nothing new"
-	InvariantEvacuated       = "a server of an evacuated zone gets nothing new"
-	InvariantCold            = "a cold server gets no more than it bears"
-	InvariantRateLimit       = "a server that names a rate limit gets no more from all boxes that know of it"
-	InvariantDraining        = "a server that says in an answer that it drains gets nothing new from that box"
-	InvariantPause           = "a server that asks a box for a pause gets one"
-	InvariantMonotonicConfig = "a configuration never comes back"
-	InvariantRevokedKeys     = "a key that was taken away opens nothing"
-	InvariantAllowed         = "nobody is denied what every configuration allows"
-	InvariantParts           = "kept parts are fetched whole, and only for calls of their own kind"
-	InvariantStops           = "a planned stop ends in time"
-	InvariantRecovery        = "all calls are served again once the faults are over"
+	InvariantOwnResponse     = "a response is complete and belongs to its call"
+	InvariantAtMostOnce      = "a call that may not be repeated runs at most once"
+	InvariantNotRun          = "a call that is rejected as not run has not run"
+	InvariantNoLoss          = "no call is lost during routine operations"
+	InvariantLeaving         = "a server that is leaving receives no new calls"
+	InvariantEvacuated       = "a server of an evacuated zone receives no new calls"
+	InvariantCold            = "a cold server receives no more calls than its limit"
+	InvariantRateLimit       = "boxes that know a server's rate limit do not exceed it together"
+	InvariantDraining        = "a box that received a draining response sends that server no new calls"
+	InvariantPause           = "a box sends nothing to a server that asked it for a pause"
+	InvariantMonotonicConfig = "a box never returns to an older configuration"
+	InvariantRevokedKeys     = "a revoked key is rejected"
+	InvariantAllowed         = "a call that every configuration allows is not denied"
+	InvariantParts           = "stored parts are fetched complete, and only for calls of their own kind"
+	InvariantStops           = "a graceful stop ends in time"
+	InvariantRecovery        = "all calls are served again after the faults end"
 )
 
 const (
-	// contact is how long a box must have been left alone for promises with a time to bind it.
-	contact = 3 * time.Second
-	// leaveLimit is the time in which boxes hear of a server that leaves; inForce that in which a
-	// version is in force everywhere.
-	leaveLimit = 2 * time.Second
-	inForce    = 2 * time.Second
-	// recovery is how long after the last fault calls are served again.
-	recovery = 5 * time.Second
-	// lateEnd is the part of its time after which a call may end without an answer.
-	lateEnd = 0.7
-	// lastOfGrace is the part of the time for a planned stop after which calls may be cut off that
-	// were taken within takenAfterStop of the order.
-	lastOfGrace    = 5.0 / 6
-	takenAfterStop = 3 * time.Second
+	// syncTime is how long a box must have been undisturbed before invariants with a deadline
+	// apply to it.
+	syncTime = 3 * time.Second
+	// leaveDeadline is the time within which boxes have read that a server is leaving.
+	// configDeadline is the time within which all boxes use a new version of the configuration.
+	leaveDeadline  = 2 * time.Second
+	configDeadline = 2 * time.Second
+	// recoveryTime is the time after the last fault within which calls are served again.
+	recoveryTime = 5 * time.Second
+	// lateFraction is the fraction of its timeout after which a call may end without a response.
+	lateFraction = 0.7
+	// lateStopFraction is the fraction of StopTimeout after which a stopping box may cut off calls
+	// that it accepted up to acceptedAfterStop after the stop began.
+	lateStopFraction  = 5.0 / 6
+	acceptedAfterStop = 3 * time.Second
 )
 
-// Check gives the promises that a run did not keep.
+// Check returns the invariants that a run violated.
 func Check(h *History) []Violation {
-	var found []Violation
-	report := func(promise, format string, args ...any) {
-		found = append(found, Violation{promise, fmt.Sprintf(format, args...)})
+	var violations []Violation
+	report := func(invariant, format string, args ...any) {
+		violations = append(violations, Violation{invariant, fmt.Sprintf(format, args...)})
 	}
-	runs := h.runs()
+	runs := h.runCounts()
 	for i := range h.Attempts {
 		a := &h.Attempts[i]
 		checkAnswer(a, runs[a.ID], report)
-		if h.lost(a, runs[a.ID]) {
-			report(InvariantNoLoss, "%s", a.story())
+		if h.isLost(a, runs[a.ID]) {
+			report(InvariantNoLoss, "%s", a.describe())
 		}
-		if a.Began > h.FaultsEnd+recovery && a.Outcome != CompleteResponse && a.CallKind != Probe && a.Version == 0 {
-			report(InvariantRecovery, "%s", a.story())
+		if a.Began > h.FaultsEnd+recoveryTime && a.Outcome != CompleteResponse && a.CallKind != Probe && a.Version == 0 {
+			report(InvariantRecovery, "%s", a.describe())
 		}
 	}
-	h.checkForward(report)
-	h.checkKeys(report)
+	h.checkMonotonicConfig(report)
+	h.checkRevokedKeys(report)
 	h.checkLeaving(report)
 	h.checkEvacuated(report)
 	h.checkCold(report)
 	h.checkAdvisories(report)
-	for _, story := range h.BadFetches {
-		report(InvariantParts, "%s", story)
+	for _, details := range h.BadFetches {
+		report(InvariantParts, "%s", details)
 	}
 	if h.StuckBoxes > 0 {
-		report(InvariantStops, "%d boxes were still there", h.StuckBoxes)
+		report(InvariantStops, "%d boxes were still running", h.StuckBoxes)
 	}
-	return found
+	return violations
 }
 
-type reporter func(promise, format string, args ...any)
+// reportFunc records a violation of an invariant.
+type reportFunc func(invariant, format string, args ...any)
 
-func (a *Attempt) story() string {
+// describe formats the attempt for the details of a violation.
+func (a *Attempt) describe() string {
 	return fmt.Sprintf("%s at box %d/%d from %v to %v: %v", a.ID, a.Box, a.Incarnation, a.Began.Round(time.Millisecond), a.Ended.Round(time.Millisecond), a.Outcome)
 }
 
-func (h *History) runs() map[string]int {
+// runCounts returns how often each call ran.
+func (h *History) runCounts() map[string]int {
 	runs := map[string]int{}
 	for _, arrival := range h.Arrivals {
 		runs[arrival.ID]++
@@ -194,84 +204,85 @@
 	return runs
 }
 
-func checkAnswer(a *Attempt, runs int, report reporter) {
+func checkAnswer(a *Attempt, runs int, report reportFunc) {
 	switch {
 	case a.Outcome == WrongResponse:
-		report(InvariantOwnResponse, "%s", a.story())
+		report(InvariantOwnResponse, "%s", a.describe())
 	case a.CallKind == AtMostOnce && runs > 1:
-		report(InvariantAtMostOnce, "%s ran %d times", a.story(), runs)
+		report(InvariantAtMostOnce, "%s ran %d times", a.describe(), runs)
 	case a.Outcome == NotRun && runs > 0:
-		report(InvariantNotRun, "%s ran %d times", a.story(), runs)
+		report(InvariantNotRun, "%s ran %d times", a.describe(), runs)
 	case a.Outcome == Denied && a.CallKind != Probe && a.Version == 0:
-		report(InvariantAllowed, "%s", a.story())
+		report(InvariantAllowed, "%s", a.describe())
 	}
 }
 
-// lost reports whether a call was lost with nothing but ordinary work around it. One that crosses
-// the close of its connection and reached no server is not: its caller may send it again.
-func (h *History) lost(a *Attempt, runs int) bool {
+// isLost reports whether a call was lost while nothing but routine operations took place. A call whose
+// connection was closed before it reached a server does not count, since its caller may send it again.
+func (h *History) isLost(a *Attempt, runs int) bool {
 	if a.Outcome != Unknown && a.Outcome != TruncatedResponse && a.Outcome != Failed && !(a.Outcome == Closed && runs > 0) {
 		return false
 	}
-	if a.Ended-a.Began >= time.Duration(lateEnd*float64(a.CallTimeout)) || h.outlastedStop(a) {
+	if a.Ended-a.Began >= time.Duration(lateFraction*float64(a.CallTimeout)) || h.wasCutByStop(a) {
 		return false
 	}
-	return !h.disturbed(a.Began-contact, a.Ended, func(f Fault) bool { return !f.Kind.IsRoutine() })
+	return !h.isDisturbed(a.Began-syncTime, a.Ended, func(f Fault) bool { return !f.Kind.IsRoutine() })
 }
 
-// outlastedStop reports whether a call that a box took soon after the order to stop was still at
-// work at its server when nearly all of the box's time for that was over.
-func (h *History) outlastedStop(a *Attempt) bool {
+// wasCutByStop reports whether a box accepted the call soon after its stop began, and the call was still
+// running when nearly all of StopTimeout had passed.
+func (h *History) wasCutByStop(a *Attempt) bool {
 	for _, fault := range h.Faults {
-		last := fault.Start + time.Duration(lastOfGrace*float64(h.StopTimeout))
-		if fault.Kind == RestartBox && fault.Target == a.Box && a.Began <= fault.Start+takenAfterStop && a.Ended >= last && a.Ended <= fault.Start+h.StopTimeout {
+		lateStart := fault.Start + time.Duration(lateStopFraction*float64(h.StopTimeout))
+		if fault.Kind == RestartBox && fault.Target == a.Box && a.Began <= fault.Start+acceptedAfterStop && a.Ended >= lateStart && a.Ended <= fault.Start+h.StopTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// disturbed reports whether a fault of some kind lay in a span of time.
-func (h *History) disturbed(from, to time.Duration, counts func(Fault) bool) bool {
+// isDisturbed reports whether a matching fault was active in a period.
+func (h *History) isDisturbed(from, to time.Duration, matches func(Fault) bool) bool {
 	for _, fault := range h.Faults {
-		if fault.Start < to && fault.End() > from && counts(fault) {
+		if fault.Start < to && fault.End() > from && matches(fault) {
 			return true
 		}
 	}
 	return false
 }
 
-// inTouch reports whether a box was left alone with the log for long enough before a moment.
-func (h *History) inTouch(box int, at time.Duration) bool {
-	return !h.disturbed(at-contact, at, func(f Fault) bool {
+// isInSync reports whether a box had no pause, no restart and no failure, also of its connection to the
+// log, for syncTime before a moment.
+func (h *History) isInSync(box int, at time.Duration) bool {
+	return !h.isDisturbed(at-syncTime, at, func(f Fault) bool {
 		if f.Kind == PauseBox || f.Kind == RestartBox || !f.Kind.IsRoutine() {
-			return f.Kind.touches() == everything || f.Kind.touches() == oneBox && f.Target == box
+			return f.Kind.scope() == wholeFleet || f.Kind.scope() == oneBox && f.Target == box
 		}
 		return false
 	})
 }
 
-// checkForward looks for a box that handled a call by a version older than one that it had shown
-// in the same life.
-func (h *History) checkForward(report reporter) {
-	type life struct{ box, life int }
+// checkMonotonicConfig looks for a box that served a probe by a version of the configuration older than
+// one by which the same incarnation had served a probe before.
+func (h *History) checkMonotonicConfig(report reportFunc) {
+	type process struct{ box, incarnation int }
 	for i := range h.Attempts {
-		shown := &h.Attempts[i]
-		if shown.CallKind != Probe || shown.Outcome != CompleteResponse {
+		earlier := &h.Attempts[i]
+		if earlier.CallKind != Probe || earlier.Outcome != CompleteResponse {
 			continue
 		}
 		for j := range h.Attempts {
 			later := &h.Attempts[j]
-			if later.CallKind == Probe && later.Outcome == CompleteResponse && later.Version < shown.Version && later.Began > shown.Ended &&
-				(life{later.Box, later.Incarnation}) == (life{shown.Box, shown.Incarnation}) {
-				report(InvariantMonotonicConfig, "version %d after %d: %s", later.Version, shown.Version, later.story())
+			if later.CallKind == Probe && later.Outcome == CompleteResponse && later.Version < earlier.Version && later.Began > earlier.Ended &&
+				(process{later.Box, later.Incarnation}) == (process{earlier.Box, earlier.Incarnation}) {
+				report(InvariantMonotonicConfig, "version %d after %d: %s", later.Version, earlier.Version, later.describe())
 			}
 		}
 	}
 }
 
-// checkKeys looks for calls that were served with the key of a version that was replaced.
-func (h *History) checkKeys(report reporter) {
+// checkRevokedKeys looks for calls that were served with a key of a replaced version.
+func (h *History) checkRevokedKeys(report reportFunc) {
 	replaced := map[int]time.Duration{}
 	for i, version := range h.Versions {
 		if i > 0 {
@@ -280,29 +291,29 @@
 	}
 	for i := range h.Attempts {
 		a := &h.Attempts[i]
-		at, gone := replaced[a.Version]
-		if a.Version > 0 && gone && a.Outcome == CompleteResponse && a.Began > at+inForce && h.inTouch(a.Box, a.Began) {
-			report(InvariantRevokedKeys, "version %d was replaced at %v: %s", a.Version, at.Round(time.Millisecond), a.story())
+		at, isReplaced := replaced[a.Version]
+		if a.Version > 0 && isReplaced && a.Outcome == CompleteResponse && a.Began > at+configDeadline && h.isInSync(a.Box, a.Began) {
+			report(InvariantRevokedKeys, "version %d was replaced at %v: %s", a.Version, at.Round(time.Millisecond), a.describe())
 		}
 	}
 }
 
-// checkLeaving looks for calls that reached a server long after it said that it leaves.
-func (h *History) checkLeaving(report reporter) {
-	byID := h.byID()
+// checkLeaving looks for calls that reached a server long after it announced that it is leaving.
+func (h *History) checkLeaving(report reportFunc) {
+	byID := h.attemptsByID()
 	for _, leaving := range h.LeavingPeriods {
 		for _, arrival := range h.Arrivals {
 			a := byID[arrival.ID]
-			late := arrival.Server == leaving.Server && arrival.At > leaving.At+leaveLimit && arrival.At < leaving.Until
-			if late && a != nil && !h.endedSince(leaving, arrival.At) && a.Began > leaving.At && h.inTouch(a.Box, arrival.At) {
-				report(InvariantLeaving, "server %d left at %v, and was reached at %v: %s", leaving.Server, leaving.At.Round(time.Millisecond), arrival.At.Round(time.Millisecond), a.story())
+			late := arrival.Server == leaving.Server && arrival.At > leaving.At+leaveDeadline && arrival.At < leaving.Until
+			if late && a != nil && !h.wasKilledSince(leaving, arrival.At) && a.Began > leaving.At && h.isInSync(a.Box, arrival.At) {
+				report(InvariantLeaving, "server %d announced at %v that it is leaving, but received a call at %v: %s", leaving.Server, leaving.At.Round(time.Millisecond), arrival.At.Round(time.Millisecond), a.describe())
 			}
 		}
 	}
 }
 
-// endedSince reports whether a server that had said it leaves ended before a moment: its next life
-// leaves no more.
-func (h *History) endedSince(leaving Event, at time.Duration) bool {
-	return h.disturbed(leaving.At, at, func(f Fault) bool { return f.Kind == KillServer && f.Target == leaving.Server })
+// wasKilledSince reports whether a server that had announced its leaving was killed before a moment.
+// Its next incarnation is not leaving.
+func (h *History) wasKilledSince(leaving Event, at time.Duration) bool {
+	return h.isDisturbed(leaving.At, at, func(f Fault) bool { return f.Kind == KillServer && f.Target == leaving.Server })
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,6 +1,7 @@
-// Package soak holds what a soak of real processes is made of, as plain data: which faults come
-// when (from a seed), what callers and servers saw, and which promises that breaks. Who starts
-// processes, sends signals and calls is another package's business.
+// Package soak plans and checks a soak test of real processes. It draws a fault schedule from a seed,
+// defines the history that callers and servers record, and checks the history against the invariants
+// of the system. It works on plain data; starting processes and sending signals and calls is the task
+// of package soakplay.
 package soak
 
 import (
@@ -11,65 +12,66 @@
 	"time"
 )
 
-// Kind is what a fault does.
+// Kind is the kind of a fault.
 type Kind string
 
-// Kinds of faults. The first group is ordinary work and slowness, in which no call may be lost;
-// the others are failures.
+// Kinds of faults. The first group is routine operations and slowness, during which no call may be
+// lost. The others are failures.
 const (
-	// ApplyConfig brings another version of the configuration into force.
+	// ApplyConfig applies another version of the configuration.
 	ApplyConfig Kind = "declare"
-	// ReloadSettings has a box read its settings again.
+	// ReloadSettings has a box reload its settings.
 	ReloadSettings Kind = "reload"
-	// RestartBox stops a box as planned, and starts it anew.
+	// RestartBox stops a box gracefully and starts it again.
 	RestartBox Kind = "replace"
-	// PauseBox takes the processor from a box, as a stopped process lacks it.
+	// PauseBox suspends the process of a box.
 	PauseBox Kind = "pause_box"
-	// StallServers has servers say nothing for a while; they keep all that they run.
+	// StallServers has servers send nothing for a while. Their runs continue.
 	StallServers Kind = "silence_servers"
-	// UpdateWeights names newer weights, which all runners are to load.
+	// UpdateWeights declares newer weights, which all runners have to load.
 	UpdateWeights Kind = "name_weights"
-	// LeaveServer has a server announce that it leaves; it serves on, and comes back later.
+	// LeaveServer has a server announce in its registry entry that it is leaving. It still serves
+	// requests, and later withdraws the announcement.
 	LeaveServer Kind = "leave"
 
-	// KillBox ends a box at once; it is started anew later.
+	// KillBox kills a box and starts it again later.
 	KillBox Kind = "kill_box"
-	// KillServer ends a server without a word; it is back later in another life.
+	// KillServer kills a server without notice. It comes back later as another incarnation.
 	KillServer Kind = "end_server"
-	// The next are faults of the way to a server: slow, cut one way or the other, reset, and
-	// silent for good on the connections that are open.
+	// The next five are faults of the connections to a server: delay, a partition in one direction
+	// or the other, reset, and open connections that transfer nothing any more.
 	DelayServer     Kind = "delay_server"
 	CutToServer     Kind = "cut_to_server"
 	CutFromServer   Kind = "cut_from_server"
 	ResetServer     Kind = "reset_server"
 	BlackholeServer Kind = "mute_server"
-	// DelayLog, HoldLog, ResetLog and BlackholeLog are faults of a box's way to the log, LogDown one
-	// of the log itself.
+	// DelayLog, HoldLog, ResetLog and BlackholeLog are faults of a box's connections to the log.
+	// LogDown is a fault of the log itself.
 	DelayLog     Kind = "delay_log"
 	HoldLog      Kind = "hold_log"
 	ResetLog     Kind = "reset_log"
 	BlackholeLog Kind = "mute_log"
 	LogDown      Kind = "log_down"
-	// EmptyStore has a store box begin another life, with nothing kept.
+	// EmptyStore restarts a store box as another incarnation with no stored blocks.
 	EmptyStore Kind = "empty_store"
 )
 
-// ordinary are the kinds in which no call may be lost.
-var ordinary = []Kind{ApplyConfig, ReloadSettings, RestartBox, PauseBox, StallServers, UpdateWeights, LeaveServer}
+// routineKinds are the kinds during which no call may be lost.
+var routineKinds = []Kind{ApplyConfig, ReloadSettings, RestartBox, PauseBox, StallServers, UpdateWeights, LeaveServer}
 
-// failures are the other kinds.
-var failures = []Kind{KillBox, KillServer, DelayServer, CutToServer, CutFromServer, ResetServer, BlackholeServer, DelayLog, HoldLog, ResetLog, BlackholeLog, LogDown, EmptyStore}
+// failureKinds are the kinds during which calls may be lost.
+var failureKinds = []Kind{KillBox, KillServer, DelayServer, CutToServer, CutFromServer, ResetServer, BlackholeServer, DelayLog, HoldLog, ResetLog, BlackholeLog, LogDown, EmptyStore}
 
-// IsRoutine reports whether no call may be lost for a fault of the kind.
+// IsRoutine reports whether no call may be lost because of a fault of this kind.
 func (k Kind) IsRoutine() bool {
-	return slices.Contains(ordinary, k) || slices.Contains(operations, k) || slices.Contains(advisories, k)
+	return slices.Contains(routineKinds, k) || slices.Contains(operationKinds, k) || slices.Contains(advisoryKinds, k)
 }
 
-// touches says what a fault concerns.
-func (k Kind) touches() subject {
+// scope returns what a fault of this kind affects.
+func (k Kind) scope() scopeKind {
 	switch k {
 	case ApplyConfig, LogDown, UpdateWeights, EmptyStore, EvacuateZone:
-		return everything
+		return wholeFleet
 	case ReloadSettings, RestartBox, PauseBox, KillBox, DelayLog, HoldLog, ResetLog, BlackholeLog:
 		return oneBox
 	default:
@@ -77,84 +79,85 @@
 	}
 }
 
-type subject uint8
+type scopeKind uint8
 
 const (
-	everything subject = iota
+	wholeFleet scopeKind = iota
 	oneBox
 	oneServer
 )
 
-// Fault is one thing that is done.
+// Fault is one planned fault or operation.
 type Fault struct {
 	Kind Kind
-	// Start is when, from the start of the load on, and ActiveFor how long; kinds that are over at once
-	// have a length too, after which their subject is whole again.
+	// Start is counted from the start of the load. A kind without a duration of its own, such as
+	// a reset, has an ActiveFor too: the time after which its target works normally again.
 	Start, ActiveFor time.Duration
-	// Target is the number of the box or the server. ServerCount is how many servers, from that one
-	// on, are silenced.
+	// Target is the number of the box or server. ServerCount is the number of servers that
+	// StallServers affects, from Target on.
 	Target      int
 	ServerCount int
 }
 
-// String gives the fault as one line of a report.
+// String formats the fault as one line of a report.
 func (f Fault) String() string {
 	return fmt.Sprintf("%v %s %d (%d) for %v", f.Start.Round(time.Millisecond), f.Kind, f.Target, f.ServerCount, f.ActiveFor.Round(time.Millisecond))
 }
 
-// End is when the fault is over.
+// End returns the time at which the fault ends.
 func (f Fault) End() time.Duration { return f.Start + f.ActiveFor }
 
-// PlanConfig says how many faults come, and to what.
+// PlanConfig configures the number, rate and targets of the faults.
 type PlanConfig struct {
 	Seed           uint64
 	Boxes, Servers int
 	LoadDuration   time.Duration
-	// MeanInterval is the mean time between two faults. They last longer, so they overlap.
+	// MeanInterval is the mean time between the starts of two faults. Faults that last longer
+	// overlap.
 	MeanInterval time.Duration
-	// RoutineOnly leaves out failures, so that any lost call is a fault of the boxes'.
+	// RoutineOnly leaves out failures, so that every lost call is an error of the boxes.
 	RoutineOnly bool
 }
 
-// Lengths of faults.
+// Bounds of a fault.
 const (
-	shortestFault = 300 * time.Millisecond
-	longestFault  = 3 * time.Second
-	// seriesLength is how many faults of one kind may follow each other.
-	seriesLength = 3
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	// maxSeriesLength is the maximum number of successive faults of one kind in a series.
+	maxSeriesLength = 3
 )
 
-// Plan draws the faults of a seed: single ones, and series of one kind.
+// Plan draws the faults of a seed: single faults, and series of faults of one kind.
 func Plan(cfg PlanConfig) []Fault {
-	chance := rand.New(rand.NewPCG(cfg.Seed, 0))
-	kinds := ordinary
+	rng := rand.New(rand.NewPCG(cfg.Seed, 0))
+	kinds := routineKinds
 	if !cfg.RoutineOnly {
-		kinds = append(slices.Clone(ordinary), failures...)
+		kinds = append(slices.Clone(routineKinds), failureKinds...)
 	}
 	var faults []Fault
 	for at := cfg.MeanInterval; at < cfg.LoadDuration; {
-		kind := kinds[chance.IntN(len(kinds))]
-		for range 1 + chance.IntN(seriesLength) {
-			faults = append(faults, draw(chance, cfg, kind, at))
-			at += time.Duration(chance.ExpFloat64() * float64(cfg.MeanInterval))
+		kind := kinds[rng.IntN(len(kinds))]
+		for range 1 + rng.IntN(maxSeriesLength) {
+			faults = append(faults, drawFault(rng, cfg, kind, at))
+			at += time.Duration(rng.ExpFloat64() * float64(cfg.MeanInterval))
 		}
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
 	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Start >= cfg.LoadDuration })
 }
 
-func draw(chance *rand.Rand, cfg PlanConfig, kind Kind, at time.Duration) Fault {
-	length := shortestFault + time.Duration(chance.Int64N(int64(longestFault-shortestFault)))
-	fault := Fault{Kind: kind, Start: at, ActiveFor: length, ServerCount: 1}
-	switch kind.touches() {
+func drawFault(rng *rand.Rand, cfg PlanConfig, kind Kind, at time.Duration) Fault {
+	duration := minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
+	fault := Fault{Kind: kind, Start: at, ActiveFor: duration, ServerCount: 1}
+	switch kind.scope() {
 	case oneBox:
-		fault.Target = chance.IntN(cfg.Boxes)
+		fault.Target = rng.IntN(cfg.Boxes)
 	case oneServer:
-		fault.Target = chance.IntN(cfg.Servers)
-	case everything:
+		fault.Target = rng.IntN(cfg.Servers)
+	case wholeFleet:
 	}
 	if kind == StallServers {
-		fault.ServerCount = 1 + chance.IntN(cfg.Servers)
+		fault.ServerCount = 1 + rng.IntN(cfg.Servers)
 	}
 	return fault
 }
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -1,11 +1,11 @@
-// Shrinking: the fewest faults of a run that still break a promise.
+// Shrinking reduces the faults of a failed run to few that still violate an invariant.
 
 package soak
 
 import "slices"
 
-// Shrink leaves faults out, halves first and then single ones, as long as a run with the rest
-// still fails. It makes at most a number of runs.
+// Shrink removes faults, first half of them at a time and at last single ones, as long as a run with
+// the remaining faults still fails. It calls fails at most as often as runs says.
 func Shrink(faults []Fault, runs int, fails func([]Fault) bool) []Fault {
 	for part := len(faults) / 2; part >= 1; part /= 2 {
 		for at := 0; at < len(faults); {
