--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy stands between two processes of a test and does to their connections what
-// networks do: it delays bytes, holds them back in one direction or both, resets connections, and
-// lets those that are open fall silent for good while new ones work.
+// Package faultproxy is a TCP proxy that injects network faults between two processes of a test. It
+// delays bytes, holds them back in one direction or both, resets connections, and blackholes open
+// connections while new ones work.
 package faultproxy
 
 import (
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Link is how bytes travel.
+// Link is the state of the link that the proxy simulates.
 type Link struct {
-	// Delay is added to each piece on its way.
+	// Delay is added to each chunk of bytes.
 	Delay time.Duration
-	// HoldToServer and HoldToClient hold bytes back, which travel on when the hold ends.
+	// HoldToServer and HoldToClient hold bytes back. The bytes are forwarded once the hold ends.
 	HoldToServer bool
 	HoldToClient bool
 }
 
-// Proxy takes connections for one server.
+// Proxy forwards connections to one server.
 type Proxy struct {
 	listener net.Listener
 	server   string
@@ -27,48 +27,49 @@
 	mu     sync.Mutex
 	link   Link
 	closed bool
-	// changed is closed when the link or a connection's silence changes.
+	// changed is closed and replaced when the link changes, connections are blackholed or the
+	// proxy closes.
 	changed chan struct{}
-	pairs   map[*pair]bool
+	pairs   map[*connPair]bool
 }
 
-// pair is a client's connection with the one to the server.
-type pair struct {
+// connPair is a client's connection and the matching connection to the server.
+type connPair struct {
 	client, server *net.TCPConn
-	// mute says that nothing travels any more, in either direction.
-	mute bool
+	// blackholed connections forward nothing any more, in either direction.
+	blackholed bool
 }
 
-// dialTimeout bounds the making of a connection to the server.
+// dialTimeout is the timeout for connecting to the server.
 const dialTimeout = time.Second
 
-// pieceBytes is what travels at once.
-const pieceBytes = 16 << 10
+// bufferBytes is the maximum number of bytes that are forwarded at once.
+const bufferBytes = 16 << 10
 
-// Start begins to take connections on a free port of the loopback interface.
+// Start starts a proxy that accepts connections on a free port of the loopback interface.
 func Start(server string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: listener, server: server, changed: make(chan struct{}), pairs: map[*pair]bool{}}
-	go p.loop()
+	p := &Proxy{listener: listener, server: server, changed: make(chan struct{}), pairs: map[*connPair]bool{}}
+	go p.acceptLoop()
 	return p, nil
 }
 
-// Address is where clients connect.
+// Address returns the address that clients connect to.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetLink changes how bytes travel from now on.
+// SetLink changes the state of the link.
 func (p *Proxy) SetLink(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.link = link
-	p.tell()
+	p.notifyChange()
 }
 
-// tell wakes whoever waits. The caller holds mu.
-func (p *Proxy) tell() {
+// notifyChange wakes the goroutines that wait for a change. The caller holds mu.
+func (p *Proxy) notifyChange() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -82,94 +83,94 @@
 	}
 }
 
-// Blackhole has all connections that are open fall silent for good.
+// Blackhole stops all traffic on the open connections for good, without closing them.
 func (p *Proxy) Blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for pair := range p.pairs {
-		pair.mute = true
+		pair.blackholed = true
 	}
-	p.tell()
+	p.notifyChange()
 }
 
-// Close ends the proxy and resets its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
-	_ = p.listener.Close() // nothing else can be done with it
+	_ = p.listener.Close() // an error leaves nothing else to do
 	p.mu.Lock()
 	p.closed = true
-	p.tell()
+	p.notifyChange()
 	p.mu.Unlock()
 	p.Reset()
 }
 
-func (p *pair) reset() {
-	_ = p.client.SetLinger(0) // a connection that has ended needs no reset
+func (p *connPair) reset() {
+	_ = p.client.SetLinger(0) // fails only when the connection is already closed
 	_ = p.server.SetLinger(0)
 	p.close()
 }
 
-func (p *pair) close() {
-	_ = p.client.Close() // both may have ended already
+func (p *connPair) close() {
+	_ = p.client.Close() // both may be closed already
 	_ = p.server.Close()
 }
 
-func (p *Proxy) loop() {
+func (p *Proxy) acceptLoop() {
 	for {
 		client, err := p.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
-		go p.run(client.(*net.TCPConn))
+		go p.forwardConn(client.(*net.TCPConn))
 	}
 }
 
-// run carries one connection until either end closes it.
-func (p *Proxy) run(client *net.TCPConn) {
+// forwardConn forwards one connection until either side closes it.
+func (p *Proxy) forwardConn(client *net.TCPConn) {
 	server, err := net.DialTimeout("tcp", p.server, dialTimeout)
 	if err != nil {
-		_ = client.SetLinger(0) // the client is to see a connection that is refused
+		_ = client.SetLinger(0) // the client gets a reset, as from a server that refuses connections
 		_ = client.Close()
 		return
 	}
-	both := &pair{client: client, server: server.(*net.TCPConn)}
+	conns := &connPair{client: client, server: server.(*net.TCPConn)}
 	p.mu.Lock()
-	p.pairs[both] = true
+	p.pairs[conns] = true
 	p.mu.Unlock()
-	var ways sync.WaitGroup
-	ways.Go(func() { p.carry(both, both.client, both.server, true) })
-	ways.Go(func() { p.carry(both, both.server, both.client, false) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(conns, conns.client, conns.server, true) })
+	directions.Go(func() { p.forward(conns, conns.server, conns.client, false) })
+	directions.Wait()
 	p.mu.Lock()
-	delete(p.pairs, both)
+	delete(p.pairs, conns)
 	p.mu.Unlock()
 }
 
-// carry brings bytes one way. The end of either way ends the connection: the processes of these
-// tests never close one half.
-func (p *Proxy) carry(both *pair, from io.Reader, to io.Writer, toServer bool) {
-	defer both.close()
-	piece := make([]byte, pieceBytes)
+// forward copies bytes in one direction. The end of one direction closes the whole connection, since
+// the processes of these tests never half-close connections.
+func (p *Proxy) forward(conns *connPair, from io.Reader, to io.Writer, toServer bool) {
+	defer conns.close()
+	buffer := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(piece)
-		if n > 0 && !p.pass(both, toServer) {
+		n, err := from.Read(buffer)
+		if n > 0 && !p.waitUntilOpen(conns, toServer) {
 			return
 		}
-		if _, writeErr := to.Write(piece[:n]); writeErr != nil || err != nil {
+		if _, writeErr := to.Write(buffer[:n]); writeErr != nil || err != nil {
 			return
 		}
 	}
 }
 
-// pass waits until a piece may travel; false when the proxy is closed.
-func (p *Proxy) pass(both *pair, toServer bool) bool {
+// waitUntilOpen waits until bytes may be forwarded. It returns false when the proxy is closed.
+func (p *Proxy) waitUntilOpen(conns *connPair, toServer bool) bool {
 	for {
 		p.mu.Lock()
-		link, mute, closed, changed := p.link, both.mute, p.closed, p.changed
+		link, blackholed, closed, changed := p.link, conns.blackholed, p.closed, p.changed
 		p.mu.Unlock()
 		if closed {
 			return false
 		}
-		if !mute && !(toServer && link.HoldToServer) && !(!toServer && link.HoldToClient) {
+		if !blackholed && !(toServer && link.HoldToServer) && !(!toServer && link.HoldToClient) {
 			time.Sleep(link.Delay)
 			return true
 		}
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -11,8 +11,8 @@
 	"github.com/cometlock/cometlock/internal/faultproxy"
 )
 
-// echo answers what it is sent.
-func echo(t *testing.T, g *WithT) string {
+// startEchoServer starts a server that sends back what it receives, and returns its address.
+func startEchoServer(t *testing.T, g *WithT) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = listener.Close() })
@@ -28,7 +28,7 @@
 	return listener.Addr().String()
 }
 
-// exchange sends a byte and waits for it.
+// exchange sends a byte and waits until the server has sent it back.
 func exchange(conn net.Conn, limit time.Duration) error {
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return err
@@ -44,27 +44,28 @@
 	return err
 }
 
-func TestWhatAProxyDoesToConnections(t *testing.T) {
+func TestConnectionFaults(t *testing.T) {
 	const soon, long = 100 * time.Millisecond, 5 * time.Second
 	tests := []struct {
 		name string
 		do   func(*faultproxy.Proxy)
-		// passes says that an open connection carries bytes meanwhile, later that it does after
-		// the link is mended, and fresh that a new one does meanwhile.
+		// passes reports whether an open connection forwards bytes during the fault, later whether
+		// it does so after the link is restored, and fresh whether a new connection does during the
+		// fault.
 		passes, later, fresh bool
 	}{
 		{"nothing", func(*faultproxy.Proxy) {}, true, true, true},
-		{"holds the way there", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{HoldToServer: true}) }, false, true, false},
-		{"holds the way back", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{HoldToClient: true}) }, false, true, false},
-		{"silences what is open", func(p *faultproxy.Proxy) { p.Blackhole() }, false, false, true},
+		{"hold to the server", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{HoldToServer: true}) }, false, true, false},
+		{"hold to the client", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{HoldToClient: true}) }, false, true, false},
+		{"blackhole open connections", func(p *faultproxy.Proxy) { p.Blackhole() }, false, false, true},
 		{"resets", func(p *faultproxy.Proxy) { p.Reset() }, false, false, true},
-		{"delays by more", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{Delay: soon}) }, false, true, false},
+		{"delay beyond the time limit", func(p *faultproxy.Proxy) { p.SetLink(faultproxy.Link{Delay: soon}) }, false, true, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			proxy, err := faultproxy.Start(echo(t, g))
+			proxy, err := faultproxy.Start(startEchoServer(t, g))
 			g.Expect(err).NotTo(HaveOccurred())
 			defer proxy.Close()
 			conn, err := net.Dial("tcp", proxy.Address())
