--- a/internal/fakeengine/cache.go
+++ b/internal/fakeengine/cache.go
@@ -8,18 +8,17 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-// keptEvents is how many cache events the engine can repeat; a reader that is
-// further behind gets a snapshot.
-const keptEvents = 8192
+// maxReplayedEvents is how many cache events the engine keeps for replay at least.
+// A reader that is further behind gets a snapshot.
+const maxReplayedEvents = 8192
 
-// cache is a prefix cache of limited size. The least recently used block goes
-// first, and of one chain the last block, since a block without those before
-// it serves nobody.
+// cache is a prefix cache with LRU eviction. Of the blocks of one chain the last
+// one is evicted first, since a block is useless without the blocks before it.
 type cache struct {
 	mu       sync.Mutex
 	capacity int
 	blocks   map[prefix.Key]*list.Element
-	recent   *list.List // of block, most recently used first
+	recent   *list.List // elements of type block, most recently used first
 	events   []engine.CacheEvent
 	sequence int64
 }
@@ -33,21 +32,21 @@
 	return &cache{capacity: capacity, blocks: map[prefix.Key]*list.Element{}, recent: list.New()}
 }
 
-// use gives how many blocks from the beginning of the chain are cached, and
-// marks them as just used.
-func (c *cache) use(keys []prefix.Key) int {
+// lookUp returns how many blocks from the beginning of the chain are cached, and
+// marks them as used.
+func (c *cache) lookUp(keys []prefix.Key) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	warm := 0
-	for warm < len(keys) && c.blocks[keys[warm]] != nil {
-		warm++
+	cached := 0
+	for cached < len(keys) && c.blocks[keys[cached]] != nil {
+		cached++
 	}
-	c.touch(keys[:warm])
-	return warm
+	c.touch(keys[:cached])
+	return cached
 }
 
-// touch marks blocks as used, the first of the chain last, so that the first
-// is the most recent one.
+// touch marks blocks as used. It begins with the last block of the chain, so that
+// the first one becomes the most recently used.
 func (c *cache) touch(keys []prefix.Key) {
 	for i := len(keys) - 1; i >= 0; i-- {
 		if element := c.blocks[keys[i]]; element != nil {
@@ -56,7 +55,7 @@
 	}
 }
 
-// store adds the blocks of a chain, as far as they fit.
+// store adds the blocks of a chain, up to the capacity of the cache.
 func (c *cache) store(keys []prefix.Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,25 +75,25 @@
 
 func (c *cache) evict() {
 	element := c.recent.Back()
-	old, ok := c.recent.Remove(element).(block)
+	evicted, ok := c.recent.Remove(element).(block)
 	if !ok {
 		return
 	}
-	delete(c.blocks, old.key)
-	c.emit(engine.BlockRemoved, old.key, old.depth)
+	delete(c.blocks, evicted.key)
+	c.emit(engine.BlockRemoved, evicted.key, evicted.depth)
 }
 
 func (c *cache) emit(kind engine.EventKind, key prefix.Key, depth int) {
 	c.sequence++
 	c.events = append(c.events, engine.CacheEvent{Sequence: c.sequence, Kind: kind, Key: key, Depth: depth})
-	if len(c.events) > 2*keptEvents {
-		c.events = append([]engine.CacheEvent(nil), c.events[keptEvents:]...)
+	if len(c.events) > 2*maxReplayedEvents {
+		c.events = append([]engine.CacheEvent(nil), c.events[maxReplayedEvents:]...)
 	}
 }
 
-// after gives the events after a sequence number, or a snapshot when some of
-// them are no longer held.
-func (c *cache) after(sequence int64) engine.CacheEvents {
+// eventsAfter returns the events after a sequence number, or a snapshot when some
+// of them have been dropped.
+func (c *cache) eventsAfter(sequence int64) engine.CacheEvents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	first := c.sequence - int64(len(c.events)) + 1
@@ -104,28 +103,28 @@
 	}
 	answer := engine.CacheEvents{Snapshot: true, Last: c.sequence}
 	for element := c.recent.Back(); element != nil; element = element.Prev() {
-		if held, ok := element.Value.(block); ok {
-			answer.Events = append(answer.Events, engine.CacheEvent{Kind: engine.BlockStored, Key: held.key, Depth: held.depth})
+		if cachedBlock, ok := element.Value.(block); ok {
+			answer.Events = append(answer.Events, engine.CacheEvent{Kind: engine.BlockStored, Key: cachedBlock.key, Depth: cachedBlock.depth})
 		}
 	}
 	return answer
 }
 
-func (c *cache) last() int64 {
+func (c *cache) lastSequence() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sequence
 }
 
-// holds reports which of the keys are cached.
-func (c *cache) holds(keys []prefix.Key) []prefix.Key {
+// cachedKeys returns those of the keys that are cached.
+func (c *cache) cachedKeys(keys []prefix.Key) []prefix.Key {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var held []prefix.Key
+	var cached []prefix.Key
 	for _, key := range keys {
 		if c.blocks[key] != nil {
-			held = append(held, key)
+			cached = append(cached, key)
 		}
 	}
-	return held
+	return cached
 }
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -1,11 +1,11 @@
-// Package fakeengine stands in for a model engine.
+// Package fakeengine simulates an LLM inference engine.
 //
-// It speaks the engine protocol over real sockets and has the behaviour that
-// decisions depend on: a prefix cache in a limited number of blocks, prefill
-// that takes time for what is not cached, a batch with a limited number of
-// slots that honours priorities, weight loads, late and missing cache events,
-// and load reports that lag. Its answers are a function of the prompt, so that a
-// test knows every byte of them beforehand.
+// It serves the engine protocol over real sockets and simulates the behaviour
+// that routing decisions depend on: a prefix cache with a limited number of
+// blocks, a prefill time for uncached tokens, a batch with a limited number of
+// slots and with priorities, weight loads, late and missing cache events, and
+// stale load reports. Its responses are a function of the prompt, so that a test
+// can predict every byte of them.
 package fakeengine
 
 import (
@@ -22,56 +22,57 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Config sets up an Engine.
+// Config configures an Engine.
 type Config struct {
-	// Name shows up in answers.
+	// Name is the name of the engine.
 	Name string
-	// Weights is the version of each model that is loaded at the start.
+	// Weights are the weight versions of the models that are loaded at the start.
 	Weights []engine.LoadedWeights
-	// Slots is how many runs decode at once.
+	// Slots is the maximum number of runs in the batch.
 	Slots int
-	// CacheBlocks is how many blocks the prefix cache holds.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// PrefillTokensPerSecond is the prefill rate; 0 takes no time.
+	// PrefillTokensPerSecond is the prefill rate; with 0 prefill takes no time.
 	PrefillTokensPerSecond float64
-	// DecodeInterval is the time between chunks; 0 takes no time.
+	// DecodeInterval is the time between chunks; with 0 decoding takes no time.
 	DecodeInterval time.Duration
-	// NoFirstDelay lets the first chunk come without the interval.
+	// NoFirstDelay sends the first chunk directly after prefill, without DecodeInterval.
 	NoFirstDelay bool
-	// LoadTime is how long one load of weights takes when few load at once.
+	// LoadTime is the duration of one weight load while WeightStore is not overloaded.
 	LoadTime time.Duration
-	// WeightStore is shared by the engines of a deployment; nil never slows.
+	// WeightStore is shared by the engines of a deployment; nil never slows loads down.
 	WeightStore *WeightStore
-	// RunRetention is for how long a finished run can still be resumed.
+	// RunRetention is how long a finished run can still be resumed.
 	RunRetention time.Duration
-	// Faults are there from the start.
+	// Faults are the initial faults.
 	Faults Faults
 }
 
-// Faults says how the engine misbehaves.
+// Faults are the faults that the engine injects.
 type Faults struct {
-	// BreakAfter closes the connection of every stream after so many chunks of
-	// one connection; 0 never does.
+	// BreakAfter closes each connection after it has sent this number of
+	// chunks; 0 never does.
 	BreakAfter int `json:"break_after"`
-	// BreakTimes bounds how often BreakAfter strikes; 0 leaves it unbounded.
+	// BreakTimes is the maximum number of connections that BreakAfter closes;
+	// 0 means no limit.
 	BreakTimes int `json:"break_times"`
 	// RepeatEvery sends every n-th chunk twice.
 	RepeatEvery int `json:"repeat_every"`
 	// SwapEvery sends every n-th chunk after the one that follows it.
 	SwapEvery int `json:"swap_every"`
-	// MalformedResponse answers every run with bytes that are no answer.
+	// MalformedResponse responds to every run with bytes that are no valid response.
 	MalformedResponse bool `json:"rubbish"`
-	// RejectStatus answers every run with this status.
+	// RejectStatus rejects every run with this HTTP status; 0 rejects none.
 	RejectStatus int `json:"refuse"`
-	// NoResponse takes every run and never answers.
+	// NoResponse starts every run and never responds.
 	NoResponse bool `json:"mute"`
-	// DropRun takes a run, starts it, and closes the connection.
+	// DropRun starts every run and then closes the connection.
 	DropRun bool `json:"drop_run"`
 	// ForgetRuns makes every resume fail.
 	ForgetRuns bool `json:"forget_runs"`
-	// WrongWeights names another version in every answer.
+	// WrongWeights reports another weight version in every response.
 	WrongWeights bool `json:"wrong_weights"`
-	// DropEvery leaves out every n-th cache event.
+	// DropEvery drops every n-th cache event.
 	DropEvery int `json:"lose_events"`
 	// ReportLag is the age of every load report.
 	ReportLag time.Duration `json:"report_lag"`
@@ -79,29 +80,29 @@
 	Leaving bool `json:"leaving"`
 }
 
-// Engine is the stand-in.
+// Engine is a simulated inference engine.
 type Engine struct {
 	cfg         Config
 	incarnation string
-	slots       *gate
-	prefill     *gate
+	slots       *prioritySemaphore
+	prefill     *prioritySemaphore
 	cache       *cache
 	stores      *storebox.Client
-	life        context.Context
+	lifetime    context.Context
 	stop        context.CancelFunc
 
-	mu       sync.Mutex
-	faults   Faults
-	broken   int
-	runs     map[string]*run
-	ledger   Ledger
-	weights  map[string]string
-	loading  map[string]string
-	fence    int64
-	queued   int
-	instant  int // part of queued that is instant
-	reports  []timedStatus
-	sequence int64
+	mu            sync.Mutex
+	faults        Faults
+	breaks        int
+	runs          map[string]*run
+	ledger        Ledger
+	weights       map[string]string
+	loading       map[string]string
+	fence         int64
+	queued        int
+	queuedInstant int // the part of queued with instant priority
+	reports       []timedStatus
+	sequence      int64
 }
 
 type timedStatus struct {
@@ -109,20 +110,22 @@
 	status engine.Status
 }
 
-// Ledger counts what the engine was asked to do; it is the proof of "at most
-// once" and of "nothing new after leaving".
+// Ledger counts the work of the engine. Tests use it to check that runs start at
+// most once and that a leaving engine gets no new ones.
 type Ledger struct {
-	// Starts counts the starts of each run id.
+	// Starts counts the starts by run ID.
 	Starts map[string]int `json:"starts"`
 	// Cancelled counts cancelled runs.
 	Cancelled int `json:"cancelled"`
-	// PrefilledTokens and CachedTokens count prompt work done and spared.
+	// PrefilledTokens and CachedTokens count the prompt tokens that were computed
+	// and those that the prefix cache contained.
 	PrefilledTokens int `json:"prefilled_tokens"`
 	CachedTokens    int `json:"cached_tokens"`
-	// WrongBlocks counts blocks of kept context that were not what their name
-	// says; it must stay 0.
+	// WrongBlocks counts imported blocks whose content does not match their key;
+	// it must stay 0.
 	WrongBlocks int `json:"wrong_blocks"`
-	// AfterLeaving counts runs started after the engine announced its leaving.
+	// AfterLeaving counts runs that were started after the engine announced that
+	// it is leaving.
 	AfterLeaving int `json:"after_leaving"`
 }
 
@@ -133,7 +136,7 @@
 	defaultKeepRuns    = time.Minute
 )
 
-// New makes an engine that runs until Close.
+// New returns an engine that runs until Close.
 func New(cfg Config) *Engine {
 	if cfg.Slots == 0 {
 		cfg.Slots = defaultSlots
@@ -148,11 +151,11 @@
 	e := &Engine{
 		cfg:         cfg,
 		incarnation: uuid.NewString(),
-		slots:       newGate(cfg.Slots),
-		prefill:     newGate(1),
+		slots:       newPrioritySemaphore(cfg.Slots),
+		prefill:     newPrioritySemaphore(1),
 		cache:       newCache(cfg.CacheBlocks),
 		stores:      storebox.NewClient(storebox.ClientConfig{}),
-		life:        life,
+		lifetime:    life,
 		stop:        stop,
 		faults:      cfg.Faults,
 		runs:        map[string]*run{},
@@ -166,7 +169,7 @@
 	return e
 }
 
-// Close ends all runs.
+// Close cancels all runs.
 func (e *Engine) Close() { e.stop() }
 
 // SetFaults replaces the faults.
@@ -174,10 +177,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
-	e.broken = 0
+	e.breaks = 0
 }
 
-// Ledger gives a copy of the counts.
+// Ledger returns a copy of the counts.
 func (e *Engine) Ledger() Ledger {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,7 +192,7 @@
 	return ledger
 }
 
-// Incarnation names this life of the engine.
+// Incarnation returns the unique ID of this instance of the engine.
 func (e *Engine) Incarnation() string { return e.incarnation }
 
 func (e *Engine) currentFaults() Faults {
@@ -198,21 +201,22 @@
 	return e.faults
 }
 
-// takeBreak reports whether a connection breaks now.
-func (e *Engine) takeBreak(sent int) bool {
+// shouldBreak reports whether to close a connection that has sent a number of
+// chunks. It counts the connections that it reports.
+func (e *Engine) shouldBreak(sent int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.BreakAfter == 0 || sent < e.faults.BreakAfter {
 		return false
 	}
-	if e.faults.BreakTimes > 0 && e.broken >= e.faults.BreakTimes {
+	if e.faults.BreakTimes > 0 && e.breaks >= e.faults.BreakTimes {
 		return false
 	}
-	e.broken++
+	e.breaks++
 	return true
 }
 
-// run is one generation; it goes on without a connection.
+// run is one generation. It continues when the client disconnects.
 type run struct {
 	id       string
 	model    string
@@ -227,17 +231,17 @@
 
 	mu     sync.Mutex
 	chunks [][]byte
-	whole  []byte
+	body   []byte
 	done   bool
-	// grown is closed and replaced whenever chunks are added.
-	grown chan struct{}
+	// changed is closed and replaced when chunks are added.
+	changed chan struct{}
 }
 
-// start begins a run, or finds the one that has the id already.
-func (e *Engine) start(r *run) {
-	ctx, cancel := context.WithCancel(e.life)
+// startRun starts a run. A run that already has the ID is replaced.
+func (e *Engine) startRun(r *run) {
+	ctx, cancel := context.WithCancel(e.lifetime)
 	r.cancel = cancel
-	r.grown = make(chan struct{})
+	r.changed = make(chan struct{})
 	e.mu.Lock()
 	e.ledger.Starts[r.id]++
 	if e.faults.Leaving {
@@ -246,31 +250,31 @@
 	e.runs[r.id] = r
 	e.queued += r.chain.Tokens()
 	if r.priority <= engine.PriorityInstant {
-		e.instant += r.chain.Tokens()
+		e.queuedInstant += r.chain.Tokens()
 	}
 	e.mu.Unlock()
 	go r.loop(ctx, e)
 }
 
-func (e *Engine) find(id string) (*run, bool) {
+func (e *Engine) findRun(id string) (*run, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.ForgetRuns {
 		return nil, false
 	}
-	r, ok := e.runs[id]
-	return r, ok
+	found, ok := e.runs[id]
+	return found, ok
 }
 
-func (e *Engine) forget(id string) {
+func (e *Engine) removeRun(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.runs, id)
 }
 
-// loop takes the run through batch and prefill and decodes it.
+// loop waits for a batch slot, computes the prefill and decodes the run.
 func (r *run) loop(ctx context.Context, e *Engine) {
-	defer time.AfterFunc(e.cfg.RunRetention, func() { e.forget(r.id) })
+	defer time.AfterFunc(e.cfg.RunRetention, func() { e.removeRun(r.id) })
 	defer r.cancel()
 	if !e.slots.acquire(ctx, r.priority) {
 		e.finishPrefill(r, 0, false)
@@ -296,7 +300,7 @@
 		return 0, false
 	}
 	defer e.prefill.release()
-	cached = e.cache.use(r.chain.Keys()) * prefix.BlockTokens
+	cached = e.cache.lookUp(r.chain.Keys()) * prefix.BlockTokens
 	var work time.Duration
 	if e.cfg.PrefillTokensPerSecond > 0 {
 		seconds := float64(r.chain.Tokens()-cached) / e.cfg.PrefillTokensPerSecond
@@ -315,7 +319,7 @@
 	defer e.mu.Unlock()
 	e.queued -= r.chain.Tokens()
 	if r.priority <= engine.PriorityInstant {
-		e.instant -= r.chain.Tokens()
+		e.queuedInstant -= r.chain.Tokens()
 	}
 	if computed {
 		e.ledger.PrefilledTokens += r.chain.Tokens() - cached
@@ -327,33 +331,33 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.chunks = append(r.chunks, chunk)
-	close(r.grown)
-	r.grown = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 func (r *run) finish(cached int) {
-	whole := r.wholeAnswer(cached)
+	whole := r.fullResponse(cached)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.chunks = append(r.chunks, []byte("[DONE]"))
-	r.whole = whole
+	r.body = whole
 	r.done = true
-	close(r.grown)
-	r.grown = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// from gives the chunks from an index on, whether they are all, and what to
-// wait for when there are none.
-func (r *run) from(index int) (chunks [][]byte, done bool, grown <-chan struct{}) {
+// chunksFrom returns the chunks from an index on, whether the run is done, and a
+// channel that is closed when there are more.
+func (r *run) chunksFrom(index int) (chunks [][]byte, done bool, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if index < len(r.chunks) {
 		chunks = r.chunks[index:]
 	}
-	return chunks, r.done, r.grown
+	return chunks, r.done, r.changed
 }
 
-// Cancel ends a run that nobody waits for.
+// Cancel cancels and removes a run. It reports whether the run existed.
 func (e *Engine) Cancel(id string) bool {
 	e.mu.Lock()
 	r, ok := e.runs[id]
@@ -368,8 +372,8 @@
 	return ok
 }
 
-// Word is the i-th word of the answer to a prompt: a function of both, so that
-// tests can tell answers of different prompts apart.
+// Word returns the i-th word of the response to a prompt. It depends on both, so
+// that tests can distinguish the responses to different prompts.
 func Word(prompt []byte, i int) string {
 	seed := prefix.NewSalt(string(prompt), "", "").String()
 	return seed[:6] + "-" + strconv.Itoa(i) + " "
--- a/internal/fakeengine/handler.go
+++ b/internal/fakeengine/handler.go
@@ -11,17 +11,17 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-// maxBodyBytes bounds a request.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 64 << 20
 
-// defaultTokens is the length of an answer to a request that names none.
+// defaultTokens is the length of the response to a request without max_tokens.
 const defaultTokens = 8
 
-// maxTokens bounds the length of an answer.
+// maxTokens is the maximum length of a response in tokens.
 const maxTokens = 100_000
 
-// Handler serves the engine's protocol, its ledger at /ledger and its faults at
-// /faults.
+// Handler serves the engine protocol, the ledger at /ledger, and sets the faults
+// at /faults.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.serveStart(w, r, true) })
@@ -38,7 +38,7 @@
 	return mux
 }
 
-// body is what the stand-in reads of a request.
+// body is the part of a request body that the engine reads.
 type body struct {
 	Model     string          `json:"model"`
 	Messages  json.RawMessage `json:"messages"`
@@ -52,21 +52,21 @@
 func (e *Engine) serveStart(w http.ResponseWriter, r *http.Request, chat bool) {
 	faults := e.currentFaults()
 	if faults.RejectStatus != 0 {
-		refuse(w, faults.RejectStatus, "refused on request")
+		writeError(w, faults.RejectStatus, "refused on request")
 		return
 	}
 	var b body
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&b); err != nil {
-		refuse(w, http.StatusBadRequest, "the body is not a request")
+		writeError(w, http.StatusBadRequest, "the body is not a request")
 		return
 	}
 	weights := e.LoadedVersion(b.Model)
 	if weights == "" || (r.Header.Get(engine.HeaderWeights) != "" && r.Header.Get(engine.HeaderWeights) != weights) {
-		refuse(w, http.StatusConflict, "the wanted weights are not loaded")
+		writeError(w, http.StatusConflict, "the wanted weights are not loaded")
 		return
 	}
 	started := e.newRun(r.Header.Get(engine.HeaderRunID), b, weights, chat)
-	e.start(started)
+	e.startRun(started)
 	if faults.DropRun {
 		panic(http.ErrAbortHandler)
 	}
@@ -87,7 +87,7 @@
 	if !chat {
 		prompt = b.Prompt
 	}
-	// A salt that is none makes a chain of its own that nothing else shares.
+	// An invalid salt is replaced by one that no other run shares.
 	salt, err := prefix.ParseSalt(b.CacheSalt)
 	if err != nil {
 		salt = prefix.NewSalt("", id, "")
@@ -103,14 +103,14 @@
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
-	found, ok := e.find(r.PathValue("id"))
+	found, ok := e.findRun(r.PathValue("id"))
 	if !ok {
-		refuse(w, http.StatusNotFound, "no such run")
+		writeError(w, http.StatusNotFound, "no such run")
 		return
 	}
 	after, err := strconv.Atoi(r.URL.Query().Get("starting_after"))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "starting_after is no number")
+		writeError(w, http.StatusBadRequest, "starting_after is no number")
 		return
 	}
 	e.serveRun(w, r, found, r.URL.Query().Get("stream") == "true", after+1)
@@ -118,7 +118,7 @@
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	if !e.Cancel(r.PathValue("id")) {
-		refuse(w, http.StatusNotFound, "no such run")
+		writeError(w, http.StatusNotFound, "no such run")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -131,93 +131,93 @@
 	}
 	w.Header().Set(engine.HeaderWeights, weights)
 	if !stream {
-		e.serveWhole(w, r, started)
+		e.serveUnstreamed(w, r, started)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	sender := &sender{w: w, engine: e}
 	sender.flush()
 	for {
-		chunks, done, grown := started.from(next)
+		chunks, done, changed := started.chunksFrom(next)
 		for i, chunk := range chunks {
 			sender.send(next+i, chunk)
 		}
 		next += len(chunks)
 		sender.flush()
 		if done {
-			sender.sendHeld()
+			sender.sendDelayed()
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-e.life.Done():
+		case <-e.lifetime.Done():
 			return
 		}
 	}
 }
 
-func (e *Engine) serveWhole(w http.ResponseWriter, r *http.Request, started *run) {
+func (e *Engine) serveUnstreamed(w http.ResponseWriter, r *http.Request, started *run) {
 	for {
-		_, done, grown := started.from(0)
+		_, done, changed := started.chunksFrom(0)
 		if done {
 			w.Header().Set("Content-Type", "application/json")
-			if e.takeBreak(1) {
-				w.Header().Set("Content-Length", strconv.Itoa(len(started.whole)))
-				_, _ = w.Write(started.whole[:len(started.whole)/2])
+			if e.shouldBreak(1) {
+				w.Header().Set("Content-Length", strconv.Itoa(len(started.body)))
+				_, _ = w.Write(started.body[:len(started.body)/2])
 				(&sender{w: w}).flush()
 				panic(http.ErrAbortHandler)
 			}
-			_, _ = w.Write(started.whole)
+			_, _ = w.Write(started.body)
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-e.life.Done():
+		case <-e.lifetime.Done():
 			return
 		}
 	}
 }
 
-// sender writes chunks with the faults of the engine.
+// sender writes chunks to a connection and injects the faults of the engine.
 type sender struct {
 	w      http.ResponseWriter
 	engine *Engine
 	sent   int
 	buffer []byte
-	// held is a chunk that goes out after the next one.
-	held  []byte
-	index int
+	// delayed is a chunk that is sent after the next one.
+	delayed      []byte
+	delayedIndex int
 }
 
 func (s *sender) send(index int, chunk []byte) {
 	faults := s.engine.currentFaults()
-	if s.engine.takeBreak(s.sent) {
+	if s.engine.shouldBreak(s.sent) {
 		s.flush()
 		panic(http.ErrAbortHandler)
 	}
 	s.sent++
-	if faults.SwapEvery > 0 && index%faults.SwapEvery == faults.SwapEvery-1 && s.held == nil {
-		s.held, s.index = chunk, index
+	if faults.SwapEvery > 0 && index%faults.SwapEvery == faults.SwapEvery-1 && s.delayed == nil {
+		s.delayed, s.delayedIndex = chunk, index
 		return
 	}
 	s.write(index, chunk)
 	if faults.RepeatEvery > 0 && index%faults.RepeatEvery == faults.RepeatEvery-1 {
 		s.write(index, chunk)
 	}
-	s.sendHeld()
+	s.sendDelayed()
 }
 
-func (s *sender) sendHeld() {
-	if s.held == nil {
+func (s *sender) sendDelayed() {
+	if s.delayed == nil {
 		return
 	}
-	held := s.held
-	s.held = nil
-	s.write(s.index, held)
+	held := s.delayed
+	s.delayed = nil
+	s.write(s.delayedIndex, held)
 }
 
 func (s *sender) write(index int, chunk []byte) {
@@ -239,7 +239,7 @@
 	writeJSON(w, http.StatusOK, e.status())
 }
 
-// status gives a load report that is as old as the faults say.
+// status returns a load report that is as old as Faults.ReportLag.
 func (e *Engine) status() engine.Status {
 	now := e.statusNow()
 	e.mu.Lock()
@@ -256,13 +256,13 @@
 
 func (e *Engine) statusNow() engine.Status {
 	waiting := e.slots.waiting()
-	last := e.cache.last()
+	last := e.cache.lastSequence()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sequence++
 	status := engine.Status{
 		Incarnation: e.incarnation, Sequence: e.sequence, Waiting: waiting,
-		QueuedTokens: e.queued, QueuedInstantTokens: e.instant, Leaving: e.faults.Leaving, LastEvent: last,
+		QueuedTokens: e.queued, QueuedInstantTokens: e.queuedInstant, Leaving: e.faults.Leaving, LastEvent: last,
 	}
 	for _, r := range e.runs {
 		if !r.isDone() {
@@ -285,15 +285,15 @@
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "after is no number")
+		writeError(w, http.StatusBadRequest, "after is no number")
 		return
 	}
-	events := e.cache.after(after)
+	events := e.cache.eventsAfter(after)
 	events.Incarnation = e.incarnation
-	if lose := e.currentFaults().DropEvery; lose > 0 && !events.Snapshot {
+	if dropEvery := e.currentFaults().DropEvery; dropEvery > 0 && !events.Snapshot {
 		kept := events.Events[:0]
 		for _, event := range events.Events {
-			if event.Sequence%int64(lose) != 0 {
+			if event.Sequence%int64(dropEvery) != 0 {
 				kept = append(kept, event)
 			}
 		}
@@ -305,11 +305,11 @@
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&order); err != nil {
-		refuse(w, http.StatusBadRequest, "the body is not an order")
+		writeError(w, http.StatusBadRequest, "the body is not an order")
 		return
 	}
-	if !e.obey(order) {
-		refuse(w, http.StatusConflict, "the fence is too old")
+	if !e.applyOrder(order) {
+		writeError(w, http.StatusConflict, "the fence is too old")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -318,14 +318,14 @@
 func (e *Engine) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	e.SetFaults(faults)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func refuse(w http.ResponseWriter, status int, text string) {
+func writeError(w http.ResponseWriter, status int, text string) {
 	var body struct {
 		Error struct {
 			Message string `json:"message"`
@@ -340,6 +340,6 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The peer may be gone; there is nobody left to tell.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/fakeengine/answer.go
+++ b/internal/fakeengine/response.go
@@ -5,8 +5,7 @@
 	"strings"
 )
 
-// The shapes below are those of the OpenAI protocol, as far as the stand-in
-// fills them.
+// The types below are the parts of the OpenAI API's responses that the stand-in fills in.
 
 type message struct {
 	Role    string `json:"role,omitempty"`
@@ -32,7 +31,7 @@
 	PromptDetails    promptDetails `json:"prompt_tokens_details"`
 }
 
-type answer struct {
+type response struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -41,8 +40,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (r *run) answer(object string, c choice) answer {
-	return answer{ID: "chatcmpl-" + r.id, Object: object, Created: r.created, Model: r.model, Choices: []choice{c}}
+func (r *run) newResponse(object string, c choice) response {
+	return response{ID: "chatcmpl-" + r.id, Object: object, Created: r.created, Model: r.model, Choices: []choice{c}}
 }
 
 func (r *run) usage(cached int) *usage {
@@ -50,12 +49,12 @@
 	return &usage{PromptTokens: prompt, CompletionTokens: r.tokens, TotalTokens: prompt + r.tokens, PromptDetails: promptDetails{CachedTokens: cached}}
 }
 
-// chunk is the i-th event of the stream.
+// chunk returns the i-th event of the stream.
 func (r *run) chunk(i, cached int) []byte {
 	word := Word(r.prompt, i)
 	c := choice{}
 	if i == r.tokens-1 {
-		c.FinishReason = finished()
+		c.FinishReason = finishReason()
 	}
 	object := "text_completion"
 	if r.chat {
@@ -67,20 +66,20 @@
 	} else {
 		c.Text = &word
 	}
-	body := r.answer(object, c)
+	body := r.newResponse(object, c)
 	if i == r.tokens-1 {
 		body.Usage = r.usage(cached)
 	}
 	return encode(body)
 }
 
-// wholeAnswer is the answer to a request that is not streamed.
-func (r *run) wholeAnswer(cached int) []byte {
+// fullResponse returns the response to a request without streaming.
+func (r *run) fullResponse(cached int) []byte {
 	var text strings.Builder
 	for i := range r.tokens {
 		text.WriteString(Word(r.prompt, i))
 	}
-	c := choice{FinishReason: finished()}
+	c := choice{FinishReason: finishReason()}
 	object := "text_completion"
 	if r.chat {
 		object = "chat.completion"
@@ -89,17 +88,17 @@
 		whole := text.String()
 		c.Text = &whole
 	}
-	body := r.answer(object, c)
+	body := r.newResponse(object, c)
 	body.Usage = r.usage(cached)
 	return encode(body)
 }
 
-func finished() *string {
+func finishReason() *string {
 	reason := "stop"
 	return &reason
 }
 
-func encode(body answer) []byte {
+func encode(body response) []byte {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return []byte("{}")
--- a/internal/fakeengine/gate.go
+++ b/internal/fakeengine/semaphore.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// gate lets a limited number of runs pass at once, the most urgent first and
-// those of the same priority in the order they came.
-type gate struct {
+// prioritySemaphore limits the number of concurrent runs. It admits waiting runs
+// by priority, and those of the same priority first in, first out.
+type prioritySemaphore struct {
 	mu       sync.Mutex
 	free     int
 	sequence int
@@ -18,12 +18,12 @@
 type waiter struct {
 	priority, sequence int
 	index              int
-	open               chan struct{}
+	acquired           chan struct{}
 }
 
-func newGate(capacity int) *gate { return &gate{free: capacity} }
+func newPrioritySemaphore(capacity int) *prioritySemaphore { return &prioritySemaphore{free: capacity} }
 
-func (g *gate) acquire(ctx context.Context, priority int) bool {
+func (g *prioritySemaphore) acquire(ctx context.Context, priority int) bool {
 	g.mu.Lock()
 	if g.free > 0 {
 		g.free--
@@ -31,21 +31,21 @@
 		return true
 	}
 	g.sequence++
-	w := &waiter{priority: priority, sequence: g.sequence, open: make(chan struct{})}
+	w := &waiter{priority: priority, sequence: g.sequence, acquired: make(chan struct{})}
 	heap.Push(&g.waiters, w)
 	g.mu.Unlock()
 	select {
-	case <-w.open:
+	case <-w.acquired:
 		return true
 	case <-ctx.Done():
-		g.leave(w)
+		g.cancelWait(w)
 		return false
 	}
 }
 
-// leave takes a waiter out. One that was let in at the same moment gives its
-// place on.
-func (g *gate) leave(w *waiter) {
+// cancelWait removes a waiter from the queue. If the waiter was admitted at the
+// same moment, its place is released.
+func (g *prioritySemaphore) cancelWait(w *waiter) {
 	g.mu.Lock()
 	waiting := w.index >= 0
 	if waiting {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (g *gate) release() {
+func (g *prioritySemaphore) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.waiters) == 0 {
@@ -65,11 +65,11 @@
 		return
 	}
 	if w, ok := heap.Pop(&g.waiters).(*waiter); ok {
-		close(w.open)
+		close(w.acquired)
 	}
 }
 
-func (g *gate) waiting() int {
+func (g *prioritySemaphore) waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.waiters)
--- a/internal/fakeengine/transfer.go
+++ b/internal/fakeengine/transfer.go
@@ -11,11 +11,12 @@
 	"github.com/cometlock/cometlock/internal/storebox"
 )
 
-// blockRepeats makes a stand-in's block a little larger than its key.
+// blockRepeats is how often the key is repeated in the content of a block, so that
+// a block is a little larger than its key.
 const blockRepeats = 8
 
-// blockData is what the stand-in keeps for a block: a function of the key, so
-// that it can tell another block's bytes when it gets them.
+// blockData returns the content of a block. It is a function of the key, so that the
+// engine detects the content of another block.
 func blockData(key prefix.Key) []byte { return bytes.Repeat(key[:], blockRepeats) }
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
@@ -29,16 +30,16 @@
 func (e *Engine) serveTransfer(w http.ResponseWriter, r *http.Request, move func(context.Context, engine.Transfer) engine.TransferResult) {
 	var transfer engine.Transfer
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&transfer); err != nil {
-		refuse(w, http.StatusBadRequest, "the body is not a transfer")
+		writeError(w, http.StatusBadRequest, "the body is not a transfer")
 		return
 	}
 	writeJSON(w, http.StatusOK, move(r.Context(), transfer))
 }
 
-// importBlocks fetches blocks in order, up to the first miss: a block without
-// those before it serves nobody.
+// importBlocks fetches blocks in order, up to the first miss, since a block is
+// useless without the blocks before it.
 func (e *Engine) importBlocks(ctx context.Context, transfer engine.Transfer) engine.TransferResult {
-	var answer engine.TransferResult
+	var result engine.TransferResult
 	for _, key := range transfer.Keys {
 		data, err := e.stores.Get(ctx, transfer.Store, key)
 		if err != nil {
@@ -50,25 +51,25 @@
 			e.mu.Unlock()
 			break
 		}
-		answer.Blocks++
-		answer.Bytes += int64(len(data))
+		result.Blocks++
+		result.Bytes += int64(len(data))
 	}
-	e.cache.store(transfer.Keys[:answer.Blocks])
-	return answer
+	e.cache.store(transfer.Keys[:result.Blocks])
+	return result
 }
 
-// exportBlocks writes the blocks that the cache holds, up to the first that
-// finds no room.
+// exportBlocks writes the cached blocks to the store box, up to the first one that
+// it cannot store.
 func (e *Engine) exportBlocks(ctx context.Context, transfer engine.Transfer) engine.TransferResult {
-	var answer engine.TransferResult
-	for _, key := range e.cache.holds(transfer.Keys) {
+	var result engine.TransferResult
+	for _, key := range e.cache.cachedKeys(transfer.Keys) {
 		data := blockData(key)
 		if err := e.stores.Put(ctx, transfer.Store, key, data); err != nil {
-			answer.Full = storebox.IsFull(err)
+			result.Full = storebox.IsFull(err)
 			break
 		}
-		answer.Blocks++
-		answer.Bytes += int64(len(data))
+		result.Blocks++
+		result.Bytes += int64(len(data))
 	}
-	return answer
+	return result
 }
--- a/internal/fakeengine/weights.go
+++ b/internal/fakeengine/weights.go
@@ -8,40 +8,40 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// WeightStore slows loads down when too many runners load at once, and counts
-// them.
+// WeightStore simulates the storage that engines load weights from. It slows loads
+// down when too many run at once.
 type WeightStore struct {
-	// Limit is how many loads run at full speed.
+	// Limit is the number of concurrent loads that run at full speed.
 	Limit int
 
 	mu      sync.Mutex
 	loading int
-	most    int
+	peak    int
 }
 
-// PeakLoads gives the largest number of loads that ran at once.
+// PeakLoads returns the largest number of concurrent loads so far.
 func (w *WeightStore) PeakLoads() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.most
+	return w.peak
 }
 
-// begin counts a load in and gives how much slower it is.
-func (w *WeightStore) begin() int {
+// beginLoad counts a load and returns the factor by which it is slower.
+func (w *WeightStore) beginLoad() int {
 	if w == nil {
 		return 1
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.loading++
-	w.most = max(w.most, w.loading)
+	w.peak = max(w.peak, w.loading)
 	if w.loading > w.Limit {
 		return w.loading
 	}
 	return 1
 }
 
-func (w *WeightStore) end() {
+func (w *WeightStore) endLoad() {
 	if w == nil {
 		return
 	}
@@ -50,8 +50,9 @@
 	w.loading--
 }
 
-// obey carries out an order; it reports false when the fence is too old.
-func (e *Engine) obey(order engine.Order) bool {
+// applyOrder starts the loads that an order asks for. It returns false when the fence
+// of the order is too old.
+func (e *Engine) applyOrder(order engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Fence < e.fence {
@@ -72,16 +73,17 @@
 	return true
 }
 
-// load loads weights, all in one go; until it has ended the old ones answer.
-func (e *Engine) load(changed []engine.LoadedWeights) {
-	slower := e.cfg.WeightStore.begin()
-	defer e.cfg.WeightStore.end()
-	if !waiting.For(e.life, e.cfg.LoadTime*time.Duration(slower)) {
+// load simulates one load of all weights in updates. The old weights serve requests
+// until it has finished.
+func (e *Engine) load(updates []engine.LoadedWeights) {
+	slowdown := e.cfg.WeightStore.beginLoad()
+	defer e.cfg.WeightStore.endLoad()
+	if !waiting.For(e.lifetime, e.cfg.LoadTime*time.Duration(slowdown)) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, wanted := range changed {
+	for _, wanted := range updates {
 		if e.loading[wanted.Model] == wanted.Version {
 			delete(e.loading, wanted.Model)
 			e.weights[wanted.Model] = wanted.Version
@@ -89,7 +91,7 @@
 	}
 }
 
-// LoadedVersion gives the version that answers for a model now.
+// LoadedVersion returns the weight version of a model that serves requests now.
 func (e *Engine) LoadedVersion(model string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
