--- a/internal/fakelog/fakelog.go
+++ b/internal/fakelog/fakelog.go
@@ -1,8 +1,8 @@
-// Package fakelog stands in for the platform's append-only log.
+// Package fakelog simulates the platform's append-only log.
 //
-// It keeps streams in memory, serves them in process or over HTTP, and fails on
-// request in the ways the platform is known to fail: it is down, it is slow,
-// its answer is lost after the write took effect, its records expire.
+// It stores streams in memory and serves them in process or over HTTP. On request
+// it injects the known failures of the platform: it is down, it is slow, the
+// response is lost after the write took effect, or records expire.
 package fakelog
 
 import (
@@ -16,20 +16,21 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Faults says how the log misbehaves from now on.
+// Faults are the faults that the log injects.
 type Faults struct {
-	// Down refuses every call before it has any effect.
+	// Down rejects every call before it has any effect.
 	Down bool `json:"down"`
-	// LoseResponses is how many coming appends take effect without an answer.
+	// LoseResponses is the number of next appends that take effect but whose
+	// response is lost.
 	LoseResponses int `json:"lose_answers"`
-	// LateAppends is how many coming appends get no answer and take effect
-	// only after Delay.
+	// LateAppends is the number of next appends whose response is lost and that
+	// take effect only after Delay.
 	LateAppends int `json:"late_appends"`
 	// Delay is added to every call.
 	Delay time.Duration `json:"delay"`
 }
 
-// Log is the stand-in; it implements logservice.Log.
+// Log is a simulated log. It implements logservice.Log.
 type Log struct {
 	mu      sync.Mutex
 	faults  Faults
@@ -40,14 +41,15 @@
 type stream struct {
 	earliest int64
 	records  []logservice.Record
-	// grown is closed and replaced at every append.
-	grown chan struct{}
+	// changed is closed and replaced at every append.
+	changed chan struct{}
 }
 
-// pageLimit is the number of records in an answer to a read without a limit.
+// pageLimit is the maximum number of records in the response to a read without a
+// limit.
 const pageLimit = 1000
 
-// New makes an empty log.
+// New returns an empty log.
 func New() *Log { return &Log{streams: map[string]*stream{}} }
 
 // SetFaults replaces the faults.
@@ -57,24 +59,24 @@
 	l.faults = faults
 }
 
-// Appends counts the records taken so far.
+// Appends returns the number of records appended so far.
 func (l *Log) Appends() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends
 }
 
-// Expire drops the records of a stream that lie before an offset.
+// Expire drops the records of a stream before an offset.
 func (l *Log) Expire(name string, before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	drop := min(max(before-s.earliest, 0), int64(len(s.records)))
-	s.records = s.records[drop:]
-	s.earliest += drop
+	count := min(max(before-s.earliest, 0), int64(len(s.records)))
+	s.records = s.records[count:]
+	s.earliest += count
 }
 
-// ExpireOlder drops the records of all streams that are older than an age.
+// ExpireOlder drops the records of all streams that are older than age.
 func (l *Log) ExpireOlder(age time.Duration) {
 	limit := time.Now().Add(-age)
 	l.mu.Lock()
@@ -90,16 +92,17 @@
 func (l *Log) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
-		s = &stream{grown: make(chan struct{})}
+		s = &stream{changed: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
-// AnyEnd appends wherever the stream ends.
+// AnyEnd makes AppendAt append unconditionally.
 const AnyEnd = -1
 
-// ErrEndMoved says that a stream does not end where an append expected.
+// ErrEndMoved is returned when a stream does not end at the offset that an append
+// expects.
 var ErrEndMoved = merry.Sentinel("the stream does not end there")
 
 // Append implements logservice.Log.
@@ -107,22 +110,22 @@
 	return l.AppendAt(ctx, name, AnyEnd, data)
 }
 
-// AppendAt adds a record only if the stream ends at an offset. An append that takes
-// effect late does so only if that still holds then.
+// AppendAt appends a record only if the stream ends at the offset end. A late append
+// checks this when it takes effect.
 func (l *Log) AppendAt(ctx context.Context, name string, end int64, data []byte) (int64, error) {
-	faults := l.takeFaults()
+	faults := l.consumeFaults()
 	if faults.Down {
 		return 0, logservice.ErrNotAppended
 	}
 	if faults.LateAppends > 0 {
 		copied := append([]byte(nil), data...)
-		time.AfterFunc(faults.Delay, func() { _, _ = l.take(name, end, copied) }) // nobody waits for the answer
+		time.AfterFunc(faults.Delay, func() { _, _ = l.appendNow(name, end, copied) }) // the caller has already got an ambiguous result
 		return 0, logservice.ErrAmbiguous
 	}
 	if err := wait(ctx, faults.Delay); err != nil {
 		return 0, logservice.ErrAmbiguous
 	}
-	offset, err := l.take(name, end, append([]byte(nil), data...))
+	offset, err := l.appendNow(name, end, append([]byte(nil), data...))
 	if err != nil {
 		return 0, err
 	}
@@ -132,8 +135,9 @@
 	return offset, nil
 }
 
-// takeFaults gives the faults for one append and counts it down.
-func (l *Log) takeFaults() Faults {
+// consumeFaults returns the faults for one append and decrements the counter of the
+// fault that applies.
+func (l *Log) consumeFaults() Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	faults := l.faults
@@ -147,7 +151,7 @@
 	return faults
 }
 
-func (l *Log) take(name string, end int64, data []byte) (int64, error) {
+func (l *Log) appendNow(name string, end int64, data []byte) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
@@ -156,8 +160,8 @@
 		return 0, ErrEndMoved
 	}
 	s.records = append(s.records, logservice.Record{Offset: offset, Time: time.Now(), Data: data})
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	l.appends++
 	return offset, nil
 }
@@ -166,7 +170,7 @@
 func (l *Log) Read(ctx context.Context, name string, opts logservice.ReadOptions) (logservice.Page, error) {
 	deadline := time.Now().Add(opts.Wait)
 	for {
-		page, grown, err := l.readNow(name, opts)
+		page, changed, err := l.readNow(name, opts)
 		if err != nil || len(page.Records) > 0 {
 			return page, err
 		}
@@ -176,7 +180,7 @@
 		}
 		timer := time.NewTimer(left)
 		select {
-		case <-grown:
+		case <-changed:
 			timer.Stop()
 		case <-timer.C:
 		case <-ctx.Done():
@@ -207,7 +211,7 @@
 		Earliest: s.earliest,
 		Next:     s.earliest + int64(len(s.records)),
 	}
-	return page, s.grown, nil
+	return page, s.changed, nil
 }
 
 func wait(ctx context.Context, delay time.Duration) error {
--- a/internal/fakelog/handler.go
+++ b/internal/fakelog/handler.go
@@ -12,11 +12,12 @@
 	"github.com/cometlock/cometlock/internal/logservice"
 )
 
-// faultsPath is where a test or a person sets the faults of a running log.
+// faultsPath is the path at which a test or an operator sets the faults of a running
+// log.
 const faultsPath = "/faults"
 
-// Handler serves the log over HTTP, the way the platform does, and takes the
-// faults at /faults.
+// Handler serves the log over HTTP as the platform does, and sets the faults at
+// /faults.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/streams/{stream}/records", l.serveAppend)
@@ -31,13 +32,14 @@
 		http.Error(w, "the record is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	// A record that was read whole is taken even when the sender goes away.
+	// A record that was received completely is appended even when the client
+	// disconnects.
 	offset, err := l.Append(context.WithoutCancel(r.Context()), r.PathValue("stream"), data)
 	switch {
 	case errors.Is(err, logservice.ErrNotAppended):
 		http.Error(w, "the log is down", http.StatusServiceUnavailable)
 	case err != nil:
-		// Ending the connection without an answer is what a lost answer is.
+		// A lost response is simulated by closing the connection without a response.
 		panic(http.ErrAbortHandler)
 	default:
 		writeJSON(w, http.StatusOK, logservice.AppendResponse{Offset: offset})
@@ -92,6 +94,6 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The peer may be gone; there is nobody left to tell.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
