--- a/internal/fakeplatform/fakeplatform.go
+++ b/internal/fakeplatform/fakeplatform.go
@@ -1,5 +1,5 @@
-// Package fakeplatform stands in for the platform's list of boxes. It looks at
-// each box's readiness now and then, so its list lags as the real one does.
+// Package fakeplatform simulates the platform's list of boxes. It probes the boxes
+// periodically, so its list is as stale as that of the real platform.
 package fakeplatform
 
 import (
@@ -15,28 +15,28 @@
 	"github.com/cometlock/cometlock/internal/boxlist"
 )
 
-// List is the stand-in.
+// List is a simulated list of boxes.
 type List struct {
 	lag    time.Duration
 	client http.Client
 
 	mu     sync.Mutex
-	boxes  []boxlist.Box // all that were ever added
+	boxes  []boxlist.Box // all boxes that were ever added
 	down   bool
 	states map[string]boxlist.State
 }
 
-// New makes a list that looks at the boxes after each lag.
+// New returns a list that probes the boxes at an interval of lag.
 func New(lag time.Duration, boxes []boxlist.Box) *List {
 	return &List{lag: lag, client: http.Client{Timeout: time.Second}, boxes: boxes, states: map[string]boxlist.State{}}
 }
 
-// Loop looks at the boxes until ctx ends.
+// Loop probes the boxes until ctx is done.
 func (l *List) Loop(ctx context.Context) {
 	ticker := time.NewTicker(l.lag)
 	defer ticker.Stop()
 	for {
-		l.look(ctx)
+		l.probeAll(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -45,28 +45,28 @@
 	}
 }
 
-// Add puts a box under the platform's eye.
+// Add adds a box to those that the list probes.
 func (l *List) Add(box boxlist.Box) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.boxes = append(l.boxes, box)
 }
 
-// SetDown makes the list unreadable, or readable again.
+// SetDown makes the list unavailable, or available again.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-func (l *List) added() []boxlist.Box {
+func (l *List) allBoxes() []boxlist.Box {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.boxes)
 }
 
-func (l *List) look(ctx context.Context) {
-	for _, box := range l.added() {
+func (l *List) probeAll(ctx context.Context) {
+	for _, box := range l.allBoxes() {
 		state := l.probe(ctx, box.Admin)
 		l.mu.Lock()
 		l.states[box.Name] = state
@@ -74,7 +74,7 @@
 	}
 }
 
-// probe gives the state of a box, or nothing when it does not answer.
+// probe returns the state of a box, or "" when it does not respond.
 func (l *List) probe(ctx context.Context, admin string) boxlist.State {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/live", nil)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return boxlist.Live
 }
 
-// Boxes implements boxlist.List.
+// Boxes implements boxlist.List. It omits boxes that do not respond.
 func (l *List) Boxes(context.Context) ([]boxlist.Box, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +108,7 @@
 	return listed, nil
 }
 
-// Handler serves the list.
+// Handler serves the list over HTTP.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+boxlist.Path, func(w http.ResponseWriter, r *http.Request) {
@@ -118,7 +118,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(boxes) // the peer may be gone
+		_ = json.NewEncoder(w).Encode(boxes) // an error means that the client has disconnected
 	})
 	return mux
 }
