--- a/internal/fakeservice/fakeservice.go
+++ b/internal/fakeservice/fakeservice.go
@@ -1,5 +1,5 @@
-// Package fakeservice stands in for a plain service. It keeps a ledger of every
-// call that ran, by the caller's idempotency key, and fails on request.
+// Package fakeservice simulates a plain service. It counts the calls that ran by
+// the caller's idempotency key, and injects faults on request.
 package fakeservice
 
 import (
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Faults says how the service misbehaves.
+// Faults are the faults that the service injects.
 type Faults struct {
-	// LoseResponses is how many coming calls run and get no answer.
+	// LoseResponses is the number of next calls that run but whose response is lost.
 	LoseResponses int `json:"lose_answers"`
-	// Delay is the time from running a call to its answer.
+	// Delay is the time from the start of a call to its response.
 	Delay time.Duration `json:"delay"`
-	// Status, when set, is the status of every answer.
+	// Status, when set, is the HTTP status of every response.
 	Status int `json:"status"`
-	// Headers are added to all answers.
+	// Headers are added to every response.
 	Headers map[string]string `json:"headers"`
 }
 
-// Service is the stand-in.
+// Service is a simulated plain service.
 type Service struct {
 	name string
 
@@ -34,7 +34,7 @@
 	total  int
 }
 
-// New makes a service.
+// New returns a service.
 func New(name string) *Service { return &Service{name: name, runs: map[string]int{}} }
 
 // SetFaults replaces the faults.
@@ -46,24 +46,25 @@
 
 // Ledger counts the calls that ran.
 type Ledger struct {
-	// Runs counts the calls of each idempotency key.
+	// Runs counts the calls by idempotency key.
 	Runs map[string]int `json:"runs"`
 	// Total counts all calls.
 	Total int `json:"total"`
 }
 
-// Ledger gives a copy of the counts.
+// Ledger returns a copy of the counts.
 func (s *Service) Ledger() Ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Ledger{Runs: maps.Clone(s.runs), Total: s.total}
 }
 
-// Handler serves any path, the ledger at /ledger and the faults at /faults.
+// Handler serves the ledger at /ledger, sets the faults at /faults, and serves calls
+// on all other paths.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) {
-		// The peer may be gone; there is nobody left to tell.
+		// An error means that the client has disconnected.
 		_ = json.NewEncoder(w).Encode(s.Ledger())
 	})
 	mux.HandleFunc("PUT /faults", s.serveFaults)
@@ -82,7 +83,7 @@
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	faults, run := s.take(r.Header.Get("Idempotency-Key"))
+	faults, run := s.recordCall(r.Header.Get("Idempotency-Key"))
 	time.Sleep(faults.Delay)
 	if faults.LoseResponses > 0 {
 		panic(http.ErrAbortHandler)
@@ -94,7 +95,7 @@
 	if faults.Status != 0 {
 		w.WriteHeader(faults.Status)
 	}
-	// The answer begins before the body has come in whole: both stream.
+	// The response starts before the request body is complete, so that both stream.
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
 		return
 	}
@@ -102,8 +103,8 @@
 	_, _ = io.Copy(w, r.Body)
 }
 
-// take counts a call and gives the faults that strike it and its number.
-func (s *Service) take(key string) (Faults, int) {
+// recordCall counts a call. It returns the faults for the call and its number.
+func (s *Service) recordCall(key string) (Faults, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.total++
