--- a/internal/fakesharedlog/fakesharedlog.go
+++ b/internal/fakesharedlog/fakesharedlog.go
@@ -1,6 +1,6 @@
-// Package fakesharedlog stands in for the platform's log as boxes use it: streams
-// by name, the newest record of each key, appends on a condition. The records lie
-// in the one stand-in log of the repository, fakelog, whose faults hold here too.
+// Package fakesharedlog simulates the platform's log as the boxes use it: named
+// streams, the newest record of each key, and conditional appends. It stores the
+// records in a fakelog.Log, so the faults of that log apply here too.
 package fakesharedlog
 
 import (
@@ -17,26 +17,26 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// Log is the stand-in; it implements sharedlog.Log.
+// Log is a simulated shared log. It implements sharedlog.Log.
 type Log struct {
-	log *fakelog.Log
+	base *fakelog.Log
 }
 
-// New makes an empty log.
-func New() *Log { return &Log{log: fakelog.New()} }
+// New returns an empty log.
+func New() *Log { return &Log{base: fakelog.New()} }
 
-// Underlying gives access to the faults of the log beneath.
-func (l *Log) Underlying() *fakelog.Log { return l.log }
+// Underlying returns the log that stores the records, for setting its faults.
+func (l *Log) Underlying() *fakelog.Log { return l.base }
 
-// entry is a record as it lies in the log beneath.
+// entry is the encoding of a record in the underlying log.
 type entry struct {
 	Key   string `msgpack:"k"`
 	Value []byte `msgpack:"v"`
 }
 
-// Put appends a record for a test or a stand-in, faults or not.
+// Put appends a record for a test or a stand-in. It clears all faults first.
 func (l *Log) Put(stream sharedlog.Stream, key string, value []byte) {
-	l.log.SetFaults(fakelog.Faults{})
+	l.base.SetFaults(fakelog.Faults{})
 	if _, err := l.Append(context.Background(), stream, sharedlog.AnyEnd, sharedlog.Record{Key: key, Value: value}); err != nil {
 		panic(err) // without faults an append cannot fail
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		return 0, merry.Prepend(err, "encode record")
 	}
-	offset, err := l.log.AppendAt(ctx, stream.String(), end, data)
+	offset, err := l.base.AppendAt(ctx, stream.String(), end, data)
 	switch {
 	case err == nil:
 		return offset, nil
@@ -63,7 +63,7 @@
 
 // Read implements sharedlog.Log.
 func (l *Log) Read(ctx context.Context, stream sharedlog.Stream, from int64, wait time.Duration) (sharedlog.Page, error) {
-	read, err := l.log.Read(ctx, stream.String(), logservice.ReadOptions{From: from, Wait: wait})
+	read, err := l.base.Read(ctx, stream.String(), logservice.ReadOptions{From: from, Wait: wait})
 	if expired, ok := errors.AsType[*logservice.ExpiredError](err); ok {
 		return sharedlog.Page{}, &sharedlog.RecordsExpiredError{First: expired.Earliest}
 	}
@@ -81,11 +81,11 @@
 	return page, nil
 }
 
-// Newest implements sharedlog.Log. It reads the stream from its beginning, so it
-// serves streams of which nothing has expired.
+// Newest implements sharedlog.Log. It reads the stream from the beginning, so it works
+// only for streams without expired records.
 func (l *Log) Newest(ctx context.Context, stream sharedlog.Stream) (sharedlog.Page, error) {
 	var newest []sharedlog.Record
-	at := map[string]int{}
+	indexes := map[string]int{}
 	var next int64
 	for {
 		page, err := l.Read(ctx, stream, next, 0)
@@ -93,11 +93,11 @@
 			return sharedlog.Page{}, err
 		}
 		for _, record := range page.Records {
-			if place, found := at[record.Key]; found {
-				newest[place] = record
+			if index, found := indexes[record.Key]; found {
+				newest[index] = record
 				continue
 			}
-			at[record.Key] = len(newest)
+			indexes[record.Key] = len(newest)
 			newest = append(newest, record)
 		}
 		if next = page.Next; next >= page.End {
