--- a/internal/fakestore/fakestore.go
+++ b/internal/fakestore/fakestore.go
@@ -1,5 +1,5 @@
-// Package fakestore stands in for a store box: slots of blocks with generations,
-// names, limited room, and faults on request.
+// Package fakestore simulates a store box. It has block slots with generations,
+// names for blocks and a limited capacity, and injects faults on request.
 package fakestore
 
 import (
@@ -16,24 +16,24 @@
 	"github.com/cometlock/cometlock/internal/storebox"
 )
 
-// Faults says how the box misbehaves.
+// Faults are the faults that the store box injects.
 type Faults struct {
-	// Down refuses every call.
+	// Down rejects every call.
 	Down bool `json:"down"`
-	// TruncateWrites keeps only the first half of what is written and says nothing.
+	// TruncateWrites stores only the first half of each write without an error.
 	TruncateWrites bool `json:"torn"`
-	// CorruptReads flips a bit in what is read.
+	// CorruptReads flips a bit in the data of each read.
 	CorruptReads bool `json:"wrong_bytes"`
-	// StaleNames answers a look-up of a freed name with what it was, and reads
-	// whatever the slot holds now.
+	// StaleNames resolves freed names to their previous slots. With SkipChecks a read
+	// then returns what the slot contains now.
 	StaleNames bool `json:"stale_names"`
-	// SkipChecks seals anything and reads any generation, as a careless box.
+	// SkipChecks skips the checks of content and generation in seals and reads.
 	SkipChecks bool `json:"no_checks"`
 	// Delay is added to every read of a block.
 	Delay time.Duration `json:"delay"`
 }
 
-// Store is the stand-in.
+// Store is a simulated store box.
 type Store struct {
 	mu       sync.Mutex
 	faults   Faults
@@ -43,7 +43,7 @@
 	free     []int64
 	names    map[string]storebox.Name
 	freed    map[string]storebox.Name
-	order    []string // names, the one looked up least lately first
+	lru      []string // names, least recently looked up first
 	reads    int
 }
 
@@ -53,7 +53,7 @@
 	sealed     bool
 }
 
-// New makes a store with room for so many bytes.
+// New returns a store with a capacity in bytes.
 func New(capacity int64) *Store {
 	return &Store{capacity: capacity, names: map[string]storebox.Name{}, freed: map[string]storebox.Name{}}
 }
@@ -65,37 +65,37 @@
 	s.faults = faults
 }
 
-// Blocks counts the named blocks, Reads the blocks that were read.
+// Blocks returns the number of named blocks.
 func (s *Store) Blocks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.names)
 }
 
-// Reads counts the blocks that were read.
+// Reads returns the number of block reads so far.
 func (s *Store) Reads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
 }
 
-// Handler serves the store box's protocol and its faults at /faults.
+// Handler serves the protocol of store boxes, and sets the faults at /faults.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/blocks", s.guard(s.serveAllocate))
-	mux.HandleFunc("PUT /v1/blocks/{slot}", s.guard(s.serveWrite))
-	mux.HandleFunc("POST /v1/blocks/{slot}/seal", s.guard(s.serveSeal))
-	mux.HandleFunc("GET /v1/blocks/{slot}", s.guard(s.serveRead))
-	mux.HandleFunc("PUT /v1/names/{key}", s.guard(s.serveName))
-	mux.HandleFunc("GET /v1/names/{key}", s.guard(s.serveLookUp))
-	mux.HandleFunc("GET /v1/names", s.guard(s.serveLeastRecent))
-	mux.HandleFunc("DELETE /v1/names/{key}", s.guard(s.serveFree))
+	mux.HandleFunc("POST /v1/blocks", s.withLock(s.serveAllocate))
+	mux.HandleFunc("PUT /v1/blocks/{slot}", s.withLock(s.serveWrite))
+	mux.HandleFunc("POST /v1/blocks/{slot}/seal", s.withLock(s.serveSeal))
+	mux.HandleFunc("GET /v1/blocks/{slot}", s.withLock(s.serveRead))
+	mux.HandleFunc("PUT /v1/names/{key}", s.withLock(s.serveName))
+	mux.HandleFunc("GET /v1/names/{key}", s.withLock(s.serveLookUp))
+	mux.HandleFunc("GET /v1/names", s.withLock(s.serveLeastRecent))
+	mux.HandleFunc("DELETE /v1/names/{key}", s.withLock(s.serveFree))
 	mux.HandleFunc("PUT /faults", s.serveFaults)
 	return mux
 }
 
-// guard runs a handler under the lock, unless the box is down.
-func (s *Store) guard(handle http.HandlerFunc) http.HandlerFunc {
+// withLock returns a handler that runs handle with mu held, unless the box is down.
+func (s *Store) withLock(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -121,8 +121,8 @@
 	writeJSON(w, storebox.Slot{Slot: number, Generation: s.slots[number].generation})
 }
 
-// find gives the slot of a path.
-func (s *Store) find(w http.ResponseWriter, r *http.Request) (*slot, bool) {
+// findSlot returns the slot of the request path, or responds with an error.
+func (s *Store) findSlot(w http.ResponseWriter, r *http.Request) (*slot, bool) {
 	number, err := strconv.ParseInt(r.PathValue("slot"), 10, 64)
 	if err != nil || number < 0 || number >= int64(len(s.slots)) {
 		http.Error(w, "no such slot", http.StatusNotFound)
@@ -132,24 +132,24 @@
 }
 
 func (s *Store) serveWrite(w http.ResponseWriter, r *http.Request) {
-	held, ok := s.find(w, r)
+	block, ok := s.findSlot(w, r)
 	if !ok {
 		return
 	}
 	data, err := io.ReadAll(r.Body)
-	if err != nil || strconv.FormatInt(held.generation, 10) != r.URL.Query().Get("generation") {
+	if err != nil || strconv.FormatInt(block.generation, 10) != r.URL.Query().Get("generation") {
 		http.Error(w, "another generation", http.StatusConflict)
 		return
 	}
 	if s.faults.TruncateWrites {
 		data = data[:len(data)/2]
 	}
-	held.data = data
+	block.data = data
 	s.used += int64(len(data))
 }
 
 func (s *Store) serveSeal(w http.ResponseWriter, r *http.Request) {
-	held, ok := s.find(w, r)
+	block, ok := s.findSlot(w, r)
 	if !ok {
 		return
 	}
@@ -158,27 +158,27 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	digest := sha256.Sum256(held.data)
-	whole := held.generation == name.Generation && int64(len(held.data)) == name.Length && bytes.Equal(digest[:], name.Digest)
-	if !whole && !s.faults.SkipChecks {
+	digest := sha256.Sum256(block.data)
+	matches := block.generation == name.Generation && int64(len(block.data)) == name.Length && bytes.Equal(digest[:], name.Digest)
+	if !matches && !s.faults.SkipChecks {
 		http.Error(w, "the bytes are not those of the seal", http.StatusConflict)
 		return
 	}
-	held.sealed = true
+	block.sealed = true
 }
 
 func (s *Store) serveRead(w http.ResponseWriter, r *http.Request) {
-	held, ok := s.find(w, r)
+	block, ok := s.findSlot(w, r)
 	if !ok {
 		return
 	}
-	current := strconv.FormatInt(held.generation, 10) == r.URL.Query().Get("generation") && held.sealed
+	current := strconv.FormatInt(block.generation, 10) == r.URL.Query().Get("generation") && block.sealed
 	if !current && !s.faults.SkipChecks {
 		http.Error(w, "another generation", http.StatusConflict)
 		return
 	}
 	s.reads++
-	data := bytes.Clone(held.data)
+	data := bytes.Clone(block.data)
 	if s.faults.CorruptReads && len(data) > 0 {
 		data[len(data)/2] ^= 1
 	}
@@ -186,7 +186,7 @@
 	s.mu.Unlock()
 	time.Sleep(delay)
 	s.mu.Lock()
-	_, _ = w.Write(data) // the reader may be gone
+	_, _ = w.Write(data) // an error means that the client has disconnected
 }
 
 func (s *Store) serveName(w http.ResponseWriter, r *http.Request) {
@@ -196,12 +196,12 @@
 		return
 	}
 	key := r.PathValue("key")
-	if _, taken := s.names[key]; taken {
+	if _, exists := s.names[key]; exists {
 		s.release(name.Slot)
 		return
 	}
 	s.names[key] = name
-	s.order = append(s.order, key)
+	s.lru = append(s.lru, key)
 }
 
 func (s *Store) serveLookUp(w http.ResponseWriter, r *http.Request) {
@@ -214,8 +214,8 @@
 		http.Error(w, "no such name", http.StatusNotFound)
 		return
 	}
-	if at := slices.Index(s.order, key); at >= 0 {
-		s.order = append(slices.Delete(s.order, at, at+1), key)
+	if at := slices.Index(s.lru, key); at >= 0 {
+		s.lru = append(slices.Delete(s.lru, at, at+1), key)
 	}
 	writeJSON(w, name)
 }
@@ -226,7 +226,7 @@
 		http.Error(w, "least_recent is a number", http.StatusBadRequest)
 		return
 	}
-	writeJSON(w, s.order[:min(count, len(s.order))])
+	writeJSON(w, s.lru[:min(count, len(s.lru))])
 }
 
 func (s *Store) serveFree(w http.ResponseWriter, r *http.Request) {
@@ -237,18 +237,18 @@
 		return
 	}
 	delete(s.names, key)
-	s.order = slices.DeleteFunc(s.order, func(other string) bool { return other == key })
+	s.lru = slices.DeleteFunc(s.lru, func(other string) bool { return other == key })
 	s.freed[key] = name
 	s.release(name.Slot)
 }
 
-// release raises the generation before the room is free for another block.
+// release increments the generation of a slot and frees its memory for another block.
 func (s *Store) release(freed storebox.Slot) {
-	held := &s.slots[freed.Slot]
-	held.generation++
-	held.sealed = false
-	s.used -= int64(len(held.data))
-	held.data = nil
+	block := &s.slots[freed.Slot]
+	block.generation++
+	block.sealed = false
+	s.used -= int64(len(block.data))
+	block.data = nil
 	s.free = append(s.free, freed.Slot)
 }
 
@@ -264,5 +264,5 @@
 
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // the peer may be gone
+	_ = json.NewEncoder(w).Encode(body) // an error means that the client has disconnected
 }
