--- a/internal/testfleet/testfleet.go
+++ b/internal/testfleet/testfleet.go
@@ -1,5 +1,6 @@
-// Package testfleet runs a small fleet inside a test: stand-ins for everything
-// outside, and entry boxes that talk to them and to each other over loopback.
+// Package testfleet runs a small fleet in the process of a test: stand-ins for all
+// external systems, and entry boxes that connect to them and to each other over
+// loopback.
 package testfleet
 
 import (
@@ -25,53 +26,53 @@
 	"github.com/cometlock/cometlock/internal/standins"
 )
 
-// The organisations of examples/local.yaml and their keys.
+// API keys of the organisations in examples/local.yaml.
 const (
 	KeyNordlys = "sk-fjordlinje-demo"
 	KeyLot     = "sk-lot-demo"
 )
 
-// Config sets up a Fleet.
+// Config configures a Fleet.
 type Config struct {
-	// Engine is the behaviour of every engine.
+	// Engine configures every engine.
 	Engine fakeengine.Config
-	// Zones is the zone of each entry box to start.
+	// Zones has the zone of each entry box to start.
 	Zones []string
-	// EditConfig alters the configuration before it is applied.
+	// EditConfig changes the configuration before it is applied.
 	EditConfig func(*config.File)
-	// File is the configuration file; empty is the sample one, as seen from a
-	// package of internal/.
+	// File is the path of the configuration file; the default is that of
+	// examples/local.yaml, relative to a package of internal/.
 	File string
-	// NoConfig leaves the log without any configuration.
+	// NoConfig starts the fleet without a configuration in the log.
 	NoConfig bool
-	// LogOutput takes the boxes' logs; nil drops them.
+	// LogOutput receives the log output of the boxes; nil discards it.
 	LogOutput io.Writer
-	// EditSettings alters the settings of every box.
+	// EditSettings changes the settings of every box before it starts.
 	EditSettings func(*settings.Settings)
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
-	cfg    Config
-	set    *standins.Set
-	logger zerolog.Logger
+	cfg      Config
+	standIns *standins.Set
+	logger   zerolog.Logger
 
 	mu    sync.Mutex
 	boxes []*Box
 }
 
-// Box is one running entry box.
+// Box is a running entry box.
 type Box struct {
 	*daemon.Daemon
 	cancel context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 	err    error
 }
 
-// answerKey is the key that all boxes authenticate answer names with.
+// answerKey is the key with which all boxes authenticate answer IDs.
 var answerKey = []byte("0123456789abcdef0123456789abcdef")
 
-// Start starts a fleet with the sample configuration.
+// Start starts a fleet.
 func Start(cfg Config) (*Fleet, error) {
 	if cfg.File == "" {
 		cfg.File = "../../examples/local.yaml"
@@ -87,11 +88,11 @@
 	if cfg.EditConfig != nil {
 		cfg.EditConfig(file)
 	}
-	set, err := standins.Start(standins.Config{File: file, AnyPort: true, Engine: cfg.Engine})
+	standIns, err := standins.Start(standins.Config{File: file, AnyPort: true, Engine: cfg.Engine})
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{cfg: cfg, set: set, logger: zerolog.Nop()}
+	f := &Fleet{cfg: cfg, standIns: standIns, logger: zerolog.Nop()}
 	if cfg.LogOutput != nil {
 		f.logger = zerolog.New(zerolog.ConsoleWriter{Out: cfg.LogOutput, NoColor: true})
 	}
@@ -110,19 +111,19 @@
 	return f, nil
 }
 
-// Apply puts a file into force.
+// Apply applies a configuration file and returns its version.
 func (f *Fleet) Apply(file *config.File) (int64, error) {
-	return configlog.Apply(context.Background(), configlog.ApplyConfig{Log: f.set.Log(), ApplyID: uuid.NewString(), ReadBackTimeout: 5 * time.Second}, file)
+	return configlog.Apply(context.Background(), configlog.ApplyConfig{Log: f.standIns.Log(), ApplyID: uuid.NewString(), ReadBackTimeout: 5 * time.Second}, file)
 }
 
 // AddBox starts one more entry box.
-func (f *Fleet) AddBox(zone string) (*Box, error) { return f.addBox(zone, f.set.LogAddress()) }
+func (f *Fleet) AddBox(zone string) (*Box, error) { return f.addBox(zone, f.standIns.LogAddress()) }
 
-// nowhere is an address at which nothing listens.
-const nowhere = "127.0.0.1:1"
+// closedAddress is an address at which nothing listens.
+const closedAddress = "127.0.0.1:1"
 
-// AddBoxWithoutLog starts an entry box that is cut off from the log.
-func (f *Fleet) AddBoxWithoutLog(zone string) (*Box, error) { return f.addBox(zone, nowhere) }
+// AddBoxWithoutLog starts an entry box that cannot reach the log.
+func (f *Fleet) AddBoxWithoutLog(zone string) (*Box, error) { return f.addBox(zone, closedAddress) }
 
 func (f *Fleet) addBox(zone, logAddress string) (*Box, error) {
 	f.mu.Lock()
@@ -130,7 +131,7 @@
 	f.mu.Unlock()
 	cfg := settings.Settings{
 		Box: name, Zone: zone, Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Peer: "127.0.0.1:0",
-		Log: logAddress, BoxList: f.set.BoxListAddress(), AnswerKeys: [][]byte{answerKey},
+		Log: logAddress, BoxList: f.standIns.BoxListAddress(), AnswerKeys: [][]byte{answerKey},
 		LogRetention: 24 * time.Hour, StopTimeout: time.Minute, RingCapacity: 1024,
 	}
 	if f.cfg.EditSettings != nil {
@@ -141,9 +142,9 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	box := &Box{Daemon: started, cancel: cancel, ended: make(chan struct{})}
+	box := &Box{Daemon: started, cancel: cancel, done: make(chan struct{})}
 	go box.run(ctx)
-	f.set.Boxes().Add(boxlist.Box{
+	f.standIns.Boxes().Add(boxlist.Box{
 		Name: name, Zone: zone, Peer: started.PeerAddress(), Admin: started.AdminAddress(), Caller: started.CallerAddress(),
 	})
 	f.mu.Lock()
@@ -153,30 +154,30 @@
 }
 
 func (b *Box) run(ctx context.Context) {
-	defer close(b.ended)
+	defer close(b.done)
 	b.err = b.Run(ctx)
 }
 
-// Stop begins a planned stop, as SIGTERM does.
+// Stop starts a graceful stop, as SIGTERM does.
 func (b *Box) Stop() { b.cancel() }
 
-// Kill ends the box as a crash does: no port answers and no duty goes on.
+// Kill stops the box like a crash: it closes all ports and stops all work.
 func (b *Box) Kill() { b.Abort() }
 
-// Wait waits for the end of a planned stop.
+// Wait waits until a graceful stop has finished.
 func (b *Box) Wait() error {
 	select {
-	case <-b.ended:
+	case <-b.done:
 		return b.err
 	case <-time.After(time.Minute):
 		return errors.New("the box did not stop within a minute")
 	}
 }
 
-// Set gives the stand-ins.
-func (f *Fleet) StandIns() *standins.Set { return f.set }
+// StandIns returns the stand-ins.
+func (f *Fleet) StandIns() *standins.Set { return f.standIns }
 
-// Box gives a box by the order of its start, from 0.
+// Box returns the i-th box that was started, from 0.
 func (f *Fleet) Box(i int) *Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,34 +193,34 @@
 		box.Stop()
 	}
 	for _, box := range boxes {
-		<-box.ended
+		<-box.done
 	}
-	f.set.Close()
+	f.standIns.Close()
 }
 
-// Call is one HTTP call of a box.
+// Call is an HTTP request to a box.
 type Call struct {
-	Method string // POST where there is a body, else GET
-	Host   string // the box's address where empty
+	Method string // default: POST with a body, else GET
+	Host   string // default: the box's address
 	Path   string
-	Key    string // KeyNordlys where empty
+	Key    string // default: KeyNordlys
 	Body   string
 	Header map[string]string
 }
 
-// Response is the answer to a call.
+// Response is the response to a call.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Broken says that the body broke off.
+	// Broken reports whether the body ended early.
 	Broken bool
 }
 
-// client keeps no connections, so that a test's end leaves none behind.
+// client keeps no idle connections, so that none are left at the end of a test.
 var client = &http.Client{Timeout: time.Minute, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Do makes a call of the box and reads the whole answer.
+// Do sends a call to the box and reads the whole response.
 func (b *Box) Do(call Call) (Response, error) {
 	response, err := b.Send(context.Background(), call)
 	if err != nil {
@@ -230,7 +231,7 @@
 	return Response{Status: response.StatusCode, Header: response.Header, Body: string(body), Broken: err != nil}, nil
 }
 
-// Send makes a call and leaves its answer to be read.
+// Send sends a call to the box. The caller reads and closes the response body.
 func (b *Box) Send(ctx context.Context, call Call) (*http.Response, error) {
 	if call.Method == "" {
 		call.Method = http.MethodGet
@@ -253,8 +254,7 @@
 	return client.Do(request)
 }
 
-// EventData gives the data of the events of a stream, one a line, without the
-// event that ends it.
+// EventData returns the data of each event of a stream, without the [DONE] event.
 func EventData(body string) []string {
 	var data []string
 	for line := range strings.SplitSeq(body, "\n") {
@@ -265,5 +265,5 @@
 	return data
 }
 
-// IsComplete reports whether a stream came to its end.
+// IsComplete reports whether a stream ends with the [DONE] event.
 func IsComplete(body string) bool { return strings.HasSuffix(body, "data: [DONE]\n\n") }
