--- a/internal/standins/standins.go
+++ b/internal/standins/standins.go
@@ -1,7 +1,7 @@
-// Package standins starts stand-ins for everything outside cometlock: the
+// Package standins starts stand-ins for all systems outside cometlock: the
 // platform's log and list of boxes, and every backend server of a configuration
-// file at the address the file gives it. It is for trying cometlock out and for
-// tests; nothing of the product depends on it.
+// file at its address in the file. It is for trials and tests of cometlock; no
+// production code depends on it.
 package standins
 
 import (
@@ -22,44 +22,44 @@
 	"github.com/cometlock/cometlock/internal/fakestore"
 )
 
-// Config sets up a Set.
+// Config configures a Set.
 type Config struct {
-	// File names the backend servers.
+	// File is the configuration with the backend servers.
 	File *config.File
-	// LogAddress and BoxListAddress are where to serve the platform's parts;
-	// an empty one is not served.
+	// LogAddress and BoxListAddress are the addresses at which to serve the log and
+	// the list of boxes; one with an empty address is not served.
 	LogAddress     string
 	BoxListAddress string
-	// Boxes are the entry boxes that the list knows.
+	// Boxes are the entry boxes in the list.
 	Boxes []boxlist.Box
-	// BoxListLag is how far the list is behind.
+	// BoxListLag is the interval at which the list probes the boxes.
 	BoxListLag time.Duration
-	// Engine is the model of every engine; weights and slots come from File.
+	// Engine configures every engine; weights and slots come from File.
 	Engine fakeengine.Config
-	// AnyPort serves everything on ports of the system's choice and writes them
-	// into File; tests use it to run beside each other.
+	// AnyPort serves everything on free loopback ports and writes the addresses of
+	// the backend servers into File, so that tests can run in parallel.
 	AnyPort bool
 }
 
-// anyPort asks the system for a free port.
+// anyPort is the address that has the system choose a free port.
 const anyPort = "127.0.0.1:0"
 
 // Set is a running set of stand-ins.
 type Set struct {
-	file     *config.File
-	log      *fakelog.Log
-	list     *fakeplatform.List
-	logAt    string
-	listAt   string
-	engines  map[string]*fakeengine.Engine
-	services map[string]*fakeservice.Service
-	store    *fakeengine.WeightStore
-	stores   map[string]*fakestore.Store
-	servers  []*http.Server
-	stop     context.CancelFunc
+	file           *config.File
+	log            *fakelog.Log
+	list           *fakeplatform.List
+	logAddress     string
+	boxListAddress string
+	engines        map[string]*fakeengine.Engine
+	services       map[string]*fakeservice.Service
+	weightStore    *fakeengine.WeightStore
+	stores         map[string]*fakestore.Store
+	servers        []*http.Server
+	stop           context.CancelFunc
 }
 
-// Start starts all stand-ins. They run until Close.
+// Start starts all stand-ins, which run until Close.
 func Start(cfg Config) (*Set, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Set{file: cfg.File, log: fakelog.New(), engines: map[string]*fakeengine.Engine{}, services: map[string]*fakeservice.Service{}, stores: map[string]*fakestore.Store{}, stop: stop}
@@ -74,36 +74,37 @@
 	if cfg.AnyPort {
 		cfg.LogAddress, cfg.BoxListAddress = anyPort, anyPort
 	}
-	if s.logAt, err = s.serve(cfg.LogAddress, s.log.Handler()); err != nil {
+	if s.logAddress, err = s.serve(cfg.LogAddress, s.log.Handler()); err != nil {
 		return err
 	}
 	s.list = fakeplatform.New(max(cfg.BoxListLag, minBoxListLag), cfg.Boxes)
 	go s.list.Loop(ctx)
-	if s.listAt, err = s.serve(cfg.BoxListAddress, s.list.Handler()); err != nil {
+	if s.boxListAddress, err = s.serve(cfg.BoxListAddress, s.list.Handler()); err != nil {
 		return err
 	}
-	s.store = &fakeengine.WeightStore{Limit: cfg.File.WeightStore.ParallelLoads}
+	s.weightStore = &fakeengine.WeightStore{Limit: cfg.File.WeightStore.ParallelLoads}
 	for i := range cfg.File.BackendServers {
 		server := &cfg.File.BackendServers[i]
 		if cfg.AnyPort {
 			server.Address = anyPort
 		}
-		if server.Address, err = s.startServer(cfg, server, s.store); err != nil {
+		if server.Address, err = s.startServer(cfg, server, s.weightStore); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// minBoxListLag keeps the list from looking at the boxes all the time.
+// minBoxListLag is the minimum interval between probes, so that the list does not
+// probe the boxes all the time.
 const minBoxListLag = 100 * time.Millisecond
 
-// startServer starts the stand-in of a backend server and gives its address.
-func (s *Set) startServer(cfg Config, server *config.BackendServer, store *fakeengine.WeightStore) (string, error) {
+// startServer starts the stand-in of a backend server and returns its address.
+func (s *Set) startServer(cfg Config, server *config.BackendServer, weightStore *fakeengine.WeightStore) (string, error) {
 	switch server.Role {
 	case config.RoleRunner:
 		engineConfig := cfg.Engine
-		engineConfig.Name, engineConfig.Slots, engineConfig.WeightStore = server.Name, server.Slots, store
+		engineConfig.Name, engineConfig.Slots, engineConfig.WeightStore = server.Name, server.Slots, weightStore
 		engineConfig.Weights = weightsOf(cfg.File, server)
 		started := fakeengine.New(engineConfig)
 		s.engines[server.Name] = started
@@ -133,58 +134,58 @@
 	return weights
 }
 
-// headerTimeout bounds the reading of a request's header.
+// headerTimeout is the timeout for reading the header of a request.
 const headerTimeout = 10 * time.Second
 
-// serve serves a stand-in and gives the address it has.
+// serve serves a stand-in and returns its address.
 func (s *Set) serve(address string, handler http.Handler) (string, error) {
 	if address == "" {
 		return "", nil
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return "", merry.Prepend(err, "start a stand-in")
+		return "", merry.Prepend(err, "listen for a stand-in")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	s.servers = append(s.servers, server)
-	go func() { _ = server.Serve(listener) }() // ends with Close
+	go func() { _ = server.Serve(listener) }() // returns after Close
 	return listener.Addr().String(), nil
 }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins.
 func (s *Set) Close() {
 	s.stop()
 	for _, started := range s.engines {
 		started.Close()
 	}
 	for _, server := range s.servers {
-		_ = server.Close() // a stand-in has nothing to lose
+		_ = server.Close() // stand-ins have no state to save
 	}
 }
 
-// Log gives the log.
+// Log returns the log.
 func (s *Set) Log() *fakelog.Log { return s.log }
 
-// Engine gives an engine by the name of its backend server.
+// Engine returns an engine by the name of its backend server.
 func (s *Set) Engine(name string) *fakeengine.Engine { return s.engines[name] }
 
-// Service gives a plain service by the name of its backend server.
+// Service returns a plain service by the name of its backend server.
 func (s *Set) Service(name string) *fakeservice.Service { return s.services[name] }
 
-// File gives the configuration with the addresses that the stand-ins have.
+// File returns the configuration with the addresses of the stand-ins.
 func (s *Set) File() *config.File { return s.file }
 
-// Boxes gives the list of boxes.
+// Boxes returns the list of boxes.
 func (s *Set) Boxes() *fakeplatform.List { return s.list }
 
-// LogAddress gives where the log is served.
-func (s *Set) LogAddress() string { return s.logAt }
+// LogAddress returns the address of the log.
+func (s *Set) LogAddress() string { return s.logAddress }
 
-// BoxListAddress gives where the list of boxes is served.
-func (s *Set) BoxListAddress() string { return s.listAt }
+// BoxListAddress returns the address of the list of boxes.
+func (s *Set) BoxListAddress() string { return s.boxListAddress }
 
-// WeightStore gives the weight store that all engines share.
-func (s *Set) WeightStore() *fakeengine.WeightStore { return s.store }
+// WeightStore returns the weight store that all engines share.
+func (s *Set) WeightStore() *fakeengine.WeightStore { return s.weightStore }
 
-// Store gives a store box by the name of its backend server.
+// Store returns a store box by the name of its backend server.
 func (s *Set) Store(name string) *fakestore.Store { return s.stores[name] }
