--- a/internal/standinsmain/standinsmain.go
+++ b/internal/standinsmain/standinsmain.go
@@ -1,4 +1,5 @@
-// Package standinsmain is the program cometlock-standins.
+// Package standinsmain implements the program cometlock-standins, which runs the
+// stand-ins of package standins.
 package standinsmain
 
 import (
@@ -41,7 +42,7 @@
 	apply    bool
 }
 
-// Main runs the stand-ins until a signal ends them.
+// Main runs the stand-ins until SIGTERM or an interrupt. It returns the exit code.
 func Main(args []string, output io.Writer) int {
 	opts := options{
 		log: "127.0.0.1:8183", boxList: "127.0.0.1:8184", prefill: 20_000, decode: 15 * time.Millisecond, loadTime: time.Second,
@@ -54,11 +55,11 @@
 	parser.String(&opts.file, "", "file", "configuration file that names the backend servers")
 	parser.String(&opts.log, "", "log", "IP address and port of the log")
 	parser.String(&opts.boxList, "", "box-list", "IP address and port of the list of boxes")
-	parser.String(&opts.boxes, "", "boxes", "entry boxes that the list knows: name,zone,peer,admin,caller; …")
+	parser.String(&opts.boxes, "", "boxes", "entry boxes in the list: name,zone,peer,admin,caller; …")
 	parser.Float64(&opts.prefill, "", "prefill", "prefill rate of the engines (tokens per second)")
 	parser.Duration(&opts.decode, "", "decode", "time between two chunks of an engine (duration)")
-	parser.Duration(&opts.loadTime, "", "load-time", "time that one load of weights takes (duration)")
-	parser.Bool(&opts.apply, "", "apply", "put the file into force at the start")
+	parser.Duration(&opts.loadTime, "", "load-time", "duration of one weight load (duration)")
+	parser.Bool(&opts.apply, "", "apply", "apply the file at the start")
 	if err := parser.ParseArgs(args); err != nil {
 		fmt.Fprintln(output, "cometlock-standins:", err)
 		return exitUsage
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// boxFields is the number of fields that describe a box.
+// boxFields is the number of comma-separated fields of a box in --boxes.
 const boxFields = 5
 
 func parseBoxes(text string) ([]boxlist.Box, error) {
