--- a/internal/suspendtest/suspendtest.go
+++ b/internal/suspendtest/suspendtest.go
@@ -1,5 +1,5 @@
-// Package suspendtest plays a machine that is suspended: the runtime's clock, which tests
-// pause, stands still while the boot clock goes on.
+// Package suspendtest simulates a machine that is suspended: the boot clock advances while the
+// runtime's monotonic clock does not.
 package suspendtest
 
 import (
@@ -10,11 +10,12 @@
 	"github.com/cometlock/cometlock/internal/boottime"
 )
 
-// Machine is the machine that a test's process believes to run on.
+// Machine is the simulated machine of a test's process.
 type Machine struct{ suspended atomic.Int64 }
 
-// New makes one that has not been suspended, until the test ends. Tests that use it do not run
-// beside others of their package.
+// New simulates a machine that has not been suspended yet, until the test ends. The simulation
+// affects the whole process, so tests that use it must not run in parallel with other tests of
+// their package.
 func New(t testing.TB) *Machine {
 	t.Helper()
 	m := &Machine{}
@@ -22,5 +23,5 @@
 	return m
 }
 
-// Suspend has the machine be suspended for a time; nothing runs meanwhile.
+// Suspend simulates a suspension of a given length, during which nothing runs.
 func (m *Machine) Suspend(length time.Duration) { m.suspended.Add(int64(length)) }
