--- a/internal/testcerts/testcerts.go
+++ b/internal/testcerts/testcerts.go
@@ -1,4 +1,4 @@
-// Package testcerts makes certificates for tests of TLS.
+// Package testcerts creates certificates for tests of TLS.
 package testcerts
 
 import (
@@ -21,13 +21,14 @@
 	"github.com/cometlock/cometlock/internal/tlsfiles"
 )
 
-// Authority signs certificates for a test.
+// Authority is a certificate authority for a test.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// New makes an authority. Like all of this package it fails the test itself.
+// New creates an authority. Like all functions of this package it fails the test on
+// an error.
 func New(g types.Gomega) Authority {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -42,15 +43,15 @@
 	return Authority{certificate: certificate, key: key}
 }
 
-// Pool gives the authority to a client that checks it.
+// Pool returns a certificate pool with the authority, for a client's RootCAs.
 func (a Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.certificate)
 	return pool
 }
 
-// Write writes a certificate for the loopback address, its key, and the
-// authority into a folder.
+// Write writes a certificate for the loopback address, its key and the authority's
+// certificate as files into a folder.
 func (a Authority) Write(g types.Gomega, folder string, serial int64) tlsfiles.Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
