--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,5 +1,5 @@
-// Package rapidtest sets how many random histories the tests run, and from
-// which seed, so that CI comes to the same verdict every time.
+// Package rapidtest sets the number of random histories that property-based tests
+// run and their seed, so that CI gets the same result every time.
 package rapidtest
 
 import (
@@ -10,35 +10,35 @@
 	"testing"
 )
 
-// Config says how much to run where the command line does not.
+// Config sets the amount of work for what the command line leaves unset.
 type Config struct {
-	// Checks is the number of histories, Steps the mean number of steps of each.
+	// Checks is the number of histories, and Steps the mean number of steps of each.
 	Checks int
 	Steps  int
 }
 
-// seed is where CI begins. COMETLOCK_SEED replaces it: `COMETLOCK_SEED=7 go test`
-// runs other histories, and a failing one again.
+// seed is the default seed, which CI uses. COMETLOCK_SEED overrides it:
+// `COMETLOCK_SEED=7 go test` runs other histories, or repeats a failed run.
 const seed = 20261202
 
-// Main runs the tests of a package; call it from TestMain.
+// Main runs the tests of a package and exits. TestMain calls it.
 func Main(m *testing.M, cfg Config) {
 	flag.Parse()
-	begin := strconv.Itoa(seed)
+	start := strconv.Itoa(seed)
 	if value := os.Getenv("COMETLOCK_SEED"); value != "" {
-		begin = value
+		start = value
 	}
-	setUnlessGiven("rapid.seed", begin)
-	setUnlessGiven("rapid.checks", strconv.Itoa(cfg.Checks))
-	setUnlessGiven("rapid.steps", strconv.Itoa(cfg.Steps))
-	fmt.Println("rapid.seed =", begin)
+	setDefault("rapid.seed", start)
+	setDefault("rapid.checks", strconv.Itoa(cfg.Checks))
+	setDefault("rapid.steps", strconv.Itoa(cfg.Steps))
+	fmt.Println("rapid.seed =", start)
 	os.Exit(m.Run())
 }
 
-func setUnlessGiven(name, value string) {
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
-	if given {
+func setDefault(name, value string) {
+	isSet := false
+	flag.Visit(func(f *flag.Flag) { isSet = isSet || f.Name == name })
+	if isSet {
 		return
 	}
 	if err := flag.Set(name, value); err != nil {
