--- a/internal/e2e/advise_test.go
+++ b/internal/e2e/advise_test.go
@@ -11,9 +11,9 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// advised has a server of the plain service "booking" add headers to its answers, and gives how many of
-// some calls of one box it then gets.
-func advised(fleet *testfleet.Fleet, server *fakeservice.Service, faults fakeservice.Faults) int {
+// callsReceived sets the faults of a server of the plain service "booking", sends 40 calls through one box,
+// and returns how many of them the server receives.
+func callsReceived(fleet *testfleet.Fleet, server *fakeservice.Service, faults fakeservice.Faults) int {
 	call := testfleet.Call{Method: http.MethodGet, Path: "/services/booking/receipts", Key: testfleet.KeyLot}
 	server.SetFaults(faults)
 	before := server.Ledger().Total
@@ -23,23 +23,23 @@
 	return server.Ledger().Total - before
 }
 
-var _ = Describe("what plain services say of themselves in their answers", func() {
-	It("keeps their rate limits", func() {
+var _ = Describe("An advisory in a plain service's responses", func() {
+	It("limits the rate of calls", func() {
 		fleet := start(testfleet.Config{})
 		limited := services(fleet)[0]
-		Expect(advised(fleet, limited, fakeservice.Faults{Headers: map[string]string{"Cometlock-Rate-Limit": "1"}})).To(BeNumerically("<=", 2))
+		Expect(callsReceived(fleet, limited, fakeservice.Faults{Headers: map[string]string{"Cometlock-Rate-Limit": "1"}})).To(BeNumerically("<=", 2))
 		time.Sleep(1100 * time.Millisecond)
-		Expect(advised(fleet, limited, fakeservice.Faults{})).To(BeNumerically(">", 10), "an answer without a limit ends it")
+		Expect(callsReceived(fleet, limited, fakeservice.Faults{})).To(BeNumerically(">", 10), "a response without a limit ends the limit")
 	})
 
-	It("gives them the pause that they ask for", func() {
+	It("stops calls for the time in Retry-After", func() {
 		fleet := start(testfleet.Config{})
 		faults := fakeservice.Faults{Status: http.StatusServiceUnavailable, Headers: map[string]string{"Retry-After": "30"}}
-		Expect(advised(fleet, services(fleet)[0], faults)).To(Equal(1))
+		Expect(callsReceived(fleet, services(fleet)[0], faults)).To(Equal(1))
 	})
 
-	It("sends nothing to those that drain", func() {
+	It("stops calls to a draining server", func() {
 		fleet := start(testfleet.Config{})
-		Expect(advised(fleet, services(fleet)[0], fakeservice.Faults{Headers: map[string]string{"Cometlock-Draining": "1"}})).To(Equal(1))
+		Expect(callsReceived(fleet, services(fleet)[0], fakeservice.Faults{Headers: map[string]string{"Cometlock-Draining": "1"}})).To(Equal(1))
 	})
 })
--- a/internal/e2e/answers_test.go
+++ b/internal/e2e/answers_test.go
@@ -19,8 +19,8 @@
 
 const completions = "/v1/chat/completions"
 
-var _ = Describe("An answer", func() {
-	It("reaches the caller whole and once, whatever the stream suffers", func() {
+var _ = Describe("A response", func() {
+	It("reaches the caller complete and without duplicates, whatever happens to the stream", func() {
 		fleet := start(testfleet.Config{})
 		for _, faults := range []fakeengine.Faults{
 			{},
@@ -37,45 +37,45 @@
 			Expect(streamText(answer.Body)).To(Equal(wantText("Tell me", 40)), "%+v", faults)
 			Expect(testfleet.EventData(answer.Body)).To(HaveLen(40))
 		}
-		_, most := starts(fleet)
-		Expect(most).To(Equal(1), "a stream is taken up again, not run again")
+		_, maxStarts := startCounts(fleet)
+		Expect(maxStarts).To(Equal(1), "a stream is resumed, not run again")
 	})
 
-	It("that is not streamed survives a connection that breaks in the middle", func() {
+	It("without streaming survives a connection that breaks in the middle", func() {
 		fleet := start(testfleet.Config{})
 		setFaults(fleet, fakeengine.Faults{BreakAfter: 1, BreakTimes: 2})
 		answer := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 40, false)})
-		Expect(wholeText(answer.Body)).To(Equal(wantText("Tell me", 40)))
-		total, _ := starts(fleet)
+		Expect(responseText(answer.Body)).To(Equal(wantText("Tell me", 40)))
+		total, _ := startCounts(fleet)
 		Expect(total).To(Equal(1))
 	})
 
-	It("is taken up again by its name, at any box, from any chunk", func() {
+	It("can be resumed by its ID, at any box, from any chunk", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		first := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 20, true)})
-		name := first.Header.Get("Cometlock-Answer-Id")
-		rest := do(fleet.Box(1), testfleet.Call{Path: "/v1/answers/" + name + "?starting_after=7"})
+		id := first.Header.Get("Cometlock-Answer-Id")
+		rest := do(fleet.Box(1), testfleet.Call{Path: "/v1/answers/" + id + "?starting_after=7"})
 		Expect(rest.Status).To(Equal(http.StatusOK))
 		Expect(testfleet.EventData(rest.Body)).To(Equal(testfleet.EventData(first.Body)[8:]))
 		Expect(testfleet.IsComplete(rest.Body)).To(BeTrue())
 	})
 
-	It("is nobody else's, whatever they guess", func() {
+	It("is not accessible to other organisations, or by guessed IDs", func() {
 		fleet := start(testfleet.Config{})
 		first := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 5, true)})
-		name := first.Header.Get("Cometlock-Answer-Id")
-		flipped := []byte(name)
+		id := first.Header.Get("Cometlock-Answer-Id")
+		flipped := []byte(id)
 		flipped[len(flipped)-1] ^= 1
 		for _, call := range []testfleet.Call{
-			{Path: "/v1/answers/" + name, Key: testfleet.KeyLot},
-			{Path: "/v1/answers/" + name, Key: testfleet.KeyLot, Method: http.MethodDelete},
+			{Path: "/v1/answers/" + id, Key: testfleet.KeyLot},
+			{Path: "/v1/answers/" + id, Key: testfleet.KeyLot, Method: http.MethodDelete},
 			{Path: "/v1/answers/" + string(flipped)},
 			{Path: "/v1/answers/ans_AAAA"},
 			{Path: "/v1/answers/" + strings.Repeat("a", 5000)},
 		} {
 			Expect(do(fleet.Box(0), call).Status).To(Equal(http.StatusNotFound))
 		}
-		Expect(do(fleet.Box(0), testfleet.Call{Path: "/v1/answers/" + name, Key: "wrong"}).Status).To(Equal(http.StatusUnauthorized))
+		Expect(do(fleet.Box(0), testfleet.Call{Path: "/v1/answers/" + id, Key: "wrong"}).Status).To(Equal(http.StatusUnauthorized))
 	})
 
 	It("comes from another runner when the first loses the run before its first chunk", func() {
@@ -88,17 +88,17 @@
 		}
 	})
 
-	It("is not run again when it may not be repeated", func() {
+	It("to a request that may not be repeated is not computed again", func() {
 		fleet := start(testfleet.Config{})
 		setFaults(fleet, fakeengine.Faults{DropRun: true, ForgetRuns: true})
 		answer := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 5, true), Header: map[string]string{"Cometlock-Repeatable": "false"}})
 		Expect(answer.Status).To(Equal(http.StatusBadGateway))
 		Expect(outcome(answer)).To(Equal(apierror.Unknown))
-		total, _ := starts(fleet)
+		total, _ := startCounts(fleet)
 		Expect(total).To(Equal(1))
 	})
 
-	It("that was lost in the middle ends with an error and without the end of a stream", func() {
+	It("that was lost in the middle ends with an error and without a [DONE] event", func() {
 		fleet := start(testfleet.Config{})
 		setFaults(fleet, fakeengine.Faults{BreakAfter: 2, ForgetRuns: true})
 		answer := do(fleet.Box(0), testfleet.Call{Path: completions, Body: chat("Tell me", 5, true)})
@@ -107,7 +107,7 @@
 		Expect(answer.Body).To(ContainSubstring(`"outcome":"ran"`))
 	})
 
-	It("of an engine that answers rubbish, or by other weights, is refused and disturbs nothing", func() {
+	It("that is malformed or from other weights is rejected, and later requests are served", func() {
 		fleet := start(testfleet.Config{})
 		for _, faults := range []fakeengine.Faults{{MalformedResponse: true, ForgetRuns: true}, {WrongWeights: true}} {
 			setFaults(fleet, faults)
@@ -121,7 +121,7 @@
 		}, "20s").Should(Equal(http.StatusOK))
 	})
 
-	It("is cancelled at the engine when the caller goes away", func() {
+	It("is cancelled at the engine when the caller disconnects", func() {
 		fleet := start(testfleet.Config{Engine: fakeengine.Config{DecodeInterval: 5 * time.Millisecond}})
 		ctx, cancel := context.WithCancel(context.Background())
 		response, err := fleet.Box(0).Send(ctx, testfleet.Call{Path: completions, Body: chat("Tell me", 100_000, true)})
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -1,6 +1,6 @@
-// Package e2e holds the tests of a whole fleet: entry boxes and stand-ins that
-// talk over loopback. Verdicts count things; none depends on how fast the
-// machine is.
+// Package e2e tests a whole fleet: entry boxes and stand-ins that communicate over
+// loopback. The assertions are about counts and contents; none depends on the speed
+// of the machine.
 package e2e
 
 import (
@@ -23,7 +23,7 @@
 	RunSpecs(t, "End to end")
 }
 
-// start starts a fleet that ends with the spec.
+// start starts a fleet that is closed at the end of the spec.
 func start(cfg testfleet.Config) *testfleet.Fleet {
 	GinkgoHelper()
 	cfg.LogOutput = GinkgoWriter
@@ -60,7 +60,7 @@
 	return answer
 }
 
-// chat makes the body of a chat completion.
+// chat returns the request body of a chat completion.
 func chat(text string, tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":"scene-review","stream":%t,"max_tokens":%d,"messages":%s}`, stream, tokens, messages(text))
 }
@@ -69,7 +69,7 @@
 	return fmt.Sprintf(`[{"role":"user","content":%q}]`, text)
 }
 
-// wantText is the answer that every engine gives to a prompt.
+// wantText returns the text that every engine generates for a prompt.
 func wantText(text string, tokens int) string {
 	var want strings.Builder
 	for i := range tokens {
@@ -85,7 +85,7 @@
 	}
 }
 
-// streamText joins the text of a stream's chunks.
+// streamText concatenates the text of a stream's chunks.
 func streamText(body string) string {
 	GinkgoHelper()
 	var text strings.Builder
@@ -99,14 +99,14 @@
 	return text.String()
 }
 
-func wholeText(body string) string {
+func responseText(body string) string {
 	GinkgoHelper()
 	var answer chunkBody
 	Expect(json.Unmarshal([]byte(body), &answer)).To(Succeed())
 	return answer.Choices[0].Message.Content
 }
 
-// engines lists the engines of a fleet.
+// engines returns the engines of a fleet.
 func engines(fleet *testfleet.Fleet) []*fakeengine.Engine {
 	var all []*fakeengine.Engine
 	for _, server := range fleet.StandIns().File().BackendServers {
@@ -123,16 +123,16 @@
 	}
 }
 
-// starts counts the runs that all engines started, and the most starts that one
-// run had.
-func starts(fleet *testfleet.Fleet) (total, most int) {
+// startCounts returns how many runs all engines started, and the largest number of
+// starts of one run ID at one engine.
+func startCounts(fleet *testfleet.Fleet) (total, maxStarts int) {
 	for _, engine := range engines(fleet) {
 		for _, count := range engine.Ledger().Starts {
 			total += count
-			most = max(most, count)
+			maxStarts = max(maxStarts, count)
 		}
 	}
-	return total, most
+	return total, maxStarts
 }
 
 func outcome(answer testfleet.Response) apierror.Outcome {
--- a/internal/e2e/kept_test.go
+++ b/internal/e2e/kept_test.go
@@ -17,14 +17,15 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// longText is a context of about 4,000 tokens.
+// longText returns a prompt of about 4,000 tokens.
 func longText(name string) string { return name + strings.Repeat(" clause of the rulebook", 730) }
 
-func storeBoxes(fleet *testfleet.Fleet) []*fakestore.Store {
+func fakeStores(fleet *testfleet.Fleet) []*fakestore.Store {
 	return []*fakestore.Store{fleet.StandIns().Store("store-zone-a"), fleet.StandIns().Store("store-zone-b")}
 }
 
-func ledgers(fleet *testfleet.Fleet) (cached, wrong int) {
+// cacheCounts returns the cached tokens and wrong blocks of all engines.
+func cacheCounts(fleet *testfleet.Fleet) (cached, wrong int) {
 	for _, e := range engines(fleet) {
 		cached += e.Ledger().CachedTokens
 		wrong += e.Ledger().WrongBlocks
@@ -32,9 +33,9 @@
 	return cached, wrong
 }
 
-var _ = Describe("Kept context", func() {
-	// Engines hold one context each, so that every other must come from a store.
-	smallCaches := func(change func(*config.File)) testfleet.Config {
+var _ = Describe("Stored context", func() {
+	// The cache of an engine has room for one context, so that all others have to come from a store box.
+	smallCaches := func(edit func(*config.File)) testfleet.Config {
 		return testfleet.Config{
 			Engine: fakeengine.Config{CacheBlocks: 20, PrefillTokensPerSecond: 100_000},
 			EditConfig: func(file *config.File) {
@@ -42,8 +43,8 @@
 					file.Models[i].PrefillTokensPerSecond = 500
 					file.Models[i].KVBytesPerToken = 1 << 10
 				}
-				if change != nil {
-					change(file)
+				if edit != nil {
+					edit(file)
 				}
 			},
 		}
@@ -54,7 +55,7 @@
 		Expect(answer.Status).To(Equal(http.StatusOK))
 		Expect(streamText(answer.Body)).To(Equal(wantText(longText(name), 2)))
 	}
-	keep := func(fleet *testfleet.Fleet, contexts int) {
+	storeContexts := func(fleet *testfleet.Fleet, contexts int) {
 		GinkgoHelper()
 		for i := range contexts {
 			send(fleet, fmt.Sprint("context ", i))
@@ -62,46 +63,46 @@
 		}
 	}
 
-	It("comes back from a store box when the runners have forgotten it", func() {
+	It("is fetched from a store box when the runners have evicted it", func() {
 		fleet := start(smallCaches(nil))
 		const contexts = 8
-		keep(fleet, contexts)
-		before, _ := ledgers(fleet)
+		storeContexts(fleet, contexts)
+		before, _ := cacheCounts(fleet)
 		for i := range contexts {
 			send(fleet, fmt.Sprint("context ", i))
 		}
-		after, wrong := ledgers(fleet)
-		// Not all of it: cache events lag, so the box takes a context for warm for
-		// a moment after the runner has dropped it.
-		Expect(after-before).To(BeNumerically(">=", contexts*4000/2), "most of it is not computed again")
+		after, wrong := cacheCounts(fleet)
+		// Some of it is computed again: cache events lag, so the box still treats a
+		// context as cached for a moment after the runner has evicted it.
+		Expect(after-before).To(BeNumerically(">=", contexts*4000/2), "most tokens are not computed again")
 		Expect(fleet.Box(0).State().Kept.FetchedBlocks).To(BeNumerically(">", 0))
 		Expect(wrong).To(BeZero())
 	})
 
-	It("that the store box lost, tore or mixed up is a miss, and the answer is right", func() {
+	It("that the store box lost, truncated or mixed up is a miss, and the response is correct", func() {
 		for _, faults := range []fakestore.Faults{
 			{Down: true}, {CorruptReads: true}, {TruncateWrites: true, SkipChecks: true}, {StaleNames: true, SkipChecks: true, CorruptReads: true},
 		} {
 			fleet := start(smallCaches(nil))
 			if faults.TruncateWrites {
-				for _, store := range storeBoxes(fleet) {
+				for _, store := range fakeStores(fleet) {
 					store.SetFaults(faults)
 				}
 			}
-			keep(fleet, 5)
-			for _, store := range storeBoxes(fleet) {
+			storeContexts(fleet, 5)
+			for _, store := range fakeStores(fleet) {
 				store.SetFaults(faults)
 			}
 			for i := range 5 {
 				send(fleet, fmt.Sprint("context ", i))
 			}
-			_, wrong := ledgers(fleet)
+			_, wrong := cacheCounts(fleet)
 			Expect(wrong).To(BeZero(), "%+v", faults)
 			fleet.Close()
 		}
 	})
 
-	It("is not fetched over a link that is slower than computing", func() {
+	It("is not fetched over a link that is slower than prefill", func() {
 		fleet := start(smallCaches(func(file *config.File) {
 			for i := range file.Links {
 				file.Links[i].BytesPerSecond = 400 << 20
@@ -111,22 +112,22 @@
 				file.Models[i].KVBytesPerToken = 16 << 10
 			}
 		}))
-		keep(fleet, 4)
+		storeContexts(fleet, 4)
 		for i := range 4 {
 			send(fleet, fmt.Sprint("context ", i))
 		}
 		Expect(fleet.Box(0).State().Kept.Fetches).To(BeZero())
 	})
 
-	It("in a full store box makes room for newer", func() {
+	It("is evicted from a full store box in favour of newer context", func() {
 		fleet := start(smallCaches(func(file *config.File) {
 			for i := range file.BackendServers {
 				if file.BackendServers[i].Role == config.RoleStoreBox {
-					file.BackendServers[i].MemoryBytes = 40 * 128 // blocks of the stand-in
+					file.BackendServers[i].MemoryBytes = 40 * 128 // 40 blocks of the stand-in
 				}
 			}
 		}))
-		// Blocks that no entry box knows of fill the store boxes from the start.
+		// The store boxes are already full of blocks that no entry box has recorded.
 		client := storebox.NewClient(storebox.ClientConfig{})
 		for _, server := range fleet.StandIns().File().BackendServers {
 			for i := 0; server.Role == config.RoleStoreBox && i < 40; i++ {
@@ -139,10 +140,10 @@
 		}
 		Eventually(func() int { return fleet.Box(0).State().Kept.Contexts }, "20s").Should(BeNumerically(">", 0))
 		Eventually(func() int64 { return fleet.Box(0).State().Kept.Exports }, "20s").Should(BeNumerically(">=", 15))
-		for _, store := range storeBoxes(fleet) {
+		for _, store := range fakeStores(fleet) {
 			Expect(store.Blocks()).To(BeNumerically("<=", 41))
 		}
-		_, wrong := ledgers(fleet)
+		_, wrong := cacheCounts(fleet)
 		Expect(wrong).To(BeZero())
 	})
 })
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -18,7 +18,7 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// charge makes a call that may not be repeated.
+// charge returns a call that may not be repeated.
 func charge(key, body string) testfleet.Call {
 	call := testfleet.Call{Method: http.MethodPost, Path: "/services/booking/charges", Body: body, Key: testfleet.KeyLot}
 	if key != "" {
@@ -31,8 +31,8 @@
 	return []*fakeservice.Service{fleet.StandIns().Service("booking-zone-a-1"), fleet.StandIns().Service("booking-zone-b-1")}
 }
 
-// charged counts how often the calls with a key ran, by the services' ledgers.
-func charged(fleet *testfleet.Fleet, key string) int {
+// chargeCount returns how often the calls with a key ran, according to the services' ledgers.
+func chargeCount(fleet *testfleet.Fleet, key string) int {
 	runs := 0
 	for _, service := range services(fleet) {
 		runs += service.Ledger().Runs[key]
@@ -40,8 +40,8 @@
 	return runs
 }
 
-// booked reports whether the own zone's server is given calls again.
-func booked(fleet *testfleet.Fleet) bool {
+// isBookingServerUsed reports whether the box sends calls to the server of its zone.
+func isBookingServerUsed(fleet *testfleet.Fleet) bool {
 	for _, server := range fleet.Box(0).State().ServersOf.Servers {
 		if server.Name == "booking-zone-a-1" {
 			return !server.Failed
@@ -51,7 +51,7 @@
 }
 
 var _ = Describe("A call that may not be repeated", func() {
-	It("runs once, and all who ask with its key get its answer", func() {
+	It("runs once, and all calls with its key get its response", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		key := newKey()
 		first := do(fleet.Box(0), charge(key, "5 euro"))
@@ -60,15 +60,15 @@
 			again := do(fleet.Box(1), charge(key, "5 euro"))
 			return again.Header.Get("Cometlock-Replayed") + again.Body
 		}, "20s").Should(Equal("true" + first.Body))
-		Expect(charged(fleet, key)).To(Equal(1))
+		Expect(chargeCount(fleet, key)).To(Equal(1))
 
 		other := do(fleet.Box(1), charge(key, "500 euro"))
 		Expect(errorCode(other)).To(Equal("idempotency_key_reused"))
 		Expect(outcome(other)).To(Equal(apierror.NotRun))
-		Expect(charged(fleet, key)).To(Equal(1))
+		Expect(chargeCount(fleet, key)).To(Equal(1))
 	})
 
-	It("runs once when many boxes get it at the same moment", func() {
+	It("runs once when many boxes receive it at the same time", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b", "zone-a"}})
 		const keys, callers = 20, 6
 		var ended sync.WaitGroup
@@ -84,11 +84,11 @@
 				})
 			}
 			ended.Wait()
-			Expect(charged(fleet, key)).To(Equal(1))
+			Expect(chargeCount(fleet, key)).To(Equal(1))
 		}
 	})
 
-	It("whose answer is lost ends unknown and never runs again", func() {
+	It("whose response is lost has the outcome unknown and never runs again", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		for _, service := range services(fleet) {
 			service.SetFaults(fakeservice.Faults{LoseResponses: 1})
@@ -100,22 +100,23 @@
 			again := do(fleet.Box(1), charge(key, ""))
 			Expect(outcome(again)).To(Equal(apierror.Unknown))
 		}
-		Expect(charged(fleet, key)).To(Equal(1))
+		Expect(chargeCount(fleet, key)).To(Equal(1))
 	})
 
-	It("without a body is not sent again by the HTTP library either", func() {
+	It("without a body is not retried by the HTTP library either", func() {
 		fleet := start(testfleet.Config{})
 		booking := services(fleet)[0]
 		for range 5 {
-			// A good call leaves a connection behind where connections are kept.
+			// A successful call leaves an idle connection if connections are reused. The HTTP library
+			// retries only calls on such connections.
 			Expect(do(fleet.Box(0), charge(newKey(), "")).Status).To(Equal(http.StatusOK))
 			booking.SetFaults(fakeservice.Faults{LoseResponses: 1})
 			key := newKey()
 			answer := do(fleet.Box(0), charge(key, ""))
 			Expect(outcome(answer)).To(Equal(apierror.Unknown))
-			Expect(charged(fleet, key)).To(Equal(1))
+			Expect(chargeCount(fleet, key)).To(Equal(1))
 			booking.SetFaults(fakeservice.Faults{})
-			Eventually(func() bool { return booked(fleet) }, "20s").Should(BeTrue())
+			Eventually(func() bool { return isBookingServerUsed(fleet) }, "20s").Should(BeTrue())
 		}
 	})
 
@@ -127,28 +128,28 @@
 		Expect(answer.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(outcome(answer)).To(Equal(apierror.NotRun))
 		Expect(answer.Header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(charged(fleet, key)).To(BeZero())
+		Expect(chargeCount(fleet, key)).To(BeZero())
 
 		withoutKey := do(fleet.Box(0), charge("", "5 euro"))
 		Expect(withoutKey.Status).To(Equal(http.StatusOK), "without a key no log is needed")
 
 		fleet.StandIns().Log().SetFaults(fakelog.Faults{})
 		Eventually(func() int { return do(fleet.Box(0), charge(key, "5 euro")).Status }, "20s").Should(Equal(http.StatusOK))
-		Expect(charged(fleet, key)).To(Equal(1))
+		Expect(chargeCount(fleet, key)).To(Equal(1))
 	})
 
-	It("survives a log whose answers are lost", func() {
+	It("survives a log whose responses are lost", func() {
 		fleet := start(testfleet.Config{})
 		for i := range 10 {
 			fleet.StandIns().Log().SetFaults(fakelog.Faults{LoseResponses: 2})
 			key := newKey()
 			answer := do(fleet.Box(0), charge(key, fmt.Sprint(i)))
 			Expect(answer.Status).To(Equal(http.StatusOK))
-			Expect(charged(fleet, key)).To(Equal(1))
+			Expect(chargeCount(fleet, key)).To(Equal(1))
 		}
 	})
 
-	It("that cannot be handed over frees its key", func() {
+	It("that no server accepts releases its key", func() {
 		fleet := start(testfleet.Config{})
 		file := fleet.StandIns().File()
 		for i := range file.BackendServers {
@@ -162,25 +163,25 @@
 		key := newKey()
 		answer := do(fleet.Box(0), charge(key, "5 euro"))
 		Expect(outcome(answer)).To(Equal(apierror.NotRun), answer.Body)
-		// The key is free again once the log says so; until then it is in use.
+		// The key counts as in use until the log has the record that releases it.
 		Eventually(func() string { return errorCode(do(fleet.Box(0), charge(key, "5 euro"))) }, "20s").Should(Equal("no_server"))
 	})
 
-	It("is refused as not run with a key that is too old", func() {
+	It("is rejected as not run with a key that is too old", func() {
 		fleet := start(testfleet.Config{})
 		old, err := uuid.NewV7()
 		Expect(err).NotTo(HaveOccurred())
-		made := time.Now().Add(-2 * time.Hour).UnixMilli()
+		createdAt := time.Now().Add(-2 * time.Hour).UnixMilli()
 		for i := range 6 {
-			old[i] = byte(made >> (40 - 8*i))
+			old[i] = byte(createdAt >> (40 - 8*i))
 		}
 		answer := do(fleet.Box(0), charge(old.String(), "5 euro"))
 		Expect(errorCode(answer)).To(Equal("idempotency_key_age"))
 		Expect(outcome(answer)).To(Equal(apierror.NotRun))
-		Expect(charged(fleet, old.String())).To(BeZero())
+		Expect(chargeCount(fleet, old.String())).To(BeZero())
 	})
 
-	It("stays one whatever way its path is written", func() {
+	It("runs at most once under all spellings of its path", func() {
 		fleet := start(testfleet.Config{})
 		key := newKey()
 		for _, path := range []string{"/charges", "/charges/", "//charges", "/x/../charges", "/%63harges", "/Charges"} {
@@ -188,19 +189,19 @@
 			call.Path = "/services/booking" + path
 			do(fleet.Box(0), call)
 		}
-		Expect(charged(fleet, key)).To(Equal(1))
+		Expect(chargeCount(fleet, key)).To(Equal(1))
 	})
 })
 
 var _ = Describe("A plain service", func() {
-	It("gets calls without the caller's key, and its answers stream back", func() {
+	It("receives calls without the caller's API key, and its responses are streamed", func() {
 		fleet := start(testfleet.Config{})
 		answer := do(fleet.Box(0), testfleet.Call{Method: http.MethodPut, Path: "/services/booking/receipts/7?x=1", Body: "hello", Key: testfleet.KeyLot})
 		Expect(answer.Status).To(Equal(http.StatusOK))
 		Expect(answer.Body).To(Equal("booking-zone-a-1 PUT /receipts/7 organisation=lot-central run=1\nhello"))
 	})
 
-	It("always learns the organisation, whatever headers the caller calls hop-by-hop", func() {
+	It("always receives the organisation, whatever headers the caller declares as hop-by-hop", func() {
 		fleet := start(testfleet.Config{})
 		answer := do(fleet.Box(0), testfleet.Call{
 			Path: "/services/booking/receipts", Key: testfleet.KeyLot,
@@ -209,7 +210,7 @@
 		Expect(answer.Body).To(ContainSubstring("organisation=lot-central "))
 	})
 
-	It("is served from another zone while the own one is evacuated, and from its own afterwards", func() {
+	It("is served from another zone while the box's zone is evacuated, and from its own zone afterwards", func() {
 		fleet := start(testfleet.Config{})
 		servedBy := func(evacuated bool) string {
 			file := fleet.StandIns().File()
@@ -228,7 +229,7 @@
 		Expect(servedBy(false)).To(HavePrefix("booking-zone-a-1 "))
 	})
 
-	It("is served from another zone when the own zone's server is gone", func() {
+	It("is served from another zone when the server of the box's zone is down", func() {
 		fleet := start(testfleet.Config{})
 		file := fleet.StandIns().File()
 		for i := range file.BackendServers {
--- a/internal/e2e/reviews_test.go
+++ b/internal/e2e/reviews_test.go
@@ -26,7 +26,7 @@
 	return testfleet.Call{Path: reviewsPath, Body: body, Header: header}
 }
 
-// reviewBody is the part of a response that the specs look at.
+// reviewBody is the part of a response that the specs check.
 type reviewBody struct {
 	ID     string
 	Status string
@@ -57,7 +57,7 @@
 }
 
 var _ = Describe("A review", func() {
-	It("is accepted once it is durable and arrives at any box", func() {
+	It("is accepted once it is durable, and its result is available at any box", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		appends := fleet.StandIns().Log().Appends()
 		accepted := readReview(do(fleet.Box(0), newReview("A long brief", nil)))
@@ -69,7 +69,7 @@
 		}
 	})
 
-	It("sent again with its key is the same one", func() {
+	It("sent again with the same key is the same review", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		header := map[string]string{"Idempotency-Key": "competition-7"}
 		first := readReview(do(fleet.Box(0), newReview("A long brief", header)))
@@ -79,7 +79,7 @@
 		Expect(errorCode(other)).To(Equal("idempotency_key_reused"))
 	})
 
-	It("survives the death of the box that runs it", func() {
+	It("survives a crash of the box that runs it", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-a"}, Engine: fakeengine.Config{DecodeInterval: 30 * time.Millisecond}})
 		var ids []string
 		for i := range 6 {
@@ -102,7 +102,7 @@
 		Expect(fleet.Box(0).State().Reviews.Known).To(BeZero())
 	})
 
-	It("is accepted though the log's answer is lost, and ends though the log goes down meanwhile", func() {
+	It("is accepted although the log's response is lost, and completes although the log is down for a while", func() {
 		fleet := start(testfleet.Config{Engine: fakeengine.Config{DecodeInterval: 5 * time.Millisecond}})
 		fleet.StandIns().Log().SetFaults(fakelog.Faults{LoseResponses: 1})
 		accepted := readReview(do(fleet.Box(0), newReview("A long brief", nil)))
@@ -110,12 +110,12 @@
 		fleet.StandIns().Log().SetFaults(fakelog.Faults{Down: true})
 		Consistently(func() string {
 			return readReview(do(fleet.Box(0), testfleet.Call{Path: reviewsPath + "/" + accepted.ID})).Status
-		}, "500ms", "50ms").ShouldNot(Equal("completed"), "an end that is not in the log is none")
+		}, "500ms", "50ms").ShouldNot(Equal("completed"), "a review is not completed before the log has its end")
 		fleet.StandIns().Log().SetFaults(fakelog.Faults{})
 		eventuallyCompleted(fleet.Box(0), accepted.ID)
 	})
 
-	It("is nobody else's to read, cancel or delete", func() {
+	It("cannot be read, cancelled or deleted by other organisations", func() {
 		fleet := start(testfleet.Config{})
 		id := readReview(do(fleet.Box(0), newReview("A long brief", nil))).ID
 		for _, call := range []testfleet.Call{
@@ -133,7 +133,7 @@
 	It("can be cancelled while it runs, and deleted", func() {
 		fleet := start(testfleet.Config{Engine: fakeengine.Config{DecodeInterval: time.Second}})
 		id := readReview(do(fleet.Box(0), newReview("A long brief", nil))).ID
-		Eventually(func() int { total, _ := starts(fleet); return total }, "20s", "5ms").Should(Equal(1))
+		Eventually(func() int { total, _ := startCounts(fleet); return total }, "20s", "5ms").Should(Equal(1))
 		cancelled := readReview(do(fleet.Box(0), testfleet.Call{Path: reviewsPath + "/" + id + "/cancel", Method: http.MethodPost}))
 		Expect(cancelled.Status).To(Equal("cancelled"))
 		Eventually(func() int { return fleet.Box(0).State().Reviews.Running }, "20s").Should(BeZero())
@@ -142,7 +142,7 @@
 		Expect(do(fleet.Box(0), testfleet.Call{Path: reviewsPath + "/" + id}).Status).To(Equal(http.StatusNotFound))
 	})
 
-	It("that will miss its deadline shows up well before", func() {
+	It("that will miss its deadline is reported as at risk before", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a"}, Engine: fakeengine.Config{Faults: fakeengine.Faults{RejectStatus: http.StatusServiceUnavailable}}})
 		deadline := 3 * time.Second
 		sent := time.Now()
@@ -157,7 +157,7 @@
 		eventuallyCompleted(fleet.Box(0), id)
 	})
 
-	It("streams its events, and goes on after any of them at any box", func() {
+	It("streams its events, and can be resumed after any of them at any box", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		id := readReview(do(fleet.Box(0), newReview("A long brief", nil))).ID
 		whole := do(fleet.Box(0), testfleet.Call{Path: reviewsPath + "/" + id + "?stream=true"})
@@ -180,7 +180,7 @@
 		}
 	})
 
-	It("refuses bad bodies clearly", func() {
+	It("rejects invalid bodies with a specific error", func() {
 		fleet := start(testfleet.Config{})
 		for body, code := range map[string]string{
 			`{`:                                    "invalid_json",
--- a/internal/e2e/routes_test.go
+++ b/internal/e2e/routes_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("Routes of the configuration file", func() {
 	desk := testfleet.Call{Host: "booking.example", Path: "/desk/7?a=1", Body: "hello"}
 
-	It("serve calls by host and path beside the paths of every deployment", func() {
+	It("serve calls by host and path in addition to the standard paths", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		for i := range 2 {
 			answer := do(fleet.Box(i), desk)
@@ -25,7 +25,7 @@
 		}
 	})
 
-	It("change while calls go on, and reach boxes that are cut off from the log", func() {
+	It("can change under load, and reach boxes that are cut off from the log", func() {
 		fleet := start(testfleet.Config{})
 		cutOff, err := fleet.AddBoxWithoutLog("zone-b")
 		Expect(err).NotTo(HaveOccurred())
@@ -41,7 +41,7 @@
 		}
 	})
 
-	It("finish their calls when a box is asked to stop", func() {
+	It("complete their calls when a box stops gracefully", func() {
 		fleet := start(testfleet.Config{})
 		for _, name := range []string{"booking-zone-a-1", "booking-zone-b-1"} {
 			fleet.StandIns().Service(name).SetFaults(fakeservice.Faults{Delay: 300 * time.Millisecond})
--- a/internal/e2e/secrets_test.go
+++ b/internal/e2e/secrets_test.go
@@ -13,27 +13,27 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// lockedBuffer takes the logs of several boxes.
-type lockedBuffer struct {
+// syncBuffer collects the logs of several boxes.
+type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(data []byte) (int, error) {
+func (b *syncBuffer) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.Write(data)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.String()
 }
 
 var _ = Describe("Logs, dumps and metrics", func() {
-	It("hold no key, prompt or answer", func() {
-		logs := &lockedBuffer{}
+	It("contain no key, prompt or response text", func() {
+		logs := &syncBuffer{}
 		fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a"}, LogOutput: logs})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(fleet.Close)
--- a/internal/e2e/stops_test.go
+++ b/internal/e2e/stops_test.go
@@ -17,26 +17,26 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-var _ = Describe("A planned stop", func() {
+var _ = Describe("A graceful stop", func() {
 	It("cuts off no request in flight", func() {
 		fleet := start(testfleet.Config{Engine: fakeengine.Config{DecodeInterval: 20 * time.Millisecond}, Zones: []string{"zone-a", "zone-a"}})
 		box := fleet.Box(0)
 		const streams = 20
-		var begun, ended sync.WaitGroup
-		begun.Add(streams)
+		var sent, ended sync.WaitGroup
+		sent.Add(streams)
 		bodies := make([]string, streams)
 		for i := range streams {
 			ended.Go(func() {
 				defer GinkgoRecover()
 				response, err := box.Send(context.Background(), testfleet.Call{Path: completions, Body: chat("Tell me", 30, true)})
-				begun.Done()
+				sent.Done()
 				Expect(err).NotTo(HaveOccurred())
 				body, err := io.ReadAll(response.Body)
 				Expect(err).NotTo(HaveOccurred())
 				bodies[i] = string(body)
 			})
 		}
-		begun.Wait()
+		sent.Wait()
 		box.Stop()
 		ended.Wait()
 		Expect(box.Wait()).To(Succeed())
@@ -47,7 +47,7 @@
 		Expect(do(fleet.Box(1), testfleet.Call{Path: completions, Body: chat("Tell me", 2, true)}).Status).To(Equal(http.StatusOK))
 	})
 
-	It("of a backend server gives it nothing new after three seconds", func() {
+	It("of a backend server keeps new calls away from it after three seconds", func() {
 		fleet := start(testfleet.Config{})
 		leaving := fleet.StandIns().Engine("runner-zone-a-2")
 		leaving.SetFaults(fakeengine.Faults{Leaving: true})
@@ -69,21 +69,21 @@
 })
 
 var _ = Describe("The configuration", func() {
-	It("reaches a zone that is cut off from the log through its peers, and never goes back", func() {
+	It("reaches a zone that is cut off from the log through its peers", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
-		// A box whose log nobody answers.
+		// The new box gets no response from the log.
 		file := fleet.StandIns().File()
 		file.Limits.QueueLength = 777
-		cut, err := fleet.AddBoxWithoutLog("zone-b")
+		cutOff, err := fleet.AddBoxWithoutLog("zone-b")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() bool { return cut.State().Ready }, "20s", "10ms").Should(BeTrue())
-		Expect(string(cut.State().Config.Source)).To(Equal("peer"))
+		Eventually(func() bool { return cutOff.State().Ready }, "20s", "10ms").Should(BeTrue())
+		Expect(string(cutOff.State().Config.Source)).To(Equal("peer"))
 
 		version, err := fleet.Apply(file)
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() int64 { return cut.State().Config.Version }, "20s", "10ms").Should(Equal(version))
-		Expect(do(cut, testfleet.Call{Path: completions, Body: chat("Tell me", 2, true)}).Status).To(Equal(http.StatusOK))
-		Expect(cut.State().Config.LogReachable).To(BeFalse())
+		Eventually(func() int64 { return cutOff.State().Config.Version }, "20s", "10ms").Should(Equal(version))
+		Expect(do(cutOff, testfleet.Call{Path: completions, Body: chat("Tell me", 2, true)}).Status).To(Equal(http.StatusOK))
+		Expect(cutOff.State().Config.LogReachable).To(BeFalse())
 	})
 
 	It("comes from peers when the log is down and a box is new", func() {
@@ -92,14 +92,14 @@
 		fleet.StandIns().Log().SetFaults(fakelog.Faults{Down: true})
 		fleet.Box(1).Stop()
 		Expect(fleet.Box(1).Wait()).To(Succeed())
-		fresh, err := fleet.AddBox("zone-a")
+		newBox, err := fleet.AddBox("zone-a")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() bool { return fresh.State().Ready }, "20s", "10ms").Should(BeTrue())
-		Expect(fresh.State().Config.Version).To(Equal(version))
-		Expect(do(fresh, testfleet.Call{Path: completions, Body: chat("Tell me", 2, true)}).Status).To(Equal(http.StatusOK))
+		Eventually(func() bool { return newBox.State().Ready }, "20s", "10ms").Should(BeTrue())
+		Expect(newBox.State().Config.Version).To(Equal(version))
+		Expect(do(newBox, testfleet.Call{Path: completions, Body: chat("Tell me", 2, true)}).Status).To(Equal(http.StatusOK))
 	})
 
-	It("that nobody knows makes a box refuse as not run", func() {
+	It("is required: a box without one rejects requests as not run", func() {
 		fleet, err := testfleet.Start(testfleet.Config{Zones: []string{"zone-a"}, NoConfig: true})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(fleet.Close)
@@ -110,7 +110,7 @@
 		Expect(fleet.Box(0).State().Ready).To(BeFalse())
 	})
 
-	It("takes effect in every box: keys, models, limits", func() {
+	It("takes effect in every box: keys are revoked", func() {
 		fleet := start(testfleet.Config{Zones: []string{"zone-a", "zone-b"}})
 		file := fleet.StandIns().File()
 		file.Organisations = file.Organisations[:1]
@@ -118,17 +118,17 @@
 		Expect(err).NotTo(HaveOccurred())
 		for i := range 2 {
 			Eventually(func() int64 { return fleet.Box(i).State().Config.Version }, "20s").Should(Equal(version))
-			gone := testfleet.KeyLot
+			revoked := testfleet.KeyLot
 			if file.Organisations[0].Name == "lot-central" {
-				gone = testfleet.KeyNordlys
+				revoked = testfleet.KeyNordlys
 			}
-			Expect(do(fleet.Box(i), testfleet.Call{Path: "/v1/models", Key: gone}).Status).To(Equal(http.StatusUnauthorized))
+			Expect(do(fleet.Box(i), testfleet.Call{Path: "/v1/models", Key: revoked}).Status).To(Equal(http.StatusUnauthorized))
 		}
 	})
 })
 
 var _ = Describe("Overload", func() {
-	It("is refused as not run with a time to come back", func() {
+	It("is rejected as not run, with a Retry-After", func() {
 		fleet := start(testfleet.Config{
 			Engine:     fakeengine.Config{DecodeInterval: 50 * time.Millisecond},
 			EditConfig: func(file *config.File) { file.Limits.QueueLength = 3; setSlots(file, 1) },
@@ -136,7 +136,7 @@
 		const callers = 30
 		var mu sync.Mutex
 		var ended sync.WaitGroup
-		served, refused := 0, 0
+		served, rejected := 0, 0
 		for range callers {
 			ended.Go(func() {
 				defer GinkgoRecover()
@@ -147,7 +147,7 @@
 					served++
 					return
 				}
-				refused++
+				rejected++
 				Expect(answer.Status).To(Equal(http.StatusTooManyRequests))
 				Expect(outcome(answer)).To(Equal(apierror.NotRun))
 				Expect(answer.Header.Get("Retry-After")).NotTo(BeEmpty())
@@ -155,12 +155,12 @@
 		}
 		ended.Wait()
 		Expect(served).To(BeNumerically(">=", 3))
-		Expect(refused).To(BeNumerically(">=", 1))
-		total, _ := starts(fleet)
-		Expect(total).To(Equal(served), "what was refused has not run")
+		Expect(rejected).To(BeNumerically(">=", 1))
+		total, _ := startCounts(fleet)
+		Expect(total).To(Equal(served), "rejected requests have not run")
 	})
 
-	It("refuses at once what cannot begin before its deadline", func() {
+	It("rejects requests at once that cannot start before their deadline", func() {
 		fleet := start(testfleet.Config{EditConfig: func(file *config.File) {
 			for i := range file.Models {
 				file.Models[i].PrefillTokensPerSecond = 1
@@ -170,7 +170,7 @@
 		answer := do(fleet.Box(0), call)
 		Expect(errorCode(answer)).To(Equal("deadline"))
 		Expect(outcome(answer)).To(Equal(apierror.NotRun))
-		total, _ := starts(fleet)
+		total, _ := startCounts(fleet)
 		Expect(total).To(BeZero())
 	})
 })
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -14,28 +14,28 @@
 )
 
 var _ = Describe("TLS", func() {
-	It("between entry boxes lets in those of the authority alone", func() {
-		ours, stranger := testcerts.New(Default), testcerts.New(Default)
-		good := settings.TLSFiles(ours.Write(Default, GinkgoT().TempDir(), 1))
-		bad := settings.TLSFiles(stranger.Write(Default, GinkgoT().TempDir(), 2))
+	It("between entry boxes admits only boxes with a certificate of the authority", func() {
+		authority, otherAuthority := testcerts.New(Default), testcerts.New(Default)
+		good := settings.TLSFiles(authority.Write(Default, GinkgoT().TempDir(), 1))
+		bad := settings.TLSFiles(otherAuthority.Write(Default, GinkgoT().TempDir(), 2))
 		files := good
 		fleet := start(testfleet.Config{
 			Zones:        []string{"zone-a", "zone-a"},
 			EditSettings: func(s *settings.Settings) { s.PeerTLS = files },
 		})
-		friend, err := fleet.AddBoxWithoutLog("zone-a")
+		trustedBox, err := fleet.AddBoxWithoutLog("zone-a")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() bool { return friend.State().Ready }, "20s", "10ms").Should(BeTrue(), "its configuration comes from peers")
+		Eventually(func() bool { return trustedBox.State().Ready }, "20s", "10ms").Should(BeTrue(), "it gets its configuration from peers")
 		files = bad
-		foe, err := fleet.AddBoxWithoutLog("zone-a")
+		untrustedBox, err := fleet.AddBoxWithoutLog("zone-a")
 		Expect(err).NotTo(HaveOccurred())
-		Consistently(func() bool { return foe.State().Ready }, "2s", "50ms").Should(BeFalse())
-		Expect(foe.State().Peers.Peers).To(BeEmpty())
+		Consistently(func() bool { return untrustedBox.State().Ready }, "2s", "50ms").Should(BeFalse())
+		Expect(untrustedBox.State().Peers.Peers).To(BeEmpty())
 	})
 
-	It("towards callers carries requests", func() {
-		ours := testcerts.New(Default)
-		written := ours.Write(Default, GinkgoT().TempDir(), 1)
+	It("serves requests of callers", func() {
+		authority := testcerts.New(Default)
+		written := authority.Write(Default, GinkgoT().TempDir(), 1)
 		fleet, err := testfleet.Start(testfleet.Config{
 			Zones: []string{"zone-a"},
 			EditSettings: func(s *settings.Settings) {
@@ -45,7 +45,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(fleet.Close)
 		eventuallyReady(fleet.Box(0))
-		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: ours.Pool()}}}
+		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: authority.Pool()}}}
 		request, err := http.NewRequest(http.MethodPost, "https://"+fleet.Box(0).CallerAddress()+completions, strings.NewReader(chat("Hello", 2, false)))
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("Authorization", "Bearer "+testfleet.KeyNordlys)
--- a/internal/e2e/weights_test.go
+++ b/internal/e2e/weights_test.go
@@ -15,8 +15,8 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// loaded counts the runners that hold a version.
-func loaded(fleet *testfleet.Fleet, version string) int {
+// runnersWithVersion returns the number of runners that have loaded a weight version.
+func runnersWithVersion(fleet *testfleet.Fleet, version string) int {
 	count := 0
 	for _, e := range engines(fleet) {
 		if e.LoadedVersion("scene-review") == version {
@@ -27,7 +27,7 @@
 }
 
 var _ = Describe("New weights", func() {
-	It("come to all runners under load, few at a time, and no request is refused or cut off", func() {
+	It("are loaded by all runners under load, few at a time, and no request is rejected or cut off", func() {
 		fleet := start(testfleet.Config{
 			Zones:  []string{"zone-a", "zone-b", "zone-a"},
 			Engine: fakeengine.Config{LoadTime: 100 * time.Millisecond, DecodeInterval: 2 * time.Millisecond},
@@ -59,7 +59,7 @@
 				}
 			})
 		}
-		Eventually(func() int { return loaded(fleet, "v2") }, "60s", "20ms").Should(Equal(6))
+		Eventually(func() int { return runnersWithVersion(fleet, "v2") }, "60s", "20ms").Should(Equal(6))
 		close(stop)
 		ended.Wait()
 		Expect(fleet.StandIns().WeightStore().PeakLoads()).To(BeNumerically("<=", file.WeightStore.ParallelLoads))
@@ -68,7 +68,7 @@
 		}
 	})
 
-	It("that no runner has make requests wait for nobody: they are refused as not run", func() {
+	It("that no runner has loaded make requests fail at once as not run", func() {
 		fleet := start(testfleet.Config{Engine: fakeengine.Config{LoadTime: time.Hour}})
 		file := fleet.StandIns().File()
 		for i := range file.Models {
@@ -82,7 +82,7 @@
 		}, "20s").Should(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("ordered by a box that has fallen behind are refused by a runner that checks", func(ctx SpecContext) {
+	It("ordered with an old fence are rejected by the runner", func(ctx SpecContext) {
 		fleet := start(testfleet.Config{})
 		client := engine.NewClient(engine.ClientConfig{})
 		address := ""
