--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -72,8 +72,8 @@
 	ForgetRuns bool `json:"forget_runs"`
 	// WrongWeights reports another weight version in every response.
 	WrongWeights bool `json:"wrong_weights"`
-	// DropEvery drops every n-th cache event.
-	DropEvery int `json:"lose_events"`
+	// DropEventEvery drops every n-th cache event.
+	DropEventEvery int `json:"lose_events"`
 	// ReportLag is the age of every load report.
 	ReportLag time.Duration `json:"report_lag"`
 	// Leaving announces that the engine is about to stop.
--- a/internal/fakeengine/handler.go
+++ b/internal/fakeengine/handler.go
@@ -290,7 +290,7 @@
 	}
 	events := e.cache.eventsAfter(after)
 	events.Incarnation = e.incarnation
-	if dropEvery := e.currentFaults().DropEvery; dropEvery > 0 && !events.Snapshot {
+	if dropEvery := e.currentFaults().DropEventEvery; dropEvery > 0 && !events.Snapshot {
 		kept := events.Events[:0]
 		for _, event := range events.Events {
 			if event.Sequence%int64(dropEvery) != 0 {
--- a/internal/soak/advisories.go
+++ b/internal/soak/advisories.go
@@ -13,15 +13,15 @@
 const (
 	// LimitServer has a server announce a rate limit in its responses.
 	LimitServer Kind = "limit_server"
-	// DrainInAnswers has a server announce in its responses that it is draining. Its registry entry
+	// DrainInResponses has a server announce in its responses that it is draining. Its registry entry
 	// says so later.
-	DrainInAnswers Kind = "drain_in_answers"
+	DrainInResponses Kind = "drain_in_answers"
 	// PauseServer has a server reject all calls and ask for a pause (Retry-After).
 	PauseServer Kind = "pause_server"
 )
 
 // advisoryKinds are the kinds that PlanAdvisories draws. They are routine operations.
-var advisoryKinds = []Kind{LimitServer, DrainInAnswers, PauseServer}
+var advisoryKinds = []Kind{LimitServer, DrainInResponses, PauseServer}
 
 // RateLimitPerSecond is the rate limit that servers announce, in requests per second.
 const RateLimitPerSecond = 2.0
@@ -108,7 +108,7 @@
 		switch advisory.Kind {
 		case LimitServer:
 			h.checkLimit(advisory, calls, report)
-		case DrainInAnswers:
+		case DrainInResponses:
 			h.checkDraining(advisory, calls, report)
 		case PauseServer:
 			h.checkPause(advisory, calls, report)
--- a/internal/soak/zones.go
+++ b/internal/soak/zones.go
@@ -19,8 +19,8 @@
 // operationKinds are the kinds that PlanOperations draws. They are routine operations.
 var operationKinds = []Kind{EvacuateZone, ColdServer}
 
-// InSecondZone reports whether the server with this number is in the second of the two zones.
-func InSecondZone(server int) bool { return server/2%2 == 1 }
+// IsInSecondZone reports whether the server with this number is in the second of the two zones.
+func IsInSecondZone(server int) bool { return server/2%2 == 1 }
 
 // MaxColdCallsPerSecond is how many calls all boxes together may send to a cold server within one
 // second.
@@ -51,7 +51,7 @@
 	for _, evacuation := range h.Evacuations {
 		for _, arrival := range h.Arrivals {
 			a := byID[arrival.ID]
-			late := InSecondZone(arrival.Server) && arrival.At > evacuation.At+evacuationDeadline && arrival.At < evacuation.Until
+			late := IsInSecondZone(arrival.Server) && arrival.At > evacuation.At+evacuationDeadline && arrival.At < evacuation.Until
 			if late && a != nil && a.Began > evacuation.At && h.isInSync(a.Box, arrival.At) {
 				report(InvariantEvacuated, "zone evacuated at %v, but server %d received a call at %v: %s", evacuation.At.Round(time.Millisecond), arrival.Server, arrival.At.Round(time.Millisecond), a.describe())
 			}
