--- a/internal/soak/advisories.go
+++ b/internal/soak/advisories.go
@@ -84,8 +84,8 @@
 	return all
 }
 
-// isUndisturbed reports whether no fault affected a box, a server or the connections between them in a
-// period.
+// isUndisturbed reports whether, in a period, no fault interrupted a box, a server or the connections
+// between them. Reloads, advisories, leaving and cold servers interrupt nothing.
 func (h *History) isUndisturbed(box, server int, from, to time.Duration) bool {
 	return !h.isDisturbed(from, to, func(f Fault) bool {
 		switch f.Kind.scope() {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// CallKind is how a call may be repeated.
+// CallKind is the kind of a call.
 type CallKind uint8
 
 // Kinds of calls.
