--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -172,7 +172,7 @@
 		Zone: d.settings.Zone, LimitPosition: func(runner string) advisory.Position { return d.gossiper.LimitPosition(runner, true) },
 	})
 	engines := engine.NewClient(engine.ClientConfig{OnAdvisory: d.zoneView.ApplyAdvisory})
-	d.watcher = watch.New(watch.Config{Engines: engines, Knowledge: d.zoneView, Logger: d.logger})
+	d.watcher = watch.New(watch.Config{Engines: engines, View: d.zoneView, Logger: d.logger})
 	d.follower = follow.New(follow.Config{Log: log, Logger: d.logger, OnChange: d.applyConfig})
 	d.gossiper = peer.New(d.peerConfig())
 
@@ -214,7 +214,7 @@
 	server = api.New(api.Config{
 		Snapshot: d.follower.Snapshot, Keys: keys, Pipeline: d.pipeline, Dispatcher: d.dispatcher, Relay: relayStage,
 		Settle: d.settle, Claims: d.claims, Reviews: d.reviews, Services: plainservice.NewClient(plainservice.ClientConfig{OnAdvisory: d.zoneView.ApplyAdvisory}),
-		Zone: d.zoneView, Keeper: d.offloader, Budget: d.budget,
+		Zone: d.zoneView, Offloader: d.offloader, Budget: d.budget,
 	})
 	d.router = routed.New(routed.Config{
 		Logger: d.logger, Scope: d.metrics.Scope(), Zone: d.settings.Zone, BoxCount: d.boxCount, Budget: d.budget, Next: server.Handler(),
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -53,7 +53,7 @@
 	Places  *places.Placer
 	BoxName string
 	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	Mechanisms mechanism.Switches
 	// OwnsHeadroom reports whether a server's headroom is assigned to this box.
 	OwnsHeadroom func(server string) bool
 	Logger       zerolog.Logger
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -73,7 +73,7 @@
 	// MayCallCold reports whether this box may call cold servers at all; nil means that it may.
 	MayCallCold func() bool
 	// Off holds the mechanisms that are disabled.
-	Off mechanism.Switches
+	Mechanisms mechanism.Switches
 	// Dial connects to another box; nil stands for TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -87,9 +87,9 @@
 // Config configures an Index.
 type Config struct {
 	// News is signalled when a store box or a runner reports a change; it may be nil.
-	News *waiting.Signal
+	Changed *waiting.Signal
 	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	Mechanisms mechanism.Switches
 	// PollDelay is how long new store boxes are not polled unless this box polls for itself, so
 	// that a box that is about to follow another need not poll them. When each of 295 boxes polled
 	// each of 47 store boxes at startup, most were refused.
@@ -98,8 +98,8 @@
 
 // New returns an empty index.
 func New(cfg Config) *Index {
-	cfg.News = cmp.Or(cfg.News, &waiting.Signal{})
-	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, news: cfg.News}
+	cfg.Changed = cmp.Or(cfg.Changed, &waiting.Signal{})
+	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, news: cfg.Changed}
 }
 
 // Configure replaces the set of store boxes.
@@ -127,7 +127,7 @@
 		}
 	}
 	for _, s := range stores {
-		s.fast = s.config.FirstByteLatency == lowestLatency || !x.cfg.Off.Enabled(mechanism.StoreKinds)
+		s.fast = s.config.FirstByteLatency == lowestLatency || !x.cfg.Mechanisms.Enabled(mechanism.StoreKinds)
 	}
 	slices.SortFunc(stores, func(a, b *store) int { return compare(a.config.Address, b.config.Address) })
 	x.stores = stores
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -74,7 +74,7 @@
 	Lease   *orderlease.Lease
 	Logger  zerolog.Logger
 	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	Mechanisms mechanism.Switches
 	// OnPause is called when a runner stops getting new calls; it may be nil.
 	OnPause func()
 	// Holder is the name of this box in orders.
--- a/internal/zonereader/zonereader.go
+++ b/internal/zonereader/zonereader.go
@@ -65,7 +65,7 @@
 	StreamsChanged *waiting.Signal
 	PartsChanged   *waiting.Signal
 	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	Mechanisms mechanism.Switches
 	// Dial connects to another box; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
