--- a/internal/claim/stream.go
+++ b/internal/claim/stream.go
@@ -228,14 +228,14 @@
 	}
 }
 
-// AtEnd implements tail.Sink.
+// CaughtUp implements tail.Sink.
 func (s *stream) CaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = true
 }
 
-// Restart implements tail.Sink. Records that this process has not read have expired, so pending
+// Reset implements tail.Sink. Records that this process has not read have expired, so pending
 // claims can no longer be decided.
 func (s *stream) Reset(_ int64, began time.Time) {
 	s.mu.Lock()
@@ -248,7 +248,7 @@
 	s.historyStart = began.Add(MaxClockSkew - s.cfg.Retention)
 }
 
-// Take implements tail.Sink.
+// ApplyRecord implements tail.Sink.
 func (s *stream) ApplyRecord(record logservice.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// Take implements tail.Sink.
+// ApplyRecord implements tail.Sink.
 func (s *Service) ApplyRecord(record logservice.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Restart implements tail.Sink. Everything that is still needed was appended again before it
+// Reset implements tail.Sink. Everything that is still needed was appended again before it
 // expired, so reading from the earliest stored record finds it, and the reviews in memory stay
 // valid.
 func (s *Service) Reset(int64, time.Time) {
@@ -156,7 +156,7 @@
 	s.table.partials = newReviewTable().partials
 }
 
-// AtEnd implements tail.Sink.
+// CaughtUp implements tail.Sink.
 func (s *Service) CaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/routed/headers.go
+++ b/internal/routed/headers.go
@@ -59,7 +59,7 @@
 // Headers reads and writes the headers of routed calls; it implements call.Protocol.
 type Headers struct{}
 
-// ReadFacts implements call.Protocol.
+// ReadRequest implements call.Protocol.
 func (Headers) ReadRequest(header http.Header) call.RequestInfo {
 	facts := call.RequestInfo{
 		RequestID: header.Get(api.HeaderRequestID), ResumeAfter: header.Get(headerResumeAfter), Key: api.BearerKey(header),
@@ -95,7 +95,7 @@
 	return prompt, tokensRead && answerRead && partsRead
 }
 
-// WriteHandover implements call.Protocol. The namespace identifies the weights that the call is
+// WriteForwardInfo implements call.Protocol. The namespace identifies the weights that the call is
 // meant for.
 func (Headers) WriteForwardInfo(header http.Header, handover call.ForwardInfo) {
 	for _, name := range boxHeaders {
@@ -113,7 +113,7 @@
 	}
 }
 
-// ReadMarks implements call.Protocol. A server states with Cometlock-Outcome that it did not run a
+// ReadResponse implements call.Protocol. A server states with Cometlock-Outcome that it did not run a
 // call; nothing else counts as that. Its answers are not signed, so they are accepted as genuine
 // because they come from the server's address.
 func (Headers) ReadResponse(status int, header http.Header) call.ResponseInfo {
@@ -124,7 +124,7 @@
 	}
 }
 
-// WriteVerdict implements call.Protocol.
+// WriteFailure implements call.Protocol.
 func (Headers) WriteFailure(header http.Header, verdict call.FailureInfo) {
 	outcome := apierror.NotRun
 	if verdict.MayHaveRun {
