--- a/internal/retire/retire.go
+++ b/internal/retire/retire.go
@@ -19,7 +19,7 @@
 // report is too old to count.
 //
 // A box that has merely not learned of the newer weights yet fetches a part for up to
-// registry.ReadFresh after its retirement, and freeing waits for that. A box that knows of them
+// registry.MaxReadAge after its retirement, and freeing waits for that. A box that knows of them
 // may do the same.
 package retire
 
@@ -43,7 +43,7 @@
 	// then any report from before that is out of date, and the last fetch based on it has ended.
 	confirmFor = peerFresh + partindex.FetchTimeout + confirmMargin
 	// freeMargin is the time between a part's retirement and its being freed. A box may learn of
-	// the newer weights up to ReadFresh later, and then start one more fetch.
+	// the newer weights up to MaxReadAge later, and then start one more fetch.
 	freeMargin = registry.MaxReadAge + partindex.FetchTimeout + lateMargin
 	// majorityCacheFor is how long the result of computeMajority is cached. It is needed for each
 	// part that might be freed, of which there are some thousands, and going through 300 boxes each
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,5 +1,5 @@
 // Package watch polls the runners of the zone for their load reports and cache events and applies them
-// to the zone's state (zone.Knowledge).
+// to the zone's state (zone.View).
 //
 // Each runner is polled by its own goroutine, so that a runner that hangs does not delay the others.
 package watch
