--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -43,7 +43,7 @@
 	Reviews    *review.Service
 	Services   *plainservice.Client
 	Zone       *zone.View
-	Keeper     *kept.Offloader
+	Offloader  *kept.Offloader
 	Budget     *retrybudget.Budget
 	// BodyTimeout bounds the time in which a caller sends the body; 0 means 30 s.
 	BodyTimeout time.Duration
@@ -77,7 +77,7 @@
 	}
 	return &Server{
 		snapshot: cfg.Snapshot, keys: cfg.Keys, pipeline: cfg.Pipeline, dispatcher: cfg.Dispatcher, relay: cfg.Relay,
-		settle: cfg.Settle, claims: cfg.Claims, reviews: cfg.Reviews, services: cfg.Services, zone: cfg.Zone, keeper: cfg.Keeper, budget: cfg.Budget, bodyTimeout: cfg.BodyTimeout,
+		settle: cfg.Settle, claims: cfg.Claims, reviews: cfg.Reviews, services: cfg.Services, zone: cfg.Zone, keeper: cfg.Offloader, budget: cfg.Budget, bodyTimeout: cfg.BodyTimeout,
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -172,7 +172,7 @@
 		Zone: d.settings.Zone, LimitPosition: func(runner string) advisory.Position { return d.exchange.LimitPosition(runner, true) },
 	})
 	engines := engine.NewClient(engine.ClientConfig{OnAdvisory: d.knowledge.ApplyAdvisory})
-	d.watcher = watch.New(watch.Config{Engines: engines, Knowledge: d.knowledge, Logger: d.logger})
+	d.watcher = watch.New(watch.Config{Engines: engines, View: d.knowledge, Logger: d.logger})
 	d.follower = follow.New(follow.Config{Log: log, Logger: d.logger, OnChange: d.configure})
 	d.exchange = peer.New(d.peerConfig())
 
@@ -213,7 +213,7 @@
 	server = api.New(api.Config{
 		Snapshot: d.follower.Snapshot, Keys: keys, Pipeline: d.pipeline, Dispatcher: d.dispatcher, Relay: relaying,
 		Settle: d.settle, Claims: d.claims, Reviews: d.reviews, Services: plainservice.NewClient(plainservice.ClientConfig{OnAdvisory: d.knowledge.ApplyAdvisory}),
-		Zone: d.knowledge, Keeper: d.keeper, Budget: d.budget,
+		Zone: d.knowledge, Offloader: d.keeper, Budget: d.budget,
 	})
 	d.router = routed.New(routed.Config{
 		Logger: d.logger, Scope: d.metrics.Scope(), Zone: d.settings.Zone, BoxCount: d.boxes, Budget: d.budget, Next: server.Handler(),
--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -163,7 +163,7 @@
 		OwnsColdServer: func(zone, server string) bool { return b.share.OwnsColdServer(zone, server) },
 		LimitPosition:  func(zone, server string) advisory.Position { return b.share.LimitPosition(zone, server) },
 	})
-	b.parts = partindex.New(partindex.Config{News: &b.partsChanged, Off: b.settings.Mechanisms, PollDelay: b.firstReadDelay()})
+	b.parts = partindex.New(partindex.Config{News: &b.partsChanged, Mechanisms: b.settings.Mechanisms, PollDelay: b.firstReadDelay()})
 	b.registry = registry.New(registry.Config{
 		Log: b.log, Decoder: b.cfg.Decoder, Fleet: b.fleet, Logger: b.logger, OnCatalog: b.configure, StreamsChanged: &b.streamsChanged,
 		OnBoxes: func(records []sharedlog.Record) { b.share.ApplyBoxRecords(records) }, FirstReadDelay: b.firstReadDelay(),
@@ -176,7 +176,7 @@
 func (b *Box) assembleCoordination() {
 	b.lease = orderlease.New(orderlease.Config{Log: b.log, Logger: b.logger, Holder: b.incarnation, Gap: b.settings.OrderGap, Idle: b.ignoresOrders})
 	b.weightOrders = weightorders.New(weightorders.Config{
-		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.incarnation, Off: b.settings.Mechanisms, OnPause: func() { b.share.SendNow() },
+		Runners: b.cfg.Runners, Fleet: b.fleet, Lease: b.lease, Logger: b.logger, Holder: b.incarnation, Mechanisms: b.settings.Mechanisms, OnPause: func() { b.share.SendNow() },
 		Models: b.registry.DeclaredModels, TargetVersion: func(model string) int { return b.registry.Weights(model).Version },
 	})
 	b.retire = retire.New(retire.Config{
@@ -185,12 +185,12 @@
 	b.watcher = storewatch.New(storewatch.Config{Stores: b.cfg.Stores, Index: b.parts, Logger: b.logger, MayFree: b.mayFree})
 	b.share = loadshare.New(loadshare.Config{
 		Log: b.log, Fleet: b.fleet, Logger: b.logger, Box: b.settings.Box, Incarnation: shortIncarnation(b.incarnation), Zone: b.settings.Zone, Address: b.PeerAddress(), ReaderAddress: b.ReaderAddress(), PlacesAddress: b.PlacesAddress(),
-		Cores: b.settings.Cores, Off: b.settings.Mechanisms, NamedVersions: b.registry.WeightsForPeers, MergeNamedVersions: b.registry.MergeWeights, Snapshot: b.registry.Snapshot,
+		Cores: b.settings.Cores, Mechanisms: b.settings.Mechanisms, NamedVersions: b.registry.WeightsForPeers, MergeNamedVersions: b.registry.MergeWeights, Snapshot: b.registry.Snapshot,
 		NeedsSnapshot: b.registry.NeedsSnapshot, ApplySnapshot: b.registry.Adopt, Quarantine: b.quarantine, MayCallCold: b.mayCallCold,
 	})
 	b.readers = zonereader.New(zonereader.Config{
 		Registry: b.registry, Parts: b.parts, Logger: b.logger, StreamsChanged: &b.streamsChanged, PartsChanged: &b.partsChanged, Others: b.otherBoxes, BoxesKnown: b.share.BoxListLoaded,
-		Off: b.settings.Mechanisms, Self: zonereader.Box{Box: b.self(), Address: b.ReaderAddress()},
+		Mechanisms: b.settings.Mechanisms, Self: zonereader.Box{Box: b.self(), Address: b.ReaderAddress()},
 	})
 	b.places = places.New(places.Config{
 		Fleet: b.fleet, Logger: b.logger, Mechanisms: b.settings.Mechanisms, Others: b.otherOwners, Active: b.hasOtherOwners, ReportedAt: b.share.LoadSentAfter,
@@ -245,7 +245,7 @@
 	b.budget = retrybudget.New(retrybudget.Config{PerRequest: retryRatioFraction * b.settings.RetryRatio, Burst: b.retryBurst()})
 	b.gateway = gateway.New(gateway.Config{
 		Protocol: b.cfg.Protocol, Pool: b.pool,
-		Off: b.settings.Mechanisms, Fleet: b.fleet, Parts: b.parts, Logger: b.logger, Scope: b.metrics.Scope(), Zone: b.settings.Zone,
+		Mechanisms: b.settings.Mechanisms, Fleet: b.fleet, Parts: b.parts, Logger: b.logger, Scope: b.metrics.Scope(), Zone: b.settings.Zone,
 		Budget: b.budget, BoxCount: b.share.BoxCount, OwnsHeadroom: b.share.OwnsHeadroom, LoadReportAge: b.share.Lag,
 		Places: b.places, BoxName: b.settings.Box, Regions: b.settings.Regions,
 		Catalog: b.registry.Catalog, Weights: b.registry, Retire: b.retire, OutdatedAfter: b.settings.OutdatedAfter,
--- a/internal/entrybox/quarantine.go
+++ b/internal/entrybox/quarantine.go
@@ -13,7 +13,7 @@
 // assembleQuarantine creates the detection of requests that crash servers.
 func (b *Box) assembleQuarantine() {
 	scope := b.metrics.Scope()
-	b.pool = handover.NewPool(handover.PoolConfig{Off: b.settings.Mechanisms, OnDial: func() { scope.Counter("server_connections").Inc(1) }})
+	b.pool = handover.NewPool(handover.PoolConfig{Mechanisms: b.settings.Mechanisms, OnDial: func() { scope.Counter("server_connections").Inc(1) }})
 	b.quarantine = quarantine.New(quarantine.Config{
 		MayRetry: func(request quarantine.Request) bool { return b.share.RanksFirst(request.String()) },
 		OnChange: b.onQuarantineChange,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,8 +52,8 @@
 	// nil where this box places all calls itself.
 	Places  *places.Placer
 	BoxName string
-	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	// Mechanisms records which mechanisms are switched off.
+	Mechanisms mechanism.Switches
 	// OwnsHeadroom reports whether a server's headroom is assigned to this box.
 	OwnsHeadroom func(server string) bool
 	Logger       zerolog.Logger
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -105,11 +105,11 @@
 	load.Tokens = x.facts.Prompt.Tokens + x.facts.Prompt.AnswerTokens
 	if load.Tokens >= placing.MinAffinityTokens {
 		load.Memory = x.service.Engine.CapacityTokens
-		if g.cfg.Off.Enabled(mechanism.Headroom) {
+		if g.cfg.Mechanisms.Enabled(mechanism.Headroom) {
 			query.OwnsHeadroom = g.cfg.OwnsHeadroom
 		}
 	}
-	if g.cfg.Off.Enabled(mechanism.Homes) {
+	if g.cfg.Mechanisms.Enabled(mechanism.Homes) {
 		load.AffinityKey = plans.homeHash()
 	}
 	return plans
--- a/internal/handover/pool.go
+++ b/internal/handover/pool.go
@@ -27,8 +27,8 @@
 	DialTimeout time.Duration
 	// MaxIdlePerServer bounds the idle connections to one server.
 	MaxIdlePerServer int
-	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	// Mechanisms records which mechanisms are switched off.
+	Mechanisms mechanism.Switches
 	// OnDial is called for each new connection, for the metrics; it may be nil.
 	OnDial func()
 }
@@ -164,7 +164,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := cmp.Or(p.maxIdle[address], maxIdleLimit)
-	if !p.cfg.Off.Enabled(mechanism.KeptConnections) {
+	if !p.cfg.Mechanisms.Enabled(mechanism.KeptConnections) {
 		limit, open = minIdleLimit, true
 	}
 	if open {
--- a/internal/loadshare/links.go
+++ b/internal/loadshare/links.go
@@ -50,7 +50,7 @@
 
 // usesHubs reports whether boxes send through hubs. The caller holds mu.
 func (s *Share) usesHubs() bool {
-	return s.listLoaded && len(s.peers)+1 > maxDirectBoxes && s.cfg.Off.Enabled(mechanism.Hubs)
+	return s.listLoaded && len(s.peers)+1 > maxDirectBoxes && s.cfg.Mechanisms.Enabled(mechanism.Hubs)
 }
 
 // Hub returns the name of the hub that this box follows; empty for a hub, and without hubs.
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -72,8 +72,8 @@
 	Quarantine *quarantine.Set
 	// MayCallCold reports whether this box may call cold servers at all; nil means that it may.
 	MayCallCold func() bool
-	// Off holds the mechanisms that are disabled.
-	Off mechanism.Switches
+	// Mechanisms records which mechanisms are switched off.
+	Mechanisms mechanism.Switches
 	// Dial connects to another box; nil stands for TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
--- a/internal/partindex/lateness.go
+++ b/internal/partindex/lateness.go
@@ -77,7 +77,7 @@
 	now := boottime.Now()
 	s.lateness.record(late, now)
 	slow = s.lateness.minimum() > x.minOfOthers(s, now)+slowThreshold
-	slow = slow && x.cfg.Off.Enabled(mechanism.SlowStores)
+	slow = slow && x.cfg.Mechanisms.Enabled(mechanism.SlowStores)
 	changed = slow != s.lateness.slow
 	s.lateness.slow = slow
 	return slow, changed
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -88,8 +88,8 @@
 type Config struct {
 	// News is signalled when a store box or a runner reports a change; it may be nil.
 	News *waiting.Signal
-	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	// Mechanisms records which mechanisms are switched off.
+	Mechanisms mechanism.Switches
 	// PollDelay is how long new store boxes are not polled unless this box polls for itself, so
 	// that a box that is about to follow another need not poll them. When each of 295 boxes polled
 	// each of 47 store boxes at startup, most were refused.
@@ -127,7 +127,7 @@
 		}
 	}
 	for _, s := range stores {
-		s.fast = s.config.FirstByteLatency == lowestLatency || !x.cfg.Off.Enabled(mechanism.StoreKinds)
+		s.fast = s.config.FirstByteLatency == lowestLatency || !x.cfg.Mechanisms.Enabled(mechanism.StoreKinds)
 	}
 	slices.SortFunc(stores, func(a, b *store) int { return compare(a.config.Address, b.config.Address) })
 	x.stores = stores
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -19,9 +19,9 @@
 
 // Config is the configuration of a Watcher.
 type Config struct {
-	Engines   *engine.Client
-	Knowledge *zone.View
-	Logger    zerolog.Logger
+	Engines *engine.Client
+	View    *zone.View
+	Logger  zerolog.Logger
 	// Interval is the polling interval of a runner.
 	Interval time.Duration
 }
@@ -56,7 +56,7 @@
 		return
 	}
 	wanted := map[string]bool{}
-	for _, runner := range w.cfg.Knowledge.Runners() {
+	for _, runner := range w.cfg.View.Runners() {
 		key := runner.Name + "@" + runner.Address
 		wanted[key] = true
 		if _, ok := w.stops[key]; ok {
@@ -120,22 +120,22 @@
 		r.unreachable = false
 		cfg.Logger.Info().Str("server", r.runner.Name).Msg("runner_recovered")
 	}
-	cfg.Knowledge.ApplyStatus(r.runner.Name, status)
-	if status.LastEvent == cfg.Knowledge.EventCursor(r.runner.Name) {
+	cfg.View.ApplyStatus(r.runner.Name, status)
+	if status.LastEvent == cfg.View.EventCursor(r.runner.Name) {
 		return
 	}
-	events, err := cfg.Engines.CacheEvents(ctx, r.runner.Address, cfg.Knowledge.EventCursor(r.runner.Name))
+	events, err := cfg.Engines.CacheEvents(ctx, r.runner.Address, cfg.View.EventCursor(r.runner.Name))
 	if err != nil {
 		return // the next poll requests the same events again
 	}
-	cfg.Knowledge.ApplyCacheEvents(r.runner.Name, events)
+	cfg.View.ApplyCacheEvents(r.runner.Name, events)
 }
 
 func (r *runnerPoller) noteFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil || errors.Is(err, context.Canceled) {
 		return
 	}
-	r.watcher.cfg.Knowledge.NoteFailure(r.runner.Name)
+	r.watcher.cfg.View.NoteFailure(r.runner.Name)
 	if !r.unreachable {
 		r.unreachable = true
 		r.watcher.cfg.Logger.Warn().Str("server", r.runner.Name).Str("error", err.Error()).Msg("runner_unreachable")
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -52,7 +52,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			knowledge, requests := knowledgeOfOneRunner(t)
-			watcher := watch.New(watch.Config{Engines: engine.NewClient(engine.ClientConfig{}), Knowledge: knowledge})
+			watcher := watch.New(watch.Config{Engines: engine.NewClient(engine.ClientConfig{}), View: knowledge})
 			if c.closed {
 				watcher.Close()
 			}
--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -58,7 +58,7 @@
 // pause waits until all boxes have stopped sending new calls to a runner and there is a free
 // loading slot.
 func (c *Controller) pause(ctx context.Context, t task) error {
-	if c.cfg.Off.Enabled(mechanism.PausedLoading) {
+	if c.cfg.Mechanisms.Enabled(mechanism.PausedLoading) {
 		waiting.For(ctx, pauseBeforeOrder)
 	}
 	for !c.claimSlot(t) {
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -73,8 +73,8 @@
 	Fleet   *fleet.Fleet
 	Lease   *orderlease.Lease
 	Logger  zerolog.Logger
-	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	// Mechanisms records which mechanisms are switched off.
+	Mechanisms mechanism.Switches
 	// OnPause is called when a runner stops getting new calls; it may be nil.
 	OnPause func()
 	// Holder is the name of this box in orders.
--- a/internal/zonereader/follow.go
+++ b/internal/zonereader/follow.go
@@ -69,7 +69,7 @@
 // choose returns the reader to follow among the boxes that respond, or false if this box is to read
 // directly.
 func (m *Member) choose() (Box, bool) {
-	if !m.cfg.Off.Enabled(mechanism.ZoneReaders) {
+	if !m.cfg.Mechanisms.Enabled(mechanism.ZoneReaders) {
 		return Box{}, false
 	}
 	others := m.cfg.Others()
--- a/internal/zonereader/zonereader.go
+++ b/internal/zonereader/zonereader.go
@@ -64,8 +64,8 @@
 	// when the state of a store box has; nil where it never does.
 	StreamsChanged *waiting.Signal
 	PartsChanged   *waiting.Signal
-	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	// Mechanisms records which mechanisms are switched off.
+	Mechanisms mechanism.Switches
 	// Dial connects to another box; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
