--- a/internal/api/models.go
+++ b/internal/api/models.go
@@ -102,7 +102,7 @@
 		s.dispatcher.NoteServed(request)
 	}
 	if model, ok := request.Snapshot.Model(request.Model); ok && result.Failure == nil {
-		s.keeper.OfferExport(request.Placement.Server, request.Chain, model.KVBytesPerToken)
+		s.offloader.OfferExport(request.Placement.Server, request.Chain, model.KVBytesPerToken)
 	}
 	return result
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -61,7 +61,7 @@
 	reviews     *review.Service
 	services    *plainservice.Client
 	zone        *zone.View
-	keeper      *kept.Offloader
+	offloader   *kept.Offloader
 	budget      *retrybudget.Budget
 	bodyTimeout time.Duration
 	rotation    atomic.Int64
@@ -77,7 +77,7 @@
 	}
 	return &Server{
 		snapshot: cfg.Snapshot, keys: cfg.Keys, pipeline: cfg.Pipeline, dispatcher: cfg.Dispatcher, relay: cfg.Relay,
-		settle: cfg.Settle, claims: cfg.Claims, reviews: cfg.Reviews, services: cfg.Services, zone: cfg.Zone, keeper: cfg.Offloader, budget: cfg.Budget, bodyTimeout: cfg.BodyTimeout,
+		settle: cfg.Settle, claims: cfg.Claims, reviews: cfg.Reviews, services: cfg.Services, zone: cfg.Zone, offloader: cfg.Offloader, budget: cfg.Budget, bodyTimeout: cfg.BodyTimeout,
 	}
 }
 
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -20,8 +20,8 @@
 
 // accept reads the headers of a call, finds its route and sets its deadline.
 func (g *Gateway) accept(x *exchange) bool {
-	x.facts = g.cfg.Protocol.ReadRequest(x.request.Header)
-	x.resumeAfter = x.facts.ResumeAfter
+	x.info = g.cfg.Protocol.ReadRequest(x.request.Header)
+	x.resumeAfter = x.info.ResumeAfter
 	x.catalog = g.cfg.Catalog()
 	if x.catalog == nil {
 		return g.refuse(x, "no_configuration", retryAfterStartup)
@@ -34,16 +34,16 @@
 	if limit := x.catalog.Limits().HeaderBytes; limit > 0 && headerBytes(x.request) > limit {
 		return g.reject(x, http.StatusRequestHeaderFieldsTooLarge, "header_too_large")
 	}
-	if x.facts.Malformed != "" {
-		return g.reject(x, http.StatusBadRequest, x.facts.Malformed)
+	if x.info.Malformed != "" {
+		return g.reject(x, http.StatusBadRequest, x.info.Malformed)
 	}
 	x.priority = x.route.Urgency
 	timeout := x.route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if x.facts.MaxWait > 0 {
-		timeout = min(timeout, x.facts.MaxWait)
+	if x.info.MaxWait > 0 {
+		timeout = min(timeout, x.info.MaxWait)
 	}
 	x.deadline = x.arrived.Add(timeout)
 	return true
@@ -64,7 +64,7 @@
 
 // authorise looks up the organisation of the caller's API key.
 func (g *Gateway) authorise(x *exchange) bool {
-	x.organisation = x.catalog.Organisation(x.facts.Key)
+	x.organisation = x.catalog.Organisation(x.info.Key)
 	if x.organisation == nil && x.catalog.KeysRequired() && !x.route.Public {
 		return g.reject(x, http.StatusUnauthorized, "unknown_key")
 	}
--- a/internal/gateway/asyncsend.go
+++ b/internal/gateway/asyncsend.go
@@ -115,15 +115,15 @@
 	case s.err != nil:
 		s.mayHaveRun = true
 		return true
-	case s.marks().NotRun:
+	case s.responseInfo().NotRun:
 		return true
 	}
-	accepted := s.marks().Genuine && s.response.Status < http.StatusInternalServerError && (!started || isEventStream(s.response))
+	accepted := s.responseInfo().Genuine && s.response.Status < http.StatusInternalServerError && (!started || isEventStream(s.response))
 	s.mayHaveRun = s.mayHaveRun || !accepted
 	return !accepted
 }
 
-func (s *asyncSend) marks() call.ResponseInfo {
+func (s *asyncSend) responseInfo() call.ResponseInfo {
 	return s.hedge.gateway.cfg.Protocol.ReadResponse(s.response.Status, s.response.Header)
 }
 
@@ -149,8 +149,8 @@
 		return
 	}
 	defer s.response.Close()
-	if marks := s.marks(); marks.NotRun {
-		a.recordRefusal(s.response, marks)
+	if info := s.responseInfo(); info.NotRun {
+		a.recordRefusal(s.response, info)
 		return
 	}
 	a.release(fleet.OutcomeFailed)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -77,12 +77,12 @@
 		return a.handleNoResponse(err)
 	}
 	defer response.Close()
-	marks := a.gateway.cfg.Protocol.ReadResponse(response.Status, response.Header)
-	if marks.NotRun {
-		return a.handleRefusal(response, marks)
+	info := a.gateway.cfg.Protocol.ReadResponse(response.Status, response.Header)
+	if info.NotRun {
+		return a.handleRefusal(response, info)
 	}
 	a.x.mayHaveRun = true
-	if !marks.Genuine {
+	if !info.Genuine {
 		return a.handleLost("answer_not_genuine", fleet.OutcomeFailed)
 	}
 	if isEventStream(response) {
@@ -114,19 +114,19 @@
 	if err != nil {
 		return nil, err
 	}
-	marks := a.gateway.cfg.Protocol.ReadResponse(response.Status, response.Header)
-	a.gateway.cfg.Fleet.ApplyAdvisory(a.respondingServer(response.Status, marks), advisory.Answer{
-		Advisory: marks.Advisory, Sent: sent, Received: boottime.Now(), Genuine: marks.Genuine,
+	info := a.gateway.cfg.Protocol.ReadResponse(response.Status, response.Header)
+	a.gateway.cfg.Fleet.ApplyAdvisory(a.respondingServer(response.Status, info), advisory.Answer{
+		Advisory: info.Advisory, Sent: sent, Received: boottime.Now(), Genuine: info.Genuine,
 	})
 	return response, nil
 }
 
 // respondingServer returns the incarnation that responded: a new incarnation may be running at the
 // server's address.
-func (a *attempt) respondingServer(status int, marks call.ResponseInfo) string {
+func (a *attempt) respondingServer(status int, info call.ResponseInfo) string {
 	server := a.chosen.hold.Server()
-	if status == http.StatusMisdirectedRequest && marks.Server != "" && marks.Server != server.TargetName() {
-		return marks.Server
+	if status == http.StatusMisdirectedRequest && info.Server != "" && info.Server != server.TargetName() {
+		return info.Server
 	}
 	return server.Incarnation
 }
@@ -138,7 +138,7 @@
 func (a *attempt) buildRequest() handover.Request {
 	x := a.x
 	header := endToEndHeaders(x.request.Header)
-	a.gateway.cfg.Protocol.WriteForwardInfo(header, x.handoverData(a.chosen, a.gateway.serverTimeout(x, a.chosen)))
+	a.gateway.cfg.Protocol.WriteForwardInfo(header, x.forwardInfo(a.chosen, a.gateway.serverTimeout(x, a.chosen)))
 	maxIdle := maxIdleOnce
 	if x.route.IsRepeatable() {
 		maxIdle = maxIdleRepeatable
@@ -151,6 +151,6 @@
 
 // matches reports whether a response names this call, or names none.
 func (a *attempt) matches(response *http.Response) bool {
-	marks := a.gateway.cfg.Protocol.ReadResponse(response.StatusCode, response.Header)
-	return marks.RequestID == "" || marks.RequestID == a.x.facts.RequestID
+	info := a.gateway.cfg.Protocol.ReadResponse(response.StatusCode, response.Header)
+	return info.RequestID == "" || info.RequestID == a.x.info.RequestID
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -143,7 +143,7 @@
 
 	// Written by accept.
 	catalog *catalog.Catalog
-	facts   call.RequestInfo
+	info    call.RequestInfo
 	route   *catalog.Route
 	service *catalog.Service
 	// deadline is the earlier one of the caller's and the route's deadline.
--- a/internal/gateway/outdated.go
+++ b/internal/gateway/outdated.go
@@ -55,7 +55,7 @@
 	if chosen.namespace == "" {
 		return timeout
 	}
-	newer, outdated := g.cfg.Weights.OutdatedSince(x.facts.Prompt.Model, chosen.hold.Weights())
+	newer, outdated := g.cfg.Weights.OutdatedSince(x.info.Prompt.Model, chosen.hold.Weights())
 	if !outdated || newer.Undated() {
 		return timeout
 	}
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/outdated_test.go
@@ -78,7 +78,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gateway := newTestGateway(versions{{Version: 2, LearnedAt: time.Now(), DeclaredAfter: time.Now().Add(-9 * time.Second)}})
-		x := &exchange{deadline: time.Now().Add(10 * time.Second), facts: call.RequestInfo{Prompt: &call.Prompt{Model: "m"}}}
+		x := &exchange{deadline: time.Now().Add(10 * time.Second), info: call.RequestInfo{Prompt: &call.Prompt{Model: "m"}}}
 		hold := gateway.cfg.Fleet.Choose(fleet.Query{
 			Service: "s", Model: "m", PrefillWork: func(int) int { return 0 }, VersionCost: func(int) (float64, bool) { return 0, true },
 		})
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -44,7 +44,7 @@
 		return placement{}, false, false
 	}
 	here, zone := g.cfg.Fleet.ChooseUnless(query, func(best *placing.Candidate, unseen float64) bool {
-		return placing.ShouldAskOwner(x.facts.Prompt.Tokens, best, unseen)
+		return placing.ShouldAskOwner(x.info.Prompt.Tokens, best, unseen)
 	})
 	if here != nil {
 		return g.recordPlacement(x, here, plans), true, true
--- a/internal/gateway/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -73,7 +73,7 @@
 	startRunner(t, f, "r", countingRunner(&count)) // with 4 slots
 	c := promptCatalog(g)
 	protocol := newPlanProtocol()
-	protocol.facts.Prompt.Tokens, protocol.facts.Prompt.Parts = 100, protocol.facts.Prompt.Parts[1:]
+	protocol.info.Prompt.Tokens, protocol.info.Prompt.Parts = 100, protocol.info.Prompt.Parts[1:]
 	gateway := promptGateway(protocol, f, emptyIndex(c), c)
 	var asked atomic.Int64
 	gateway.cfg.Places = places.New(places.Config{
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -59,7 +59,7 @@
 	if plans == nil {
 		return chosen
 	}
-	g.cfg.Parts.NoteDispatched(chosen.namespace, x.facts.Prompt.Parts, chosen.plan)
+	g.cfg.Parts.NoteDispatched(chosen.namespace, x.info.Prompt.Parts, chosen.plan)
 	return chosen
 }
 
@@ -78,7 +78,7 @@
 		// Divided among one box more than are known, since one may have just started.
 		ConnectionLimit: max(x.service.ConnectionLimit/(g.cfg.BoxCount()+1), minConnections),
 	}
-	if x.facts.Prompt == nil || x.service.Engine == nil {
+	if x.info.Prompt == nil || x.service.Engine == nil {
 		return query, nil
 	}
 	plans := g.addPromptQuery(x, &query)
@@ -88,7 +88,7 @@
 // addPromptQuery adds the requirements of the call's prompt to a query, and returns the plans that
 // the query's functions use.
 func (g *Gateway) addPromptQuery(x *exchange, query *fleet.Query) *promptPlans {
-	model := x.facts.Prompt.Model
+	model := x.info.Prompt.Model
 	plans := &promptPlans{gateway: g, x: x, newestVersion: g.newestVersion(model), byVersion: map[int]placement{}}
 	query.Model = model
 	query.VersionCost = func(weights int) (float64, bool) { return g.outdatedCost(model, weights, x.route.Objective) }
@@ -102,7 +102,7 @@
 	}
 	load := &query.Load
 	load.PrefillLimit = maxReadDelay(x)
-	load.Tokens = x.facts.Prompt.Tokens + x.facts.Prompt.AnswerTokens
+	load.Tokens = x.info.Prompt.Tokens + x.info.Prompt.AnswerTokens
 	if load.Tokens >= placing.MinAffinityTokens {
 		load.Memory = x.service.Engine.CapacityTokens
 		if g.cfg.Mechanisms.Enabled(mechanism.Headroom) {
@@ -140,7 +140,7 @@
 	if planned, ok := p.byVersion[weights]; ok {
 		return planned
 	}
-	prompt := p.x.facts.Prompt
+	prompt := p.x.info.Prompt
 	name := namespace.Name{Model: prompt.Model, Weights: weights, Isolated: p.x.isolationName()}.String()
 	planned := placement{namespace: name}
 	planned.plan = p.gateway.cfg.Parts.Plan(partindex.Query{
@@ -156,10 +156,10 @@
 // homeHash returns a hash of the first large prompt part that cannot be fetched, so that calls
 // which share the part go to the same runner. It returns 0 if there is none.
 func (p *promptPlans) homeHash() uint64 {
-	if p.x.facts.Prompt == nil {
+	if p.x.info.Prompt == nil {
 		return 0
 	}
-	for i, part := range p.x.facts.Prompt.Parts[:max(len(p.x.facts.Prompt.Parts)-1, 0)] {
+	for i, part := range p.x.info.Prompt.Parts[:max(len(p.x.info.Prompt.Parts)-1, 0)] {
 		if part.Tokens >= placing.MinAffinityTokens && p.forVersion(p.newestVersion).plan.Fetch[i] == "" {
 			return xxhash.Sum64String(part.ID) | 1
 		}
@@ -174,8 +174,8 @@
 	return ""
 }
 
-// handoverData returns the data that the chosen server gets with the call.
-func (x *exchange) handoverData(chosen placement, timeout time.Duration) call.ForwardInfo {
+// forwardInfo returns the metadata that the chosen server gets with the call.
+func (x *exchange) forwardInfo(chosen placement, timeout time.Duration) call.ForwardInfo {
 	server := chosen.hold.Server()
 	data := call.ForwardInfo{Server: server.TargetName(), Remaining: timeout, ResumeAfter: x.resumeAfter}
 	if x.organisation != nil {
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -25,20 +25,20 @@
 // planProtocol is a protocol that records which parts servers are asked to save and to fetch. A
 // response with status 503 means that the call did not run.
 type planProtocol struct {
-	facts call.RequestInfo
+	info call.RequestInfo
 
 	mu      sync.Mutex
 	saves   [][]string
 	fetches [][]string
 }
 
-func (p *planProtocol) ReadRequest(http.Header) call.RequestInfo { return p.facts }
+func (p *planProtocol) ReadRequest(http.Header) call.RequestInfo { return p.info }
 
-func (p *planProtocol) WriteForwardInfo(_ http.Header, handover call.ForwardInfo) {
+func (p *planProtocol) WriteForwardInfo(_ http.Header, info call.ForwardInfo) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.saves = append(p.saves, slices.Clone(handover.Model.Save))
-	p.fetches = append(p.fetches, slices.Clone(handover.Model.Fetch))
+	p.saves = append(p.saves, slices.Clone(info.Model.Save))
+	p.fetches = append(p.fetches, slices.Clone(info.Model.Fetch))
 }
 
 func (p *planProtocol) ReadResponse(status int, _ http.Header) call.ResponseInfo {
@@ -49,7 +49,7 @@
 
 // newPlanProtocol makes a protocol whose calls all have a prompt with one shared part.
 func newPlanProtocol() *planProtocol {
-	return &planProtocol{facts: call.RequestInfo{
+	return &planProtocol{info: call.RequestInfo{
 		RequestID: "q", Prompt: &call.Prompt{Model: "m", Tokens: 5100, Parts: []call.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 100}}},
 	}}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -117,7 +117,7 @@
 	g := NewWithT(t)
 	e := newCrashGateway(g, false)
 	protocol := newPlanProtocol()
-	protocol.facts.Prompt = largeMemoryPrompt()
+	protocol.info.Prompt = largeMemoryPrompt()
 	e.cfg.Protocol = protocol
 	release := make(chan struct{})
 	defer close(release)
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -52,7 +52,7 @@
 // recordTokens counts the prompt tokens of a served call by their source, and records the time to
 // the first event of calls with fetched tokens.
 func recordTokens(scope tally.Scope, x *exchange) {
-	prompt, plan := x.facts.Prompt, x.placement.plan
+	prompt, plan := x.info.Prompt, x.placement.plan
 	if prompt == nil || x.placement.namespace == "" || x.outcome != outcomeServed {
 		return
 	}
@@ -99,7 +99,7 @@
 	if x.outcome != outcomeServed && x.outcome != outcomeGone {
 		event = g.cfg.Logger.Warn()
 	}
-	event.Str("request", x.facts.RequestID).Str("outcome", string(x.outcome)).Int("status", x.status).
+	event.Str("request", x.info.RequestID).Str("outcome", string(x.outcome)).Int("status", x.status).
 		Dur("took", took).Int("tries", len(x.attempted)).Int("events", x.eventsSent).Int64("bytes", x.bytesSent)
 	if x.reason != "" {
 		event.Str("reason", x.reason)
@@ -152,7 +152,7 @@
 			Int("in_flight", counts.InFlight).Int("held_tokens", counts.HeldTokens).Int("evacuated", counts.Evacuated).Int("cold_spared", counts.ColdExcluded).
 			Int("rate_limited", counts.Limited).Int("paused", counts.Paused)
 	}
-	if prompt := x.facts.Prompt; prompt != nil && x.route != nil {
+	if prompt := x.info.Prompt; prompt != nil && x.route != nil {
 		event.Int("prompt_tokens", prompt.Tokens).Int("unfetched_tokens", x.placement.plan.Missing).
 			Dur("objective", x.route.Objective).Dur("waited", x.placeTime).Str("shared", largestSharedPart(prompt)).Int("saves", countSaves(x.placement.plan))
 		if x.placedBy != "" {
--- a/internal/gateway/refuse_test.go
+++ b/internal/gateway/refuse_test.go
@@ -13,6 +13,6 @@
 func TestARefusalWithoutAnObjectiveHasARetryDelay(t *testing.T) {
 	g := NewWithT(t)
 	gateway := newTestGateway(versions{{Version: 1}})
-	x := &exchange{route: &catalog.Route{}, facts: call.RequestInfo{Prompt: &call.Prompt{Model: "m"}}}
+	x := &exchange{route: &catalog.Route{}, info: call.RequestInfo{Prompt: &call.Prompt{Model: "m"}}}
 	g.Expect(gateway.busyBackoff(x)).To(BeNumerically(">", 0))
 }
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -90,8 +90,8 @@
 }
 
 // handleRefusal handles a response which says that the server did not run the call.
-func (a *attempt) handleRefusal(response *handover.Response, marks call.ResponseInfo) nextStep {
-	a.recordRefusal(response, marks)
+func (a *attempt) handleRefusal(response *handover.Response, info call.ResponseInfo) nextStep {
+	a.recordRefusal(response, info)
 	if a.watch.switchToHedge() {
 		return stepSwitched
 	}
@@ -104,10 +104,10 @@
 
 // recordRefusal records that the server did not run the call, and what the refusal shows about the
 // server.
-func (a *attempt) recordRefusal(response *handover.Response, marks call.ResponseInfo) {
+func (a *attempt) recordRefusal(response *handover.Response, info call.ResponseInfo) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBytes)) // so that the connection can be reused
 	server := a.chosen.hold.Server()
-	replaced := marks.Server != "" && marks.Server != server.TargetName()
+	replaced := info.Server != "" && info.Server != server.TargetName()
 	switch {
 	case response.Status == http.StatusMisdirectedRequest && replaced:
 		a.release(fleet.OutcomeReplaced)
@@ -118,7 +118,7 @@
 	}
 	a.log("server_refused", strconv.Itoa(response.Status))
 	if replaced {
-		a.gateway.cfg.Logger.Info().Str("server", server.Incarnation).Str("address", server.Address).Str("found", marks.Server).Msg("address_reused")
+		a.gateway.cfg.Logger.Info().Str("server", server.Incarnation).Str("address", server.Address).Str("found", info.Server).Msg("address_reused")
 	}
 }
 
@@ -127,7 +127,7 @@
 func (a *attempt) release(end fleet.Outcome) {
 	a.chosen.hold.Done(end)
 	if end != fleet.OutcomeServed && a.chosen.namespace != "" {
-		a.gateway.cfg.Parts.DropSaves(a.chosen.namespace, a.x.facts.Prompt.Parts, a.chosen.plan)
+		a.gateway.cfg.Parts.DropSaves(a.chosen.namespace, a.x.info.Prompt.Parts, a.chosen.plan)
 	}
 }
 
@@ -152,7 +152,7 @@
 func (a *attempt) log(event, reason string) {
 	server := a.chosen.hold.Server()
 	a.gateway.metrics.attemptFailed(event)
-	a.gateway.cfg.Logger.Info().Str("request", a.x.facts.RequestID).Str("server", server.Incarnation).Str("service", server.Service).
+	a.gateway.cfg.Logger.Info().Str("request", a.x.info.RequestID).Str("server", server.Incarnation).Str("service", server.Service).
 		Int("try", a.number).Str("reason", reason).Bool("silent", a.watch.hasSwitched()).Stringer("fingerprint", a.x.fingerprint).
 		Str("ended_by", string(a.closedBy())).Dur("left", boottime.Until(a.x.deadline)).Int("servers_seen", a.serversReached).
 		Float64("retries_saved", a.gateway.cfg.Budget.State().Balance).Msg(event)
--- a/internal/gateway/saves_test.go
+++ b/internal/gateway/saves_test.go
@@ -36,7 +36,7 @@
 	g.Eventually(func() [][]string {
 		index.Apply(storeAddress, report())
 		return [][]string{index.Plan(partindex.Query{
-			Namespace: "m/1", Parts: protocol.facts.Prompt.Parts, Save: true, MayFetch: func(string) bool { return true },
+			Namespace: "m/1", Parts: protocol.info.Prompt.Parts, Save: true, MayFetch: func(string) bool { return true },
 		}).Save}
 	}, "5s", "20ms").Should(Equal([][]string{{storeAddress, ""}}))
 	serveOne(g, gateway)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -97,7 +97,7 @@
 // servers can be reached, and after some prompts have been processed when they are busy. For
 // prompts it is random, so that calls refused together do not come back together.
 func (g *Gateway) busyBackoff(x *exchange) time.Duration {
-	if x.facts.Prompt == nil {
+	if x.info.Prompt == nil {
 		return retryAfterNoServers
 	}
 	objective := x.route.Objective
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -59,7 +59,7 @@
 	if !g.canStartInTime(x) {
 		return placement{}, false
 	}
-	if x.facts.Prompt == nil || x.service.Engine == nil || !g.cfg.Mechanisms.Enabled(mechanism.WaitingLine) {
+	if x.info.Prompt == nil || x.service.Engine == nil || !g.cfg.Mechanisms.Enabled(mechanism.WaitingLine) {
 		return g.place(x)
 	}
 	if chosen, ok, decided := g.placeByOwner(x); decided {
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -39,7 +39,7 @@
 	}))
 	c := promptCatalog(g)
 	protocol := newPlanProtocol()
-	protocol.facts.Prompt = largeMemoryPrompt() // of a capacity of 100,000 tokens
+	protocol.info.Prompt = largeMemoryPrompt() // of a capacity of 100,000 tokens
 	gateway := promptGateway(protocol, f, emptyIndex(c), c)
 	var burst sync.WaitGroup
 	var served atomic.Int64
@@ -69,7 +69,7 @@
 	}))
 	c := promptCatalog(g)
 	protocol := newPlanProtocol()
-	protocol.facts.Prompt = largeMemoryPrompt()
+	protocol.info.Prompt = largeMemoryPrompt()
 	gateway := promptGateway(protocol, f, emptyIndex(c), c)
 	var first sync.WaitGroup
 	for range 2 {
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -254,7 +254,7 @@
 			f := fleet.New(fleet.Config{})
 			startRunner(t, f, "first", respond("first", stallDuration))
 			c := plainCatalog(g)
-			gateway := promptGateway(plainProtocol{&planProtocol{facts: call.RequestInfo{RequestID: "q"}}}, f, emptyIndex(c), c)
+			gateway := promptGateway(plainProtocol{&planProtocol{info: call.RequestInfo{RequestID: "q"}}}, f, emptyIndex(c), c)
 			bodies := make(chan string, 1)
 			go func() { bodies <- serveStream(gateway) }()
 			g.Eventually(func() int { return inFlight(f) }).Should(Equal(1))
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -34,14 +34,14 @@
 		if err != nil {
 			return
 		}
-		server := &serverConn{exchange: g, conn: conn}
+		server := &serverConn{gossiper: g, conn: conn}
 		go server.loop(ctx)
 	}
 }
 
 // serverConn is a connection that a peer opened.
 type serverConn struct {
-	exchange *Gossiper
+	gossiper *Gossiper
 	conn     net.Conn
 }
 
@@ -61,8 +61,8 @@
 		if err != nil {
 			return
 		}
-		n, err := writeMessage(s.conn, s.exchange.handleMessage(message))
-		s.exchange.countSent(n)
+		n, err := writeMessage(s.conn, s.gossiper.handleMessage(message))
+		s.gossiper.countSent(n)
 		if err != nil {
 			return
 		}
--- a/internal/routed/headers.go
+++ b/internal/routed/headers.go
@@ -61,28 +61,28 @@
 
 // ReadRequest implements call.Protocol.
 func (Headers) ReadRequest(header http.Header) call.RequestInfo {
-	facts := call.RequestInfo{
+	info := call.RequestInfo{
 		RequestID: header.Get(api.HeaderRequestID), ResumeAfter: header.Get(headerResumeAfter), Key: api.BearerKey(header),
 	}
 	if text := header.Get(api.HeaderDeadline); text != "" {
 		patience, ok := api.ParseSeconds(text)
 		if !ok {
-			facts.Malformed = "bad_deadline"
-			return facts
+			info.Malformed = "bad_deadline"
+			return info
 		}
-		facts.MaxWait = patience
+		info.MaxWait = patience
 	}
 	model := header.Get(headerModel)
 	if model == "" {
-		return facts
+		return info
 	}
 	prompt, ok := readPrompt(model, header)
 	if !ok {
-		facts.Malformed = "bad_prompt"
-		return facts
+		info.Malformed = "bad_prompt"
+		return info
 	}
-	facts.Prompt = prompt
-	return facts
+	info.Prompt = prompt
+	return info
 }
 
 // readPrompt parses the caller's description of its prompt, and reports whether it is valid.
@@ -97,19 +97,19 @@
 
 // WriteForwardInfo implements call.Protocol. The namespace identifies the weights that the call is
 // meant for.
-func (Headers) WriteForwardInfo(header http.Header, handover call.ForwardInfo) {
+func (Headers) WriteForwardInfo(header http.Header, info call.ForwardInfo) {
 	for _, name := range boxHeaders {
 		header.Del(name)
 	}
 	// A stream in an encoding that a server chose could not be resumed by another server.
 	header.Set(headerEncodings, "identity")
-	header.Set(headerRemaining, strconv.FormatFloat(max(handover.Remaining.Seconds(), 0), 'f', secondsDecimals, 64))
-	call.SetNonEmpty(header, headerIncarnation, incarnationIn(handover.Server))
-	call.SetNonEmpty(header, headerOrganisation, handover.Organisation)
-	call.SetNonEmpty(header, headerResumeAfter, handover.ResumeAfter)
-	if handover.Model != nil {
-		header.Set(headerNamespace, handover.Model.Namespace)
-		header.Set(headerPriority, string(priorityOf(handover.Model.Urgency)))
+	header.Set(headerRemaining, strconv.FormatFloat(max(info.Remaining.Seconds(), 0), 'f', secondsDecimals, 64))
+	call.SetNonEmpty(header, headerIncarnation, incarnationIn(info.Server))
+	call.SetNonEmpty(header, headerOrganisation, info.Organisation)
+	call.SetNonEmpty(header, headerResumeAfter, info.ResumeAfter)
+	if info.Model != nil {
+		header.Set(headerNamespace, info.Model.Namespace)
+		header.Set(headerPriority, string(priorityOf(info.Model.Urgency)))
 	}
 }
 
@@ -125,14 +125,14 @@
 }
 
 // WriteFailure implements call.Protocol.
-func (Headers) WriteFailure(header http.Header, verdict call.FailureInfo) {
+func (Headers) WriteFailure(header http.Header, failure call.FailureInfo) {
 	outcome := apierror.NotRun
-	if verdict.MayHaveRun {
+	if failure.MayHaveRun {
 		outcome = apierror.Unknown
 	}
 	header.Set(api.HeaderOutcome, string(outcome))
-	if verdict.RetryAfter > 0 {
-		header.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(verdict.RetryAfter.Seconds()))))
+	if failure.RetryAfter > 0 {
+		header.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(failure.RetryAfter.Seconds()))))
 	}
 }
 
--- a/internal/routed/headers_test.go
+++ b/internal/routed/headers_test.go
@@ -8,7 +8,7 @@
 	"github.com/cometlock/cometlock/internal/config"
 )
 
-func FuzzReadFacts(f *testing.F) {
+func FuzzReadRequest(f *testing.F) {
 	f.Add("1.5", "300", "20", "a:100,b:200")
 	f.Add("-1", "x", "9999999999999999999999", ":,")
 	f.Add("NaN", "1073741825", "", "a")
@@ -17,22 +17,22 @@
 			"Cometlock-Deadline": {deadline}, "Cometlock-Model": {"m"}, "Cometlock-Prompt-Tokens": {tokens},
 			"Cometlock-Answer-Tokens": {answer}, "Cometlock-Prompt-Parts": {parts},
 		}
-		facts := Headers{}.ReadRequest(header)
-		if facts.Malformed != "" {
+		info := Headers{}.ReadRequest(header)
+		if info.Malformed != "" {
 			return
 		}
-		if facts.MaxWait < 0 || facts.MaxWait > 366*24*time.Hour {
-			t.Fatalf("patience is out of range: %v", facts.MaxWait)
+		if info.MaxWait < 0 || info.MaxWait > 366*24*time.Hour {
+			t.Fatalf("patience is out of range: %v", info.MaxWait)
 		}
-		total := facts.Prompt.Tokens + facts.Prompt.AnswerTokens
-		for _, part := range facts.Prompt.Parts {
+		total := info.Prompt.Tokens + info.Prompt.AnswerTokens
+		for _, part := range info.Prompt.Parts {
 			if part.ID == "" || part.Tokens < 0 {
 				t.Fatalf("invalid part: %+v", part)
 			}
 			total += part.Tokens
 		}
-		if total < 0 || facts.Prompt.Tokens < 0 || facts.Prompt.AnswerTokens < 0 {
-			t.Fatalf("invalid prompt: %+v", facts.Prompt)
+		if total < 0 || info.Prompt.Tokens < 0 || info.Prompt.AnswerTokens < 0 {
+			t.Fatalf("invalid prompt: %+v", info.Prompt)
 		}
 	})
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -15,9 +15,9 @@
 	"github.com/cometlock/cometlock/internal/zone"
 )
 
-// knowledgeOfOneRunner returns the state of a zone with one runner, and a counter of the requests that
+// viewOfOneRunner returns the view of a zone with one runner, and a counter of the requests that
 // the runner received.
-func knowledgeOfOneRunner(t *testing.T) (*zone.View, *atomic.Int64) {
+func viewOfOneRunner(t *testing.T) (*zone.View, *atomic.Int64) {
 	g := NewWithT(t)
 	var requests atomic.Int64
 	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -32,9 +32,9 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	snapshot, err := config.NewSnapshot(0, entries)
 	g.Expect(err).NotTo(HaveOccurred())
-	knowledge := zone.New(zone.Config{Zone: "zone-a"})
-	knowledge.Configure(snapshot)
-	return knowledge, &requests
+	view := zone.New(zone.Config{Zone: "zone-a"})
+	view.Configure(snapshot)
+	return view, &requests
 }
 
 func TestRunnersArePolledUntilClose(t *testing.T) {
@@ -51,8 +51,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			knowledge, requests := knowledgeOfOneRunner(t)
-			watcher := watch.New(watch.Config{Engines: engine.NewClient(engine.ClientConfig{}), View: knowledge})
+			view, requests := viewOfOneRunner(t)
+			watcher := watch.New(watch.Config{Engines: engine.NewClient(engine.ClientConfig{}), View: view})
 			if c.closed {
 				watcher.Close()
 			}
