--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -64,8 +64,8 @@
 	// most likely to be running first. Nil is for servers in the box's own zone only, where no cut
 	// can lie between.
 	Neighbours func(server fleet.Server) []string
-	// Fate returns the state of an incarnation of a server in the registry.
-	Fate func(incarnation string) fleet.RegistryStatus
+	// RegistryStatus returns the state of an incarnation of a server in the registry.
+	RegistryStatus func(incarnation string) fleet.RegistryStatus
 	// OnCrash is called for each call under which a server crashed.
 	OnCrash func(BrokenCall)
 }
@@ -101,7 +101,7 @@
 // Check reports whether the server of a call that broke off has crashed. What is not known yet
 // may be detected later; in both cases OnCrash is called.
 func (d *Detector) Check(ctx context.Context, call BrokenCall) bool {
-	if d.cfg.Fate(call.Server.Incarnation) == fleet.StatusLeft {
+	if d.cfg.RegistryStatus(call.Server.Incarnation) == fleet.StatusLeft {
 		return false
 	}
 	if d.hasCrashed(ctx, call.Server) {
@@ -224,7 +224,7 @@
 	kept := d.unresolved[:0]
 	logged := map[string]bool{}
 	for _, call := range d.unresolved {
-		fate := d.cfg.Fate(call.Server.Incarnation)
+		fate := d.cfg.RegistryStatus(call.Server.Incarnation)
 		switch {
 		case fate == fleet.StatusReplaced:
 			crashed = append(crashed, call.BrokenCall)
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -67,7 +67,7 @@
 			return nil
 		},
 		Neighbours: func(fleet.Server) []string { return []string{neighbourAddress} },
-		Fate: func(string) fleet.RegistryStatus {
+		RegistryStatus: func(string) fleet.RegistryStatus {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			return o.fate
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -40,7 +40,7 @@
 		MayRetry: func(quarantine.Request) bool { return true },
 		OnChange: func(change quarantine.Change) { logChange(cfg.Logger, change) },
 	})
-	t.detector = crash.New(crash.Config{Logger: cfg.Logger, Connect: crash.Connect, Fate: t.registryStatus, OnCrash: t.noteCrash})
+	t.detector = crash.New(crash.Config{Logger: cfg.Logger, Connect: crash.Connect, RegistryStatus: t.registryStatus, OnCrash: t.noteCrash})
 	return t
 }
 
--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -163,7 +163,7 @@
 		OwnsColdServer: func(zone, server string) bool { return b.share.OwnsColdServer(zone, server) },
 		LimitPosition:  func(zone, server string) advisory.Position { return b.share.LimitPosition(zone, server) },
 	})
-	b.parts = partindex.New(partindex.Config{News: &b.partsChanged, Mechanisms: b.settings.Mechanisms, PollDelay: b.firstReadDelay()})
+	b.parts = partindex.New(partindex.Config{Changed: &b.partsChanged, Mechanisms: b.settings.Mechanisms, PollDelay: b.firstReadDelay()})
 	b.registry = registry.New(registry.Config{
 		Log: b.log, Decoder: b.cfg.Decoder, Fleet: b.fleet, Logger: b.logger, OnCatalog: b.configure, StreamsChanged: &b.streamsChanged,
 		OnBoxes: func(records []sharedlog.Record) { b.share.ApplyBoxRecords(records) }, FirstReadDelay: b.firstReadDelay(),
--- a/internal/entrybox/quarantine.go
+++ b/internal/entrybox/quarantine.go
@@ -19,7 +19,7 @@
 		OnChange: b.onQuarantineChange,
 	})
 	b.crashes = crash.New(crash.Config{
-		Logger: b.logger, Fate: b.fleet.RegistryStatus, Connect: b.pool.Probe, Neighbours: b.fleet.ZonePeers, OnCrash: b.noteCrash,
+		Logger: b.logger, RegistryStatus: b.fleet.RegistryStatus, Connect: b.pool.Probe, Neighbours: b.fleet.ZonePeers, OnCrash: b.noteCrash,
 	})
 }
 
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -74,7 +74,7 @@
 	clock   int64
 	clockAt time.Time
 
-	// resumePolling ends waits for updates from another box, and news wakes those that wait to send
+	// resumePolling ends waits for updates from another box, and changed wakes those that wait to send
 	// changes of store boxes to other boxes.
 	resumePolling waiting.Signal
 	news          *waiting.Signal
@@ -86,8 +86,8 @@
 
 // Config configures an Index.
 type Config struct {
-	// News is signalled when a store box or a runner reports a change; it may be nil.
-	News *waiting.Signal
+	// Changed is signalled when a store box or a runner reports a change; it may be nil.
+	Changed *waiting.Signal
 	// Mechanisms records which mechanisms are switched off.
 	Mechanisms mechanism.Switches
 	// PollDelay is how long new store boxes are not polled unless this box polls for itself, so
@@ -98,8 +98,8 @@
 
 // New returns an empty index.
 func New(cfg Config) *Index {
-	cfg.News = cmp.Or(cfg.News, &waiting.Signal{})
-	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, news: cfg.News}
+	cfg.Changed = cmp.Or(cfg.Changed, &waiting.Signal{})
+	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, news: cfg.Changed}
 }
 
 // Configure replaces the set of store boxes.
--- a/internal/zonereader/request_test.go
+++ b/internal/zonereader/request_test.go
@@ -24,7 +24,7 @@
 func BenchmarkRequest(b *testing.B) {
 	const storeBoxes, newParts = 18, 12
 	changed := &waiting.Signal{}
-	parts := partindex.New(partindex.Config{News: changed})
+	parts := partindex.New(partindex.Config{Changed: changed})
 	var services []catalog.Service
 	for i := range storeBoxes {
 		services = append(services, catalog.Service{Name: fmt.Sprint("store-", i), Store: &catalog.Store{Address: fmt.Sprint("10.0.0.", i, ":1"), CapacityTokens: 1_000_000}})
--- a/internal/zonereader/zonereader_test.go
+++ b/internal/zonereader/zonereader_test.go
@@ -178,7 +178,7 @@
 	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop()})
 	b.registry = registry.New(registry.Config{Log: b.log, Decoder: decoder{}, Fleet: b.fleet, Logger: zerolog.Nop(), StreamsChanged: changed})
 	b.member = zonereader.New(zonereader.Config{
-		Registry: b.registry, Parts: partindex.New(partindex.Config{News: changed}), Logger: zerolog.Nop(), Self: b.self, StreamsChanged: changed, PartsChanged: changed,
+		Registry: b.registry, Parts: partindex.New(partindex.Config{Changed: changed}), Logger: zerolog.Nop(), Self: b.self, StreamsChanged: changed, PartsChanged: changed,
 		Others: func() []zonereader.Box { return f.others(b) }, Dial: f.dial,
 	})
 }
