--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -224,15 +224,15 @@
 	kept := d.unresolved[:0]
 	logged := map[string]bool{}
 	for _, call := range d.unresolved {
-		fate := d.cfg.RegistryStatus(call.Server.Incarnation)
+		status := d.cfg.RegistryStatus(call.Server.Incarnation)
 		switch {
-		case fate == fleet.StatusReplaced:
+		case status == fleet.StatusReplaced:
 			crashed = append(crashed, call.BrokenCall)
 			if incarnation := call.Server.Incarnation; !logged[incarnation] {
 				logged[incarnation] = true
 				d.cfg.Logger.Warn().Str("server", incarnation).Str("service", call.Server.Service).Str("address", call.Server.Address).Str("proof", "registry").Msg("server_crashed")
 			}
-		case fate != fleet.StatusLeft && now.Before(call.until):
+		case status != fleet.StatusLeft && now.Before(call.until):
 			kept = append(kept, call)
 		}
 	}
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -28,15 +28,15 @@
 	refuses bool
 	// neighbour is the result of connecting to the other server of its zone.
 	neighbour error
-	fate      fleet.RegistryStatus
+	status    fleet.RegistryStatus
 	probes    int
 	crashed   []crash.BrokenCall
 }
 
-func (o *environment) set(refuses bool, fate fleet.RegistryStatus) {
+func (o *environment) set(refuses bool, status fleet.RegistryStatus) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.refuses, o.fate = refuses, fate
+	o.refuses, o.status = refuses, status
 }
 
 func (o *environment) counts() (probes, crashed int) {
@@ -70,7 +70,7 @@
 		RegistryStatus: func(string) fleet.RegistryStatus {
 			o.mu.Lock()
 			defer o.mu.Unlock()
-			return o.fate
+			return o.status
 		},
 		OnCrash: func(call crash.BrokenCall) {
 			o.mu.Lock()
@@ -101,7 +101,7 @@
 		name      string
 		refuses   bool
 		neighbour error
-		fate      fleet.RegistryStatus
+		status    fleet.RegistryStatus
 		// later is what the registry says two seconds after the call broke off.
 		later       fleet.RegistryStatus
 		atOnce, all int
@@ -120,7 +120,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				o := &environment{refuses: test.refuses, neighbour: test.neighbour, fate: test.fate}
+				o := &environment{refuses: test.refuses, neighbour: test.neighbour, status: test.status}
 				crashed := o.start(t).Check(t.Context(), brokenCall("r"))
 				g.Expect(crashed).To(Equal(test.atOnce == 1))
 				_, reported := o.counts()
@@ -139,7 +139,7 @@
 func TestAServerIsProbedOnceForAllCallsThatItTookDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &environment{refuses: true, fate: fleet.StatusListed}
+		o := &environment{refuses: true, status: fleet.StatusListed}
 		detector := o.start(t)
 		var calls sync.WaitGroup
 		for i := range 10 {
@@ -158,7 +158,7 @@
 func TestAServerThatDidNotCrashIsProbedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &environment{fate: fleet.StatusListed}
+		o := &environment{status: fleet.StatusListed}
 		detector := o.start(t)
 		g.Expect(detector.Check(t.Context(), brokenCall("reset"))).To(BeFalse())
 		time.Sleep(50 * time.Millisecond)
@@ -172,7 +172,7 @@
 func TestACallerThatLeavesDoesNotCancelTheProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &environment{refuses: true, fate: fleet.StatusListed}
+		o := &environment{refuses: true, status: fleet.StatusListed}
 		detector := o.start(t)
 		leaving, leave := context.WithCancel(t.Context())
 		go detector.Check(leaving, brokenCall("first"))
--- a/internal/fleet/server_test.go
+++ b/internal/fleet/server_test.go
@@ -14,13 +14,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet("bad")
-		_, witness := choose(f)
+		_, other := choose(f)
 		var pauses []time.Duration
 		for range 4 {
 			_, hold := choose(f)
 			hold.Done(fleet.OutcomeUnreachable)
 			failed := time.Now()
-			for witness.NoteEvent(); !witness.IsResponsive(); witness.NoteEvent() {
+			for other.NoteEvent(); !other.IsResponsive(); other.NoteEvent() {
 				time.Sleep(50 * time.Millisecond)
 			}
 			pauses = append(pauses, time.Since(failed))
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -34,11 +34,11 @@
 
 func (p *planProtocol) ReadRequest(http.Header) call.RequestInfo { return p.info }
 
-func (p *planProtocol) WriteForwardInfo(_ http.Header, info call.ForwardInfo) {
+func (p *planProtocol) WriteForwardInfo(_ http.Header, forward call.ForwardInfo) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.saves = append(p.saves, slices.Clone(info.Model.Save))
-	p.fetches = append(p.fetches, slices.Clone(info.Model.Fetch))
+	p.saves = append(p.saves, slices.Clone(forward.Model.Save))
+	p.fetches = append(p.fetches, slices.Clone(forward.Model.Fetch))
 }
 
 func (p *planProtocol) ReadResponse(status int, _ http.Header) call.ResponseInfo {
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -77,7 +77,7 @@
 	// resumePolling ends waits for updates from another box, and changed wakes those that wait to send
 	// changes of store boxes to other boxes.
 	resumePolling waiting.Signal
-	news          *waiting.Signal
+	changed       *waiting.Signal
 	// polls reports whether this box polls the store boxes itself, and following whether another
 	// box sends it their state. Both are false at the start, until that is decided.
 	polls     bool
@@ -99,7 +99,7 @@
 // New returns an empty index.
 func New(cfg Config) *Index {
 	cfg.Changed = cmp.Or(cfg.Changed, &waiting.Signal{})
-	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, news: cfg.Changed}
+	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, changed: cfg.Changed}
 }
 
 // Configure replaces the set of store boxes.
@@ -191,7 +191,7 @@
 	s.setUnfinished(report.Unfinished)
 	x.markListed(s, report.AsOf)
 	s.relay.recordCorrections(before, s.held)
-	x.news.Broadcast()
+	x.changed.Broadcast()
 }
 
 // heldInEpoch returns a copy of the parts that a store box is known to hold, or nil if its known
@@ -239,7 +239,7 @@
 	s.relay.record(s.next, report)
 	x.applyReport(s, report)
 	if len(report.Changes) > 0 {
-		x.news.Broadcast()
+		x.changed.Broadcast()
 	}
 	return true
 }
--- a/internal/retire/retire_test.go
+++ b/internal/retire/retire_test.go
@@ -159,7 +159,7 @@
 
 // A zone that is cut off keeps using most of the cached parts that it reaches, but fewer the
 // longer it is cut off.
-func TestABoxThatIsCutOffKeepsFetchingForAWhile(t *testing.T) {
+func TestPartitionedBoxKeepsFetchingForAWhile(t *testing.T) {
 	tests := []struct {
 		after       time.Duration
 		least, most int
@@ -230,11 +230,11 @@
 func TestTheEarliestFreeingFollowsTheLastFetch(t *testing.T) {
 	for into := time.Duration(0); into < registry.DefaultLongPoll+300*time.Millisecond; into += 200 * time.Millisecond {
 		simulate(t, func(ctx context.Context, g *WithT, log *fakesharedlog.Log) {
-			knowing, cutOff := startBox(ctx, log), startBox(ctx, log)
+			informed, partitioned := startBox(ctx, log), startBox(ctx, log)
 			time.Sleep(10*time.Second + into)
 			freer := startBox(ctx, log) // it reads at once
 			synctest.Wait()
-			cutOff.link.set(true)
+			partitioned.link.set(true)
 			time.Sleep(time.Millisecond)
 			declare(log, 2)
 			declaredAt := time.Now()
@@ -246,7 +246,7 @@
 				synctest.Wait()
 				for number := range 30 {
 					id := fmt.Sprint("part-", number)
-					for _, b := range []*box{knowing, cutOff} {
+					for _, b := range []*box{informed, partitioned} {
 						if b.policy.MayFetch("m", 1, id) {
 							ends[id] = time.Now().Add(partindex.FetchTimeout)
 						}
@@ -265,7 +265,7 @@
 
 // Runners change weights one after another, and those with older weights keep fetching for them.
 // Without that, only three of ten parts would still be fetched after 5 s.
-func TestABoxThatKnowsNewerWeightsKeepsFetchingForOlderOnes(t *testing.T) {
+func TestBoxWithNewerWeightsKeepsFetchingUnderOlderOnes(t *testing.T) {
 	tests := []struct {
 		after       time.Duration
 		least, most int
--- a/internal/routed/headers.go
+++ b/internal/routed/headers.go
@@ -97,19 +97,19 @@
 
 // WriteForwardInfo implements call.Protocol. The namespace identifies the weights that the call is
 // meant for.
-func (Headers) WriteForwardInfo(header http.Header, info call.ForwardInfo) {
+func (Headers) WriteForwardInfo(header http.Header, forward call.ForwardInfo) {
 	for _, name := range boxHeaders {
 		header.Del(name)
 	}
 	// A stream in an encoding that a server chose could not be resumed by another server.
 	header.Set(headerEncodings, "identity")
-	header.Set(headerRemaining, strconv.FormatFloat(max(info.Remaining.Seconds(), 0), 'f', secondsDecimals, 64))
-	call.SetNonEmpty(header, headerIncarnation, incarnationIn(info.Server))
-	call.SetNonEmpty(header, headerOrganisation, info.Organisation)
-	call.SetNonEmpty(header, headerResumeAfter, info.ResumeAfter)
-	if info.Model != nil {
-		header.Set(headerNamespace, info.Model.Namespace)
-		header.Set(headerPriority, string(priorityOf(info.Model.Urgency)))
+	header.Set(headerRemaining, strconv.FormatFloat(max(forward.Remaining.Seconds(), 0), 'f', secondsDecimals, 64))
+	call.SetNonEmpty(header, headerIncarnation, incarnationIn(forward.Server))
+	call.SetNonEmpty(header, headerOrganisation, forward.Organisation)
+	call.SetNonEmpty(header, headerResumeAfter, forward.ResumeAfter)
+	if forward.Model != nil {
+		header.Set(headerNamespace, forward.Model.Namespace)
+		header.Set(headerPriority, string(priorityOf(forward.Model.Urgency)))
 	}
 }
 
