--- a/internal/entrybox/entrybox.go
+++ b/internal/entrybox/entrybox.go
@@ -332,7 +332,7 @@
 	defer cancel()
 	err := b.callerServer.Shutdown(ctx)
 	if err != nil {
-		b.logger.Error().Int64("calls", b.gateway.InFlight()).Str("error", err.Error()).Msg("calls_cut_off")
+		b.logger.Error().Int64("calls", b.gateway.InFlight()).Str("error", err.Error()).Msg("calls_aborted")
 	}
 	b.stop()
 	_ = b.readyServer.Close() // a readiness poll may be cut off
--- a/internal/registry/incarnations_test.go
+++ b/internal/registry/incarnations_test.go
@@ -139,7 +139,7 @@
 			hold := choose()
 			g.Expect(hold.Server().Incarnation).To(Equal("r@1"))
 		}
-		g.Expect(logged.count("server_not_understood")).To(Equal(1))
+		g.Expect(logged.count("server_entry_invalid")).To(Equal(1))
 		log.Put(sharedlog.Servers, "other", []byte("1 7"))
 		log.Put(sharedlog.Servers, "r", nil)
 		time.Sleep(readTime)
@@ -147,6 +147,6 @@
 		log.Put(sharedlog.Servers, "other", []byte("?"))
 		time.Sleep(readTime)
 		g.Expect(choose()).To(BeNil())
-		g.Expect(logged.count("server_not_understood")).To(Equal(2))
+		g.Expect(logged.count("server_entry_invalid")).To(Equal(2))
 	})
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -269,7 +269,7 @@
 	known := r.state(sharedlog.Servers).entries[record.Key].undecodable
 	r.mu.Unlock()
 	if !known {
-		r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("server_not_understood")
+		r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("server_entry_invalid")
 	}
 }
 
@@ -289,7 +289,7 @@
 		declaration, err := r.cfg.Decoder.Declaration(record)
 		switch {
 		case err != nil:
-			r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("declaration_not_understood")
+			r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("declaration_invalid")
 		case declaration == nil:
 		case declaration.Catalog != nil:
 			r.applyCatalog(declaration.Catalog, record.Offset)
