--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -8,9 +8,9 @@
 // server at its address. Neither counts for a server whose entry announced that it would stop,
 // and a server that is merely unreachable proves nothing.
 //
-// The other server is probed because a network cut between zones may refuse connections as well:
-// two boxes of a zone that was cut off each took 14 running servers for crashed, and held a
-// request for it.
+// The other server is probed because connections may also be refused in a network partition between
+// zones: two boxes of a partitioned zone each considered 14 running servers crashed, and quarantined
+// a request because of that.
 //
 // The second proof covers a server that restarted before the first proof was sought, and a box
 // that sought it late.
@@ -39,8 +39,8 @@
 	registryInterval = 250 * time.Millisecond
 	registryWatch    = 6 * time.Second
 	// crashCacheFor is how long the result for a crashed server is cached, so that it is probed
-	// once and not for each call that it took down. It may be back soon, in an incarnation that
-	// cannot be told apart from the previous one.
+	// once and not for each call that it took down. It may restart soon, and its new incarnation
+	// cannot be distinguished from the previous one.
 	crashCacheFor = 2 * time.Second
 	// maxUnresolved bounds the calls for which the registry is checked. More of them come only from
 	// a network outage, which crashes no servers.
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -89,13 +89,10 @@
 	return crash.BrokenCall{Server: fleet.Server{Incarnation: "s@1", Address: crashedAddress}, Request: fingerprint.Of(fingerprint.Request{Target: name})}
 }
 
-// While a zone was cut off and its connections were reset, a request was held that had crashed
-// nothing: across such a cut new connections are refused, as by a crashed server. Two boxes each
-// took 14 servers of the other zones for crashed within a second:
-//
-//	33.5  zone_cut (reset) oslo-hall-b
-//	33.6  b-1 server_crashed server=i-a92189b9ec proof=refused  (and 13 more)
-//	37.5  b-2 request_held fingerprint=c817793595164ea1 ends=3 heard=false
+// A network partition that resets connections also refuses new ones, as a crashed server does. When
+// a zone was partitioned in this way, two boxes each considered 14 servers of the other zones crashed
+// within a second. 4 s after the partition began, a box quarantined a request that had crashed no
+// server, because it counted three crashes under it.
 func TestWhatProvesACrash(t *testing.T) {
 	tests := []struct {
 		name      string
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -1,7 +1,7 @@
 // Package partindex tracks which parts of prompts (shared pieces of KV cache) store boxes hold,
 // and plans for each prompt which parts to fetch, which to save and where.
 //
-// A store box holds a part until it is told to free it. A fetch is planned only for a part that
+// A store box holds a part until a box orders it to free it. A fetch is planned only for a part that
 // the store box itself has reported as complete in its current epoch, and only while that report
 // is recent. A report may be out of date; the part is then missing and is prefilled. Two rules
 // prevent a part from being read while it is being written. A box that observes a new epoch of a
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -2,7 +2,7 @@
 //
 //	accept ─▶ [ring] authenticate ─▶ [ring] admit ─▶ [ring] place ─▶ dispatch, relay, settle
 //
-// A new stage needs a package of its own and one line in the daemon, which assembles the stages.
+// A new stage needs its own package and one line in the daemon, which assembles the stages.
 package pipeline
 
 import (
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -2,7 +2,7 @@
 // that no server gets such a request again.
 //
 // A server that crashes takes down all calls that it was running, of which only one may be the
-// cause. The outcome of the same request elsewhere tells them apart: the one that is the cause
+// cause. The outcome of the same request elsewhere identifies it: the one that is the cause
 // crashes every server, while the others are served by the next server. A request is therefore
 // held when three incarnations of servers crashed under it and it was served neither since, nor
 // shortly before the first of these crashes. A request that is served is released at once.
