--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -8,9 +8,9 @@
 // server at its address. Neither counts for a server whose entry announced that it would stop,
 // and a server that is merely unreachable proves nothing.
 //
-// The other server is probed because a network cut between zones may refuse connections as well:
-// two boxes of a zone that was cut off each took 14 running servers for crashed, and held a
-// request for it.
+// The other server is probed because connections may also be refused in a network partition between
+// zones: two boxes of a partitioned zone each considered 14 running servers crashed, and quarantined
+// a request because of that.
 //
 // The second proof covers a server that restarted before the first proof was sought, and a box
 // that sought it late.
@@ -39,8 +39,8 @@
 	registryInterval = 250 * time.Millisecond
 	registryWatch    = 6 * time.Second
 	// crashCacheFor is how long the result for a crashed server is cached, so that it is probed
-	// once and not for each call that it took down. It may be back soon, in an incarnation that
-	// cannot be told apart from the previous one.
+	// once and not for each call that it took down. It may restart soon, and its new incarnation
+	// cannot be distinguished from the previous one.
 	crashCacheFor = 2 * time.Second
 	// maxUnresolved bounds the calls for which the registry is checked. More of them come only from
 	// a network outage, which crashes no servers.
@@ -64,7 +64,7 @@
 	// most likely to be running first. Nil is for servers in the box's own zone only, where no cut
 	// can lie between.
 	Neighbours func(server fleet.Server) []string
-	// Fate returns the state of an incarnation of a server in the registry.
+	// RegistryStatus returns the state of an incarnation of a server in the registry.
 	RegistryStatus func(incarnation string) fleet.RegistryStatus
 	// OnCrash is called for each call under which a server crashed.
 	OnCrash func(BrokenCall)
@@ -224,15 +224,15 @@
 	kept := d.unresolved[:0]
 	logged := map[string]bool{}
 	for _, call := range d.unresolved {
-		fate := d.cfg.RegistryStatus(call.Server.Incarnation)
+		status := d.cfg.RegistryStatus(call.Server.Incarnation)
 		switch {
-		case fate == fleet.StatusReplaced:
+		case status == fleet.StatusReplaced:
 			crashed = append(crashed, call.BrokenCall)
 			if incarnation := call.Server.Incarnation; !logged[incarnation] {
 				logged[incarnation] = true
 				d.cfg.Logger.Warn().Str("server", incarnation).Str("service", call.Server.Service).Str("address", call.Server.Address).Str("proof", "registry").Msg("server_crashed")
 			}
-		case fate != fleet.StatusLeft && now.Before(call.until):
+		case status != fleet.StatusLeft && now.Before(call.until):
 			kept = append(kept, call)
 		}
 	}
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -28,15 +28,15 @@
 	refuses bool
 	// neighbour is the result of connecting to the other server of its zone.
 	neighbour error
-	fate      fleet.RegistryStatus
+	status    fleet.RegistryStatus
 	probes    int
 	crashed   []crash.BrokenCall
 }
 
-func (o *environment) set(refuses bool, fate fleet.RegistryStatus) {
+func (o *environment) set(refuses bool, status fleet.RegistryStatus) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.refuses, o.fate = refuses, fate
+	o.refuses, o.status = refuses, status
 }
 
 func (o *environment) counts() (probes, crashed int) {
@@ -70,7 +70,7 @@
 		RegistryStatus: func(string) fleet.RegistryStatus {
 			o.mu.Lock()
 			defer o.mu.Unlock()
-			return o.fate
+			return o.status
 		},
 		OnCrash: func(call crash.BrokenCall) {
 			o.mu.Lock()
@@ -89,19 +89,16 @@
 	return crash.BrokenCall{Server: fleet.Server{Incarnation: "s@1", Address: crashedAddress}, Request: fingerprint.Of(fingerprint.Request{Target: name})}
 }
 
-// While a zone was cut off and its connections were reset, a request was held that had crashed
-// nothing: across such a cut new connections are refused, as by a crashed server. Two boxes each
-// took 14 servers of the other zones for crashed within a second:
-//
-//	33.5  zone_cut (reset) oslo-hall-b
-//	33.6  b-1 server_crashed server=i-a92189b9ec proof=refused  (and 13 more)
-//	37.5  b-2 request_held fingerprint=c817793595164ea1 ends=3 heard=false
+// A network partition that resets connections also refuses new ones, as a crashed server does. When
+// a zone was partitioned in this way, two boxes each considered 14 servers of the other zones crashed
+// within a second. 4 s after the partition began, a box quarantined a request that had crashed no
+// server, because it counted three crashes under it.
 func TestWhatProvesACrash(t *testing.T) {
 	tests := []struct {
 		name      string
 		refuses   bool
 		neighbour error
-		fate      fleet.RegistryStatus
+		status    fleet.RegistryStatus
 		// later is what the registry says two seconds after the call broke off.
 		later       fleet.RegistryStatus
 		atOnce, all int
@@ -120,7 +117,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				o := &environment{refuses: test.refuses, neighbour: test.neighbour, fate: test.fate}
+				o := &environment{refuses: test.refuses, neighbour: test.neighbour, status: test.status}
 				crashed := o.start(t).Check(t.Context(), brokenCall("r"))
 				g.Expect(crashed).To(Equal(test.atOnce == 1))
 				_, reported := o.counts()
@@ -139,7 +136,7 @@
 func TestAServerIsProbedOnceForAllCallsThatItTookDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &environment{refuses: true, fate: fleet.StatusListed}
+		o := &environment{refuses: true, status: fleet.StatusListed}
 		detector := o.start(t)
 		var calls sync.WaitGroup
 		for i := range 10 {
@@ -158,7 +155,7 @@
 func TestAServerThatDidNotCrashIsProbedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &environment{fate: fleet.StatusListed}
+		o := &environment{status: fleet.StatusListed}
 		detector := o.start(t)
 		g.Expect(detector.Check(t.Context(), brokenCall("reset"))).To(BeFalse())
 		time.Sleep(50 * time.Millisecond)
@@ -172,7 +169,7 @@
 func TestACallerThatLeavesDoesNotCancelTheProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &environment{refuses: true, fate: fleet.StatusListed}
+		o := &environment{refuses: true, status: fleet.StatusListed}
 		detector := o.start(t)
 		leaving, leave := context.WithCancel(t.Context())
 		go detector.Check(leaving, brokenCall("first"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,7 +52,7 @@
 	// nil where this box places all calls itself.
 	Places  *places.Placer
 	BoxName string
-	// Off holds the mechanisms that are switched off.
+	// Mechanisms records which mechanisms are switched off.
 	Mechanisms mechanism.Switches
 	// OwnsHeadroom reports whether a server's headroom is assigned to this box.
 	OwnsHeadroom func(server string) bool
@@ -143,7 +143,7 @@
 
 	// Written by accept.
 	catalog *catalog.Catalog
-	facts   call.RequestInfo
+	info    call.RequestInfo
 	route   *catalog.Route
 	service *catalog.Service
 	// deadline is the earlier one of the caller's and the route's deadline.
--- a/internal/handover/pool.go
+++ b/internal/handover/pool.go
@@ -27,7 +27,7 @@
 	DialTimeout time.Duration
 	// MaxIdlePerServer bounds the idle connections to one server.
 	MaxIdlePerServer int
-	// Off holds the mechanisms that are switched off.
+	// Mechanisms records which mechanisms are switched off.
 	Mechanisms mechanism.Switches
 	// OnDial is called for each new connection, for the metrics; it may be nil.
 	OnDial func()
--- a/internal/routed/headers.go
+++ b/internal/routed/headers.go
@@ -59,30 +59,30 @@
 // Headers reads and writes the headers of routed calls; it implements call.Protocol.
 type Headers struct{}
 
-// ReadFacts implements call.Protocol.
+// ReadRequest implements call.Protocol.
 func (Headers) ReadRequest(header http.Header) call.RequestInfo {
-	facts := call.RequestInfo{
+	info := call.RequestInfo{
 		RequestID: header.Get(api.HeaderRequestID), ResumeAfter: header.Get(headerResumeAfter), Key: api.BearerKey(header),
 	}
 	if text := header.Get(api.HeaderDeadline); text != "" {
 		patience, ok := api.ParseSeconds(text)
 		if !ok {
-			facts.Malformed = "bad_deadline"
-			return facts
+			info.Malformed = "bad_deadline"
+			return info
 		}
-		facts.MaxWait = patience
+		info.MaxWait = patience
 	}
 	model := header.Get(headerModel)
 	if model == "" {
-		return facts
+		return info
 	}
 	prompt, ok := readPrompt(model, header)
 	if !ok {
-		facts.Malformed = "bad_prompt"
-		return facts
+		info.Malformed = "bad_prompt"
+		return info
 	}
-	facts.Prompt = prompt
-	return facts
+	info.Prompt = prompt
+	return info
 }
 
 // readPrompt parses the caller's description of its prompt, and reports whether it is valid.
@@ -95,25 +95,25 @@
 	return prompt, tokensRead && answerRead && partsRead
 }
 
-// WriteHandover implements call.Protocol. The namespace identifies the weights that the call is
+// WriteForwardInfo implements call.Protocol. The namespace identifies the weights that the call is
 // meant for.
-func (Headers) WriteForwardInfo(header http.Header, handover call.ForwardInfo) {
+func (Headers) WriteForwardInfo(header http.Header, forward call.ForwardInfo) {
 	for _, name := range boxHeaders {
 		header.Del(name)
 	}
 	// A stream in an encoding that a server chose could not be resumed by another server.
 	header.Set(headerEncodings, "identity")
-	header.Set(headerRemaining, strconv.FormatFloat(max(handover.Remaining.Seconds(), 0), 'f', secondsDecimals, 64))
-	call.SetNonEmpty(header, headerIncarnation, incarnationIn(handover.Server))
-	call.SetNonEmpty(header, headerOrganisation, handover.Organisation)
-	call.SetNonEmpty(header, headerResumeAfter, handover.ResumeAfter)
-	if handover.Model != nil {
-		header.Set(headerNamespace, handover.Model.Namespace)
-		header.Set(headerPriority, string(priorityOf(handover.Model.Urgency)))
+	header.Set(headerRemaining, strconv.FormatFloat(max(forward.Remaining.Seconds(), 0), 'f', secondsDecimals, 64))
+	call.SetNonEmpty(header, headerIncarnation, incarnationIn(forward.Server))
+	call.SetNonEmpty(header, headerOrganisation, forward.Organisation)
+	call.SetNonEmpty(header, headerResumeAfter, forward.ResumeAfter)
+	if forward.Model != nil {
+		header.Set(headerNamespace, forward.Model.Namespace)
+		header.Set(headerPriority, string(priorityOf(forward.Model.Urgency)))
 	}
 }
 
-// ReadMarks implements call.Protocol. A server states with Cometlock-Outcome that it did not run a
+// ReadResponse implements call.Protocol. A server states with Cometlock-Outcome that it did not run a
 // call; nothing else counts as that. Its answers are not signed, so they are accepted as genuine
 // because they come from the server's address.
 func (Headers) ReadResponse(status int, header http.Header) call.ResponseInfo {
@@ -124,15 +124,15 @@
 	}
 }
 
-// WriteVerdict implements call.Protocol.
-func (Headers) WriteFailure(header http.Header, verdict call.FailureInfo) {
+// WriteFailure implements call.Protocol.
+func (Headers) WriteFailure(header http.Header, failure call.FailureInfo) {
 	outcome := apierror.NotRun
-	if verdict.MayHaveRun {
+	if failure.MayHaveRun {
 		outcome = apierror.Unknown
 	}
 	header.Set(api.HeaderOutcome, string(outcome))
-	if verdict.RetryAfter > 0 {
-		header.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(verdict.RetryAfter.Seconds()))))
+	if failure.RetryAfter > 0 {
+		header.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(failure.RetryAfter.Seconds()))))
 	}
 }
 
