--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -24,8 +24,8 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// maxAttempts is the maximum number of servers that a request is sent to.
-const maxAttempts = 3
+// maxTriedServers is the maximum number of servers that a request is sent to.
+const maxTriedServers = 3
 
 // Config configures a Dispatcher.
 type Config struct {
@@ -176,9 +176,9 @@
 }
 
 // placeElsewhere places the request on a server that was not tried yet. It returns false
-// if there is none, after maxAttempts, or if the retry budget is exhausted.
+// if there is none, after maxTriedServers, or if the retry budget is exhausted.
 func (d *Dispatcher) placeElsewhere(request *flow.Request, tried []string) bool {
-	if len(tried) >= maxAttempts || !d.budget.TryWithdraw() {
+	if len(tried) >= maxTriedServers || !d.budget.TryWithdraw() {
 		return false
 	}
 	if d.choose(request, tried) != nil {
