--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -70,7 +70,7 @@
 	defer cancel()
 	err := d.callerServer.Shutdown(ctx)
 	if err != nil {
-		d.logger.Error().Str("error", err.Error()).Msg("requests_cut_off")
+		d.logger.Error().Str("error", err.Error()).Msg("requests_aborted")
 	}
 	d.reviews.Drain(ctx)
 	d.claims.Drain(ctx)
@@ -96,7 +96,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), adminShutdownTimeout)
 	defer cancel()
 	if err := d.admin.Shutdown(ctx); err != nil {
-		d.logger.Warn().Str("error", err.Error()).Msg("operators_cut_off")
+		d.logger.Warn().Str("error", err.Error()).Msg("admin_requests_aborted")
 		_ = d.admin.Close() // the timeout has passed
 	}
 }
