--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -334,7 +334,7 @@
 	}
 	fmt.Fprintf(out, "  keys that ran twice %d, \"not-run\" that ran %d, wrong answers %d, reviews lost 0 of %d\n", twice, falseNotRun, s.wrongAnswers, len(s.reviews))
 	if twice+falseNotRun+s.wrongAnswers > 0 {
-		return errors.New(strings.Join(append(s.examples, "a guarantee was violated"), "; "))
+		return errors.New(strings.Join(append(s.examples, "an invariant was violated"), "; "))
 	}
 	return nil
 }
