--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission queues calls that wait for room at backend servers, in the order of package
+// Package admission queues calls that wait for capacity at backend servers, in the order of package
 // waitqueue. There is no scheduler goroutine: each waiting call's goroutine that wakes up, by freed
-// room or by its timer, places all calls for which there is room. So nothing runs while no call
+// capacity or by its timer, places all calls for which there is capacity. So nothing runs while no call
 // waits.
 package admission
 
@@ -14,7 +14,7 @@
 )
 
 const (
-	// recheckInterval is the time between two checks of the queue if no room was signalled as free:
+	// recheckInterval is the time between two checks of the queue if no capacity was signalled as free:
 	// servers' pauses end without a signal, and so do calls of other boxes.
 	recheckInterval = 20 * time.Millisecond
 	// minRecheckInterval is the least time between two checks, which cost some 20 µs for each
@@ -26,11 +26,11 @@
 type Config[C, P any] struct {
 	// TryPlace returns a place for a call if there is one now. Calls of it are never concurrent.
 	TryPlace func(call C) (P, bool)
-	// Freed returns a channel that is closed when there may be room again.
+	// Freed returns a channel that is closed when there may be capacity again.
 	Freed func() <-chan struct{}
 }
 
-// Queue holds the calls that wait for room.
+// Queue holds the calls that wait for capacity.
 type Queue[C, P any] struct {
 	cfg Config[C, P]
 
@@ -49,7 +49,7 @@
 // New creates an empty queue.
 func New[C, P any](cfg Config[C, P]) *Queue[C, P] { return &Queue[C, P]{cfg: cfg} }
 
-// Acquire places a call at once if there is room. Otherwise it waits until the call's turn comes,
+// Acquire places a call at once if there is capacity. Otherwise it waits until the call's turn comes,
 // its wait deadline passes or ctx ends; it does not wait if the turn is expected after the
 // deadline.
 func (q *Queue[C, P]) Acquire(ctx context.Context, params waitqueue.Params, call C) (place P, ok bool) {
@@ -60,7 +60,7 @@
 	return q.wait(ctx, entry)
 }
 
-// placeOrEnqueue places a call at once if there is room for it, and adds it to the queue otherwise.
+// placeOrEnqueue places a call at once if there is capacity for it, and adds it to the queue otherwise.
 // A nil entry means that the call was placed, or that waiting is pointless.
 func (q *Queue[C, P]) placeOrEnqueue(params waitqueue.Params, call C) (entry *waitqueue.Entry[*waiter[C, P]], place P, ok bool) {
 	q.mu.Lock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// recheck places the calls for which there is room now, in their order. A call without room does
+// recheck places the calls for which there is capacity now, in their order. A call without capacity does
 // not block those behind it: while runners' memory is too full for long prompts, short ones and
 // those for other weights may still fit.
 func (q *Queue[C, P]) recheck() {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,13 +12,13 @@
 	"github.com/cometlock/cometlock/internal/waitqueue"
 )
 
-// room is a number of places for calls, with a signal for freed ones.
-type room struct {
+// freePlaces is a number of places for calls, with a signal for freed ones.
+type freePlaces struct {
 	free  int
 	freed waiting.Signal
 }
 
-func (r *room) queue() *Queue[string, string] {
+func (r *freePlaces) queue() *Queue[string, string] {
 	return New(Config[string, string]{Freed: r.freed.Chan, TryPlace: func(call string) (string, bool) {
 		if r.free == 0 {
 			return "", false
@@ -41,9 +41,9 @@
 		place     string
 		took      time.Duration
 	}{
-		{"there is room", 0, 0, time.Hour, "place of a", 0},
-		{"room comes in time", 100 * time.Millisecond, 50 * time.Millisecond, time.Hour, "place of a", 50 * time.Millisecond},
-		{"room comes too late", 100 * time.Millisecond, time.Second, time.Hour, "", 120 * time.Millisecond},
+		{"there is capacity", 0, 0, time.Hour, "place of a", 0},
+		{"capacity becomes free in time", 100 * time.Millisecond, 50 * time.Millisecond, time.Hour, "place of a", 50 * time.Millisecond},
+		{"capacity becomes free too late", 100 * time.Millisecond, time.Second, time.Hour, "", 120 * time.Millisecond},
 		{"no time to wait", 0, time.Second, time.Hour, "", 0},
 		{"its caller disconnects", time.Second, time.Second, 30 * time.Millisecond, "", 30 * time.Millisecond},
 	}
@@ -51,7 +51,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				r := &room{}
+				r := &freePlaces{}
 				if test.freeAfter == 0 {
 					r.free = 1
 				}
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// age raises the urgency of requests that have waited for long, so that none starves. A review becomes
+// age raises the urgency of requests that have waited a long time, so that none starves. A review becomes
 // normal after one interval. No request becomes instant, because users wait for instant requests.
 func (q *queue) age(now time.Time, interval time.Duration) {
 	changed := false
--- a/internal/advisory/advisory.go
+++ b/internal/advisory/advisory.go
@@ -7,7 +7,7 @@
 // of a server, from this box's own answers or from the reports of other boxes. It is plain data;
 // the current time is a parameter.
 //
-// Answers may arrive out of order, so statements are ordered by time. A statement that gives a
+// Answers may arrive out of order, so statements are ordered by time. A statement that contains a
 // limit is dated to when it was received. One without a limit is dated to when its request was
 // sent, since the server may have written it at any time after that.
 package advisory
@@ -22,16 +22,16 @@
 
 // The kinds of LimitStatement.
 const (
-	// LimitAbsent means that the answer gives no limit.
+	// LimitAbsent means that the answer states no limit.
 	LimitAbsent LimitStatement = iota
-	// LimitNamed means that the answer gives a limit.
+	// LimitNamed means that the answer states a limit.
 	LimitNamed
-	// LimitMalformed means that the answer gives a limit that cannot be parsed. A limit exists
+	// LimitMalformed means that the answer states a limit that cannot be parsed. A limit exists
 	// then, and the previous value is assumed to apply.
 	LimitMalformed
 )
 
-// Advisory is what one answer states about the server that gave it. The zero value states nothing.
+// Advisory is what one answer states about the server that sent it. The zero value states nothing.
 type Advisory struct {
 	// Draining means that the server accepts no new requests and will soon exit.
 	Draining bool
@@ -53,7 +53,7 @@
 	Genuine bool
 }
 
-// minPerSecond is the rate limit, in requests per second, that is assumed for a server that gives a
+// minPerSecond is the rate limit, in requests per second, that is assumed for a server that states a
 // lower one or zero. Without any requests, no answer would show that the limit has ended.
 const minPerSecond = 0.1
 
@@ -119,7 +119,7 @@
 	// drainingAt is when the server last stated that it is draining, ownDrainingAt when it last did
 	// so to this box, and readyAt when its registry entry last changed from draining to ready.
 	drainingAt, ownDrainingAt, readyAt time.Time
-	// pausedUntil is the end of the pause that the server asked of this box. It is not reported to
+	// pausedUntil is the end of the pause that the server requested from this box. It is not reported to
 	// other boxes.
 	pausedUntil time.Time
 }
--- a/internal/advisory/server.go
+++ b/internal/advisory/server.go
@@ -12,7 +12,7 @@
 }
 
 // Share returns the rate in requests per second at which this box may send to the server, or false
-// if the server gives no limit. The zero position is that of a single box.
+// if the server states no limit. The zero position is that of a single box.
 func (s *Server) Share(now time.Time, position Position) (perSecond float64, limited bool) {
 	limit, age, limited := s.Limit(now)
 	if !limited {
@@ -27,7 +27,7 @@
 	return !limited || s.bucket.HasRoom(share, now)
 }
 
-// NoteSent counts a request that is sent, and reports whether the server gives a rate limit.
+// NoteSent counts a request that is sent, and reports whether the server states a rate limit.
 func (s *Server) NoteSent(now time.Time, position Position) (limited bool) {
 	share, limited := s.Share(now, position)
 	if share > 0 {
--- a/internal/advisory/share.go
+++ b/internal/advisory/share.go
@@ -42,7 +42,7 @@
 )
 
 // Share returns the rate in requests per second at which one box may send to a server; zero means
-// none. age is the age of the newest answer that gave the limit.
+// none. age is the age of the newest answer that stated the limit.
 func Share(perSecond float64, age time.Duration, position Position) float64 {
 	present := max(position.Present, 1)
 	portion := perSecond * float64(present) / float64(max(position.Listed, present))
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -54,7 +54,7 @@
 	g.Expect(calls).To(BeZero())
 }
 
-// A suspension shows as a jump of the wall clock, and the boot clock gives its length.
+// A suspension shows as a jump of the wall clock, and its length is read from the boot clock.
 func TestNextReadingDetectsSuspension(t *testing.T) {
 	g := NewWithT(t)
 	c := newClock()
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,6 +1,6 @@
 // Package call defines the metadata of a routed call, independent of the header names that carry it:
 // what the caller sends with the request, what an entry box adds for the backend server, and what the
-// response says about itself.
+// response reports about its call.
 //
 // A Protocol translates between these types and the headers of one interface. The code in between
 // uses these types only; header names appear in the protocol adapters alone.
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -3,8 +3,8 @@
 // A call can break off for many reasons: a connection is reset, a link is cut, a planned stop
 // ends it, an answer cannot be read. Only one of them is a crash of the server, and there are two
 // proofs of that. The first is available at once: the server's address refuses a new connection
-// while another server of its zone accepts one, so the machine is reachable and the process is
-// gone. The second comes later: the registry lists another incarnation of the server, or another
+// while another server of its zone accepts one, so the machine is reachable and the process has
+// exited. The second comes later: the registry lists another incarnation of the server, or another
 // server at its address. Neither counts for a server whose entry announced that it would stop,
 // and a server that is merely unreachable proves nothing.
 //
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -99,7 +99,7 @@
 		refuses   bool
 		neighbour error
 		status    fleet.RegistryStatus
-		// later is what the registry says two seconds after the call broke off.
+		// later is the status in the registry two seconds after the call broke off.
 		later       fleet.RegistryStatus
 		atOnce, all int
 	}{
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -93,7 +93,7 @@
 	return apierror.ServiceUnavailable(codeCrashesServers, max(left, minRetryAfter), "servers end when they run this request")
 }
 
-// crashesServers checks whether a server that gave no response has crashed. It reports whether the
+// crashesServers checks whether a server that sent no response has crashed. It reports whether the
 // request must not be sent to another server because this was not its first crash.
 func (t *crashTracker) crashesServers(request *flow.Request, server *config.BackendServer) bool {
 	loss := crash.BrokenCall{
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -32,7 +32,7 @@
 	Engines *engine.Client
 	// Choose places a request on a server that is not one of the excluded ones.
 	Choose func(request *flow.Request, exclude []string) *apierror.Error
-	// OnFailure is called for servers that could not be reached or gave no valid response.
+	// OnFailure is called for servers that could not be reached or sent no valid response.
 	OnFailure func(server string)
 	Budget    *retrybudget.Budget
 	// Incarnation returns the current incarnation of a server, and whether the server is leaving. It is
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -122,7 +122,7 @@
 type TransferResult struct {
 	Blocks int   `json:"blocks"`
 	Bytes  int64 `json:"bytes"`
-	// Full is set if the store box had no room for the remaining blocks.
+	// Full is set if the store box had no space for the remaining blocks.
 	Full bool `json:"full,omitempty"`
 }
 
--- a/internal/entrybox/settings.go
+++ b/internal/entrybox/settings.go
@@ -26,7 +26,7 @@
 	// MetricsAddress serves only collectors of metrics. Where it is empty they use the balancer's
 	// address, which serves metrics in any case.
 	MetricsAddress string
-	// StopTimeout is how long the process may keep running after it was asked to stop.
+	// StopTimeout is how long the process may keep running after a stop was requested.
 	StopTimeout time.Duration
 	// UnreadyDelay is how long new calls may still arrive after the box has reported unready.
 	UnreadyDelay time.Duration
--- a/internal/fakeengine/weights.go
+++ b/internal/fakeengine/weights.go
@@ -50,7 +50,7 @@
 	w.loading--
 }
 
-// applyOrder starts the loads that an order asks for. It returns false when the fence
+// applyOrder starts the loads that an order requests. It returns false when the fence
 // of the order is too old.
 func (e *Engine) applyOrder(order engine.Order) bool {
 	e.mu.Lock()
--- a/internal/fleet/advisory_test.go
+++ b/internal/fleet/advisory_test.go
@@ -151,7 +151,7 @@
 	g.Expect(f.Choose(query)).NotTo(BeNil(), "its new entry is not leaving")
 }
 
-// A server that asks a box for a pause gets no calls from it for that time, even if its answers to
+// A server that requests a pause from a box gets no calls from it for that time, even if its answers to
 // calls in flight ask for a shorter pause or none.
 func TestPausedServerGetsNoCallsFromThisBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -52,7 +52,7 @@
 func (h *Hold) Server() Server { return h.server }
 
 // MayHandOver reports whether the call may still be sent. A place at a cold or rate-limited server
-// is valid only briefly, and the server may have started to drain or asked for a pause in the
+// is valid only briefly, and the server may have started to drain or requested a pause in the
 // meantime.
 func (h *Hold) MayHandOver() bool {
 	h.fleet.mu.Lock()
@@ -156,7 +156,8 @@
 	// OutcomeMoved means that the call was rejected because the server now has another incarnation
 	// or other weights.
 	OutcomeMoved
-	// OutcomeAbandoned means that the caller gave up.
+	// OutcomeAbandoned means that the call ended without a result that shows anything about the
+	// server, for example because the caller cancelled.
 	OutcomeAbandoned
 	// OutcomeReplaced means that another incarnation at the server's address rejected the call.
 	OutcomeReplaced
--- a/internal/fleet/shortage.go
+++ b/internal/fleet/shortage.go
@@ -18,7 +18,7 @@
 	InFlight, HeldTokens                       int
 	// Evacuated counts the servers of evacuated zones, ColdExcluded cold servers that this box may
 	// not call, Limited those whose rate limit leaves no capacity for this box, and Paused those
-	// that asked this box for a pause.
+	// that requested a pause from this box.
 	Evacuated, ColdExcluded, Limited, Paused int
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -43,7 +43,7 @@
 	DefaultCheckpointAfter = 2 * time.Hour
 )
 
-// Source says where a version came from.
+// Source is where a version came from.
 type Source string
 
 const (
@@ -294,5 +294,5 @@
 	return status
 }
 
-// ErrNoConfiguration says that there is no version of the configuration.
+// ErrNoConfiguration means that there is no version of the configuration.
 var ErrNoConfiguration = merry.Sentinel("no version of the configuration is known")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	// LoadReportAge returns the age of the load reports from other boxes, either those of this
 	// box's zone or those of other zones; nil means that there are none.
 	LoadReportAge func(ownZone bool) time.Duration
-	// Places asks the owner boxes of runners to place long prompts, on behalf of the box BoxName;
+	// Places requests places for long prompts from the owner boxes of runners, on behalf of the box BoxName;
 	// nil where this box places all calls itself.
 	Places  *places.Placer
 	BoxName string
@@ -98,7 +98,7 @@
 	inFlight  atomic.Int64
 	waiting   atomic.Int64
 	callCount atomic.Uint64
-	// queues holds the calls that wait for room, by service.
+	// queues holds the calls that wait for capacity, by service.
 	queues sync.Map
 	active activeCalls
 }
@@ -115,7 +115,7 @@
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
 // Waiting returns the number of calls that are being placed; at any moment, most of them wait for
-// room at a server.
+// capacity at a server.
 func (g *Gateway) Waiting() int64 { return g.waiting.Load() }
 
 // ServeHTTP takes one call through the stages.
@@ -182,7 +182,7 @@
 	// placement is the last one, for the log; placeTime is the total time of all placements.
 	placement placement
 	placeTime time.Duration
-	// placedBy is placedByThisBox or placedByOwner; ownerError is why the last owner that was asked
+	// placedBy is placedByThisBox or placedByOwner; ownerError is why the last owner that got a request
 	// chose no server.
 	placedBy   string
 	ownerError string
--- a/internal/gateway/outdated.go
+++ b/internal/gateway/outdated.go
@@ -16,7 +16,7 @@
 	// before that. A higher factor would make calls late, which costs callers more.
 	outdatedCostFactor = 0.3
 	// outdatedMargin is how long before the time limit of outdated weights the last call is placed
-	// at them, since a call may wait at its runner. The runner gives the call up
+	// at them, since a call may wait at its runner. The runner aborts the call
 	// outdatedRunnerMargin before that limit.
 	outdatedMargin       = 2 * time.Second
 	outdatedRunnerMargin = 300 * time.Millisecond
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -1,6 +1,6 @@
 // Placement by owners: one box owns the runners of a zone and places long prompts there, and short
-// ones while runners are busy (package places). This box asks the owner of the zone that it would
-// choose itself. Where there is no room, it asks the owner of its own zone, which queues the call.
+// ones while runners are busy (package places). This box requests a place from the owner of the zone that it would
+// choose itself. Where there is no capacity, it sends the request to the owner of its own zone, which queues the call.
 
 package gateway
 
@@ -28,11 +28,11 @@
 	placedByOwner   = "owner"
 )
 
-// maxOwnersAsked bounds the zones whose owners are asked before the call waits at the owner of its
+// maxOwnersAsked bounds the zones whose owners get a request before the call waits at the owner of its
 // own zone: each request takes some milliseconds.
 const maxOwnersAsked = 3
 
-// placeByOwner asks owners for a place. It returns decided=false if this box must place the call
+// placeByOwner requests a place from owners. It returns decided=false if this box must place the call
 // itself: no owner responded, or the call needs none.
 func (g *Gateway) placeByOwner(x *exchange) (chosen placement, ok, decided bool) {
 	x.placedBy, x.ownerError = placedByThisBox, ""
@@ -62,9 +62,9 @@
 	return g.recordPlacement(x, hold, plans), true, true
 }
 
-// askOwners asks the owners of the zones that this box ranks best, starting with the given one if
+// askOwners requests a place from the owners of the zones that this box ranks best, starting with the given one if
 // it is not empty, and then the owner of its own zone, where the call waits. A nil hold means that
-// there was no room.
+// there was no capacity.
 func (g *Gateway) askOwners(x *exchange, zone string, query fleet.Query, ownerQuery places.Request) (*fleet.Hold, error) {
 	var askedZones []string
 	otherZones := query
@@ -83,7 +83,7 @@
 	return g.askOwner(x, g.cfg.Zone, query, ownerQuery)
 }
 
-// askOwner asks the owner of a zone for a place and reserves the server that it returns.
+// askOwner requests a place from the owner of a zone and reserves the server that it returns.
 func (g *Gateway) askOwner(x *exchange, zone string, query fleet.Query, ownerQuery places.Request) (*fleet.Hold, error) {
 	server, err := g.cfg.Places.RequestPlace(x.ctx, zone, ownerQuery)
 	if err != nil {
--- a/internal/gateway/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// A short prompt asks the owner only while the runners are busy: with idle runners that would be a
+// A short prompt is placed by the owner only while the runners are busy: with idle runners that would be a
 // needless request for each call.
 func TestShortPromptsAskTheOwnerOfBusyRunners(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -75,7 +75,7 @@
 	query := fleet.Query{
 		Service: x.service.Name, Zone: g.cfg.Zone, Exclude: x.attempted, ZoneAllowed: g.allowedZones(x),
 		Load: placing.Query{TieBreaker: x.number * spreadMultiplier},
-		// Divided among one box more than are known, since one may have just started.
+		// Divided by one more than the number of known boxes, since a box may have just started.
 		ConnectionLimit: max(x.service.ConnectionLimit/(g.cfg.BoxCount()+1), minConnections),
 	}
 	if x.info.Prompt == nil || x.service.Engine == nil {
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -101,7 +101,7 @@
 	return made
 }
 
-// emptyIndex is an index of one store box that has been known for long and holds no parts.
+// emptyIndex is an index of one store box that has been known for a long time and holds no parts.
 func emptyIndex(c *catalog.Catalog) *partindex.Index {
 	index := partindex.New(partindex.Config{})
 	index.Configure(c.Services())
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -14,7 +14,7 @@
 )
 
 // Times after which refused callers should retry. Refusals are sent at once; the time is an
-// estimate of when there may be room.
+// estimate of when there may be capacity.
 const (
 	// retryAfterStartup is about the time that a box needs to read the configuration.
 	retryAfterStartup = 300 * time.Millisecond
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -16,7 +16,7 @@
 	reasonNoRegion = "no_server_in_allowed_regions"
 	// reasonEvacuated: all servers are in evacuated zones.
 	reasonEvacuated = "zones_evacuated"
-	// reasonLimited: all servers have asked this box to pause, or have announced rate limits that
+	// reasonLimited: all servers have requested a pause from this box, or have announced rate limits that
 	// it has used up.
 	reasonLimited = "servers_rate_limited"
 )
--- a/internal/gateway/resume_test.go
+++ b/internal/gateway/resume_test.go
@@ -12,18 +12,18 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// A stream whose server crashed was cut, although another server had room 0.3 s later: calls waited
-// for room for a fifth of their objective from their arrival, and that time had long passed. The
+// A stream whose server crashed was cut, although another server had capacity 0.3 s later: calls waited
+// for capacity for a fifth of their objective from their arrival, and that time had long passed. The
 // log line had "outcome":"broken","reason":"no_server" with "sound":1,"without_memory":1.
-func TestABrokenStreamWaitsForRoomElsewhere(t *testing.T) {
+func TestABrokenStreamWaitsForCapacityElsewhere(t *testing.T) {
 	tests := []struct {
 		name string
-		// freeAfter is when the other server has room.
+		// freeAfter is when the other server has capacity.
 		freeAfter time.Duration
 		served    string
 	}{
-		{"room soon", 300 * time.Millisecond, fullStream("second", true)},
-		{"no room", time.Hour, "id: 1\ndata: first\n\ncut"},
+		{"capacity soon", 300 * time.Millisecond, fullStream("second", true)},
+		{"no capacity", time.Hour, "id: 1\ndata: first\n\ncut"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -89,7 +89,7 @@
 	return stepDone
 }
 
-// handleRefusal handles a response which says that the server did not run the call.
+// handleRefusal handles a response which reports that the server did not run the call.
 func (a *attempt) handleRefusal(response *handover.Response, info call.ResponseInfo) nextStep {
 	a.recordRefusal(response, info)
 	if a.watch.switchToHedge() {
@@ -123,7 +123,7 @@
 }
 
 // release frees the call's place at its server. Unless the server served the call, it will hardly
-// have saved the parts that it was asked to, so another server may be asked.
+// have saved the parts that the call's plan assigned to it, so another server may save them.
 func (a *attempt) release(end fleet.Outcome) {
 	a.chosen.hold.Done(end)
 	if end != fleet.OutcomeServed && a.chosen.namespace != "" {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -93,7 +93,7 @@
 	return g.busyBackoff(x)
 }
 
-// busyBackoff returns when a call that found no room should be sent again: soon when none of its
+// busyBackoff returns when a call that found no capacity should be sent again: soon when none of its
 // servers can be reached, and after some prompts have been processed when they are busy. For
 // prompts it is random, so that calls refused together do not come back together.
 func (g *Gateway) busyBackoff(x *exchange) time.Duration {
--- a/internal/gateway/switchover.go
+++ b/internal/gateway/switchover.go
@@ -1,6 +1,6 @@
 // Moving a call from an unresponsive server to another one: a hedged request whose first attempt is
 // cancelled only after another server has accepted the call. Cancelling first would lose responses
-// when the route or the retry budget allows no other server, when no server has room, or when the
+// when the route or the retry budget allows no other server, when no server has capacity, or when the
 // chosen one refuses the call or is unresponsive too. The first attempt continues meanwhile, and
 // its response is used if it arrives. Two servers run a call at the same time for refusalTimeout at
 // most.
@@ -190,8 +190,8 @@
 	return false
 }
 
-// placeHedge chooses a healthy server for a hedge. It neither waits for room nor asks an owner box:
-// the chosen server refuses the call if it has no room.
+// placeHedge chooses a healthy server for a hedge. It neither waits for capacity nor sends a request to an owner box:
+// the chosen server refuses the call if it has no capacity.
 func (g *Gateway) placeHedge(x *exchange, pastHedges []*attempt) (placement, bool) {
 	query, plans := g.fleetQuery(x)
 	query.HealthyOnly, query.UncappedOnly = true, true
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -1,4 +1,4 @@
-// Waiting for room. Calls with prompts that find no runner with enough time and memory wait in the
+// Waiting for capacity. Calls with prompts that find no runner with enough time and memory wait in the
 // queue of their service (package admission).
 
 package gateway
@@ -13,7 +13,7 @@
 	"github.com/cometlock/cometlock/internal/waitqueue"
 )
 
-// queue holds the calls to a service that wait for room.
+// queue holds the calls to a service that wait for capacity.
 type queue = admission.Queue[*exchange, placement]
 
 // queue returns the queue of a service.
@@ -25,11 +25,11 @@
 	return found.(*queue)
 }
 
-// resumeWait is how long a broken stream waits for room at another server. Callers cancel a stream
+// resumeWait is how long a broken stream waits for capacity at another server. Callers cancel a stream
 // that pauses for two seconds, and the next server has to process the prompt first.
 const resumeWait = time.Second
 
-// waitParams returns the priority of a call and the deadline of its wait for room. A stream that
+// waitParams returns the priority of a call and the deadline of its wait for capacity. A stream that
 // the caller has a part of cannot be refused and sent again; it would be cut. So it also waits when
 // the time in which a new call may wait is long over.
 func (x *exchange) waitParams() waitqueue.Params {
@@ -39,7 +39,7 @@
 	return waitqueue.Params{Priority: x.priority, Deadline: x.arrived.Add(time.Duration(placing.WaitFraction * float64(x.route.Objective)))}
 }
 
-// canStartInTime reports whether a server may take the call before its wait for room ends. A stream
+// canStartInTime reports whether a server may take the call before its wait for capacity ends. A stream
 // that the caller has a part of would be cut rather than refused, so it also waits for servers that
 // may come back, but not for servers that have announced that they take no calls until later.
 func (g *Gateway) canStartInTime(x *exchange) bool {
@@ -50,7 +50,7 @@
 	return available.ForThisBox && (available.Wait == 0 || !boottime.Now().Add(available.Wait).After(x.waitParams().Deadline))
 }
 
-// placeOrWait places a call; one with a prompt waits in the queue if there is no room.
+// placeOrWait places a call; one with a prompt waits in the queue if there is no capacity.
 func (g *Gateway) placeOrWait(x *exchange) (placement, bool) {
 	g.waiting.Add(1)
 	defer g.waiting.Add(-1)
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -57,7 +57,7 @@
 	g.Expect(maxRunning).To(Equal(concurrent))
 }
 
-// If responses take longer than calls may wait, calls that find no room are refused after a fifth
+// If responses take longer than calls may wait, calls that find no capacity are refused after a fifth
 // of the objective, without having run.
 func TestACallWaitsForAFifthOfItsObjective(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -23,7 +23,7 @@
 // Streams were cut and calls failed with 502 although their servers, unresponsive for some seconds,
 // would have served them: a timer first closed the connection to the unresponsive server, and only
 // then did the box check whether the route allowed another server, a retry was left in the budget
-// and a server had room. All 49 lost calls of a run had "ended_by":"box" with 8 s or more "left";
+// and a server had capacity. All 49 lost calls of a run had "ended_by":"box" with 8 s or more "left";
 // for 30 it was the last attempt that their route allowed, and 19 had "retries_saved" below 1.
 //
 // Here the first server of a call stalls, before its response or after the first event, and later
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -254,7 +254,7 @@
 }
 
 // A call that waits for an unresponsive server turns on TCP keep-alive. A stopped process keeps its
-// connection. If the machine is gone, the connection breaks within seconds, where the call would
+// connection. If the machine has failed, the connection breaks within seconds, where the call would
 // otherwise have waited until its deadline.
 func TestKeepAliveIsEnabledOnRequest(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/handover/pool.go
+++ b/internal/handover/pool.go
@@ -46,7 +46,7 @@
 
 const (
 	// userTimeout is the TCP user timeout: a connection is closed when sent bytes stay
-	// unacknowledged for so long, because the server is gone or partitioned. It is above the
+	// unacknowledged for so long, because the server has failed or is partitioned. It is above the
 	// longest retransmission delay on a link that loses some packets.
 	userTimeout = 2 * time.Second
 	// keepAliveInterval is the time between keep-alive probes on an idle connection.
@@ -249,7 +249,7 @@
 }
 
 // enableKeepAlive turns on TCP keep-alive probes. The server's kernel answers them even if the
-// process is stopped. If the machine is gone or partitioned, they stay unanswered and the
+// process is stopped. If the machine has failed or is partitioned, they stay unanswered and the
 // connection breaks after userTimeout. So the box detects a lost machine without giving up calls at
 // servers that only stall.
 func (c *connection) enableKeepAlive() error {
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -49,7 +49,7 @@
 }
 
 // A box that starts while the log is unavailable cannot find any other box. Boxes that already know
-// its address send it their reports, and a snapshot of the log when it asks for one.
+// its address send it their reports, and a snapshot of the log when it requests one.
 func TestABoxThatStartsWithoutTheLogReceivesTheConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	log, away := fakesharedlog.New(), fakesharedlog.New()
--- a/internal/partindex/lateness_test.go
+++ b/internal/partindex/lateness_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// A store box without recent fetches gives no evidence of how late all fetches are at present.
+// A store box without recent fetches provides no evidence of how late all fetches are at present.
 func TestSlowStoreBoxesAreComparedWithThoseInUse(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/partindex/partindex_test.go
+++ b/internal/partindex/partindex_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// settled returns an index whose store boxes have been known for long and hold nothing.
+// settled returns an index whose store boxes have been known for a long time and hold nothing.
 func settled() *partindex.Index {
 	x := partindex.New(partindex.Config{})
 	x.Configure(services())
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -91,7 +91,7 @@
 }
 
 // FirstInZone reports whether this box has the lowest name of the live boxes of its zone.
-// It is a leader election without guarantee: for a while two boxes may both be first.
+// It is a best-effort leader election: two boxes may both be first for a short time.
 func (g *Gossiper) FirstInZone() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -22,7 +22,7 @@
 	// objective.
 	connectTimeout  = 60 * time.Millisecond
 	responseTimeout = 60 * time.Millisecond
-	// unresponsiveTime is how long an owner that didn't respond gets no requests. If it is gone,
+	// unresponsiveTime is how long an owner that didn't respond gets no requests. If it has failed,
 	// another box becomes the owner within a second.
 	unresponsiveTime = 2 * time.Second
 	// maxIdle bounds the idle connections to one owner. Calls that wait for capacity use one
--- a/internal/registry/outage_test.go
+++ b/internal/registry/outage_test.go
@@ -36,7 +36,7 @@
 const callDeadline = time.Second
 
 // In an outage of the log of 8 s, each of 295 boxes read both streams twice a second, up to 9,000
-// calls. That included followers, whose readers all said that they could not read the log either. A
+// calls. That included followers, whose readers all reported that they could not read the log either. A
 // follower's own reads are needed only in case its reader alone is cut off, and no deadline applies
 // until the log has been back for 3 s.
 func TestFollowersReadSeldomInAnOutage(t *testing.T) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -57,7 +57,7 @@
 	// time need not read them at all.
 	FirstReadDelay time.Duration
 	// HasReader reports whether this box follows a reader, which will report when the log has
-	// recovered, and ReaderLostLog whether that reader says that it cannot read the log either.
+	// recovered, and ReaderLostLog whether that reader reports that it cannot read the log either.
 	// Where they are nil, both are false.
 	HasReader     func() bool
 	ReaderLostLog func() bool
@@ -103,7 +103,7 @@
 	serversReadAt atomic.Pointer[time.Time]
 
 	// readDirectly is signalled when this box must read the log itself instead of waiting for its
-	// reader, and direct says that this has ever happened.
+	// reader, and direct is set once this has happened.
 	readDirectly waiting.Signal
 	direct       bool
 	// logBack is signalled when the operators' stream can be read again.
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -32,7 +32,7 @@
 	// them.
 	entriesHash  uint64
 	latestOffset int64
-	// differs says that the last digest that could be compared was different, and rereadAll that
+	// differs is set if the last digest that could be compared was different, and rereadAll if
 	// the stream has to be read in full since then.
 	differs   bool
 	rereadAll bool
@@ -47,7 +47,7 @@
 }
 
 // decodedRecord is a record and, in the servers' stream, the server that it describes. The server
-// is nil when the record deletes it, or when the record could not be decoded, as undecodable says.
+// is nil when the record deletes it, or when the record could not be decoded; undecodable is set in the latter case.
 type decodedRecord struct {
 	record      sharedlog.Record
 	server      *fleet.Server
@@ -88,10 +88,10 @@
 	records []decodedRecord
 	// next is the offset after the records.
 	next int64
-	// full says that records lists all keys that were not deleted at next. Otherwise it holds all
+	// full means that records lists all keys that were not deleted at next. Otherwise it holds all
 	// that was added to the current view.
 	full bool
-	// uncompacted says that records holds every record that was added, not just the newest of each
+	// uncompacted means that records holds every record that was added, not just the newest of each
 	// key.
 	uncompacted bool
 }
--- a/internal/registry/updates.go
+++ b/internal/registry/updates.go
@@ -21,12 +21,12 @@
 	_msgpack struct{} `msgpack:",as_array"` // field names would double its size
 
 	Stream sharedlog.Stream `msgpack:"s"`
-	// Full says that Records holds the newest record of every key rather than the changes.
+	// Full means that Records holds the newest record of every key rather than the changes.
 	Full    bool               `msgpack:"w,omitempty"`
 	Records []sharedlog.Record `msgpack:"r,omitempty"`
 	// Next is the offset after all known records.
 	Next int64 `msgpack:"n"`
-	// Age is how long ago all records were known; NeverRead says that they never were.
+	// Age is how long ago all records were known; NeverRead means that they never were.
 	Age       time.Duration `msgpack:"a"`
 	NeverRead bool          `msgpack:"u,omitempty"`
 	// Digest shows whether two boxes at the same offset have the same view; see digest.go. It is
--- a/internal/registry/weights.go
+++ b/internal/registry/weights.go
@@ -12,7 +12,7 @@
 	"github.com/cometlock/cometlock/internal/sharedlog"
 )
 
-// WeightsDeclaration says which version of a model's weights is to serve it.
+// WeightsDeclaration declares the version of a model's weights that is to serve it.
 type WeightsDeclaration struct {
 	Model   string
 	Version int
@@ -74,7 +74,7 @@
 	_msgpack struct{} `msgpack:",as_array"` // field names would double its size
 
 	Version int `msgpack:"v"`
-	// Age is the longest possible time since the declaration, and Undated says that the sender has
+	// Age is the longest possible time since the declaration, and Undated means that the sender has
 	// no such bound.
 	Age     time.Duration `msgpack:"a"`
 	Undated bool          `msgpack:"f,omitempty"`
--- a/internal/retire/boxes_test.go
+++ b/internal/retire/boxes_test.go
@@ -107,7 +107,7 @@
 	return message{weights: b.registry.WeightsForPeers(), named: b.registry.NewestVersions(), echoAt: time.Now().Add(-echoLag)}
 }
 
-// receive processes the message of another box, which may have been in transit for long.
+// receive processes the message of another box, which may have been in transit for a long time.
 func (b *box) receive(from int, m message) {
 	b.registry.MergeWeights(m.weights, m.echoAt)
 	b.mu.Lock()
--- a/internal/retire/retire.go
+++ b/internal/retire/retire.go
@@ -1,7 +1,7 @@
 // Package retire decides which cached parts of older weights may still be fetched, and when they
 // may be freed to make room for parts of newer ones.
 //
-// A part that is freed while it is being fetched gives a wrong answer, so all boxes must have
+// A part that is freed while it is being fetched causes a wrong answer, so all boxes must have
 // stopped fetching it before any box frees it. Each part of older weights has a retirement time,
 // which is derived from its ID alone. The times are spread over some seconds after newer weights
 // were declared. A box may learn of them only long afterwards, and must have stopped fetching by
@@ -64,7 +64,7 @@
 	// Box is its name. Each box counts once, however many paths its messages take.
 	Box string
 	// SentAfter is a time before which the report was not sent. It is not the time of arrival,
-	// since a message may be in transit for long.
+	// since a message may be in transit for a long time.
 	SentAfter time.Time
 	// Weights are the newest versions that it knows, by model, and KnownSince is when this box
 	// first received a report that it knows each of them.
--- a/internal/retire/retire_test.go
+++ b/internal/retire/retire_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// The box that frees may have known newer weights for long when the other boxes read the
+// The box that frees may have known newer weights for a long time when the other boxes read the
 // declaration. Until just before that, their reports allow a box that receives no others to
 // fetch.
 func TestRecentConfirmationsDoNotAllowFreeing(t *testing.T) {
--- a/internal/routed/boxlist.go
+++ b/internal/routed/boxlist.go
@@ -66,7 +66,7 @@
 }
 
 // identity returns the name of a server in the fleet. A server of two services counts as two there,
-// and another address or incarnation gives another server.
+// and one with another address or incarnation is another server.
 func identity(service, name, address, incarnation string) string {
 	return service + "/" + name + "@" + address + "#" + incarnation
 }
--- a/internal/routed/headers.go
+++ b/internal/routed/headers.go
@@ -27,7 +27,7 @@
 	// headerPromptParts lists the parts of the prompt in order, as "id:tokens,id:tokens". Two parts
 	// with the same id hold the same tokens; the last part is unique to this call.
 	headerPromptParts = "Cometlock-Prompt-Parts"
-	// headerRemaining gives a server the time until the call's deadline, in seconds.
+	// headerRemaining is the time until the call's deadline, in seconds.
 	headerRemaining = "Cometlock-Remaining"
 	// headerNamespace restricts the kept context that a server may use to context created under the
 	// same namespace.
@@ -36,7 +36,7 @@
 	// and any other must reject the call as not run. In an answer it is the one that produced the
 	// answer.
 	headerIncarnation = "Cometlock-Incarnation"
-	// headerPriority gives a server the priority of the call.
+	// headerPriority is the priority of the call, for the server.
 	headerPriority = "Cometlock-Priority"
 
 	headerOrganisation = "X-Organisation"
@@ -46,7 +46,7 @@
 	headerRetryAfter   = "Retry-After" // HTTP allows only whole seconds
 )
 
-// secondsDecimals is the number of decimals that gives milliseconds.
+// secondsDecimals is the number of decimals for a resolution of one millisecond.
 const secondsDecimals = 3
 
 // boxHeaders lists the headers that only a box may send to a server. They are dropped from a
--- a/internal/routed/limit.go
+++ b/internal/routed/limit.go
@@ -11,7 +11,7 @@
 	"github.com/cometlock/cometlock/internal/apierror"
 )
 
-// limitRetryAfter is the delay after which a caller above its organisation's limit is asked to
+// limitRetryAfter is the delay after which a caller above its organisation's limit should
 // retry. Calls of web services commonly take less.
 const limitRetryAfter = time.Second
 
--- a/internal/safepack/safepack_test.go
+++ b/internal/safepack/safepack_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against a false count that ends the process. A message of 23 bytes had a list with a count
-// of 808 million. The library allocated room for all elements before it read the first, and the
+// of 808 million. The library allocated memory for all elements before it read the first, and the
 // runtime ended the process, since running out of memory is not a panic. Fuzzing in CI reproduces
 // it in only one run of several:
 //
--- a/internal/sharedlog/sharedlog.go
+++ b/internal/sharedlog/sharedlog.go
@@ -16,15 +16,15 @@
 
 // Errors of a log.
 var (
-	// ErrConflict says that the stream does not end where the append expected.
+	// ErrConflict means that the stream does not end where the append expected.
 	ErrConflict = merry.Sentinel("the stream does not end at the expected offset")
-	// ErrRefused says that the log rejected the call without any effect.
+	// ErrRefused means that the log rejected the call without any effect.
 	ErrRefused = merry.Sentinel("the log refused the call")
-	// ErrUnknown says that there was no response: the call may have taken effect.
+	// ErrUnknown means that there was no response: the call may have taken effect.
 	ErrUnknown = merry.Sentinel("the log did not respond")
 )
 
-// RecordsExpiredError says that the requested records are no longer retained.
+// RecordsExpiredError means that the requested records are no longer retained.
 type RecordsExpiredError struct {
 	// First is the offset of the first record that still is.
 	First int64
@@ -46,7 +46,7 @@
 	Servers
 	// Boxes holds the addresses at which entry boxes reach each other, by name.
 	Boxes
-	// Orders holds which box gives orders to runners; its records have no keys.
+	// Orders holds which box sends orders to runners; its records have no keys.
 	Orders
 )
 
--- a/internal/sitebench/site.go
+++ b/internal/sitebench/site.go
@@ -5,7 +5,7 @@
 //
 // A simulation takes seconds, and only the seeds cause variance, so it shows whether a change of
 // the policy helps. It does not predict what a real site does: runners are modelled by a few
-// numbers. docs/design/placement.md says how far it agrees with the users' bench.
+// numbers. docs/design/placement.md describes how far it agrees with the users' bench.
 package sitebench
 
 import (
--- a/internal/soak/advisories.go
+++ b/internal/soak/advisories.go
@@ -14,9 +14,9 @@
 	// LimitServer has a server announce a rate limit in its responses.
 	LimitServer Kind = "limit_server"
 	// DrainInResponses has a server announce in its responses that it is draining. Its registry entry
-	// says so later.
+	// is updated later.
 	DrainInResponses Kind = "drain_in_answers"
-	// PauseServer has a server reject all calls and ask for a pause (Retry-After).
+	// PauseServer has a server reject all calls and request a pause (Retry-After).
 	PauseServer Kind = "pause_server"
 )
 
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -29,9 +29,9 @@
 const (
 	// CompleteResponse is the full response of the server that ran the call, each chunk once.
 	CompleteResponse Outcome = iota
-	// NotRun is a rejection which says that the call did not run.
+	// NotRun is a rejection which reports that the call did not run.
 	NotRun
-	// Unknown is an error which says that the call may have run, or no response at all.
+	// Unknown is an error which reports that the call may have run, or no response at all.
 	Unknown
 	// TruncatedResponse is a response that ended early.
 	TruncatedResponse
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -5,7 +5,7 @@
 import "slices"
 
 // Shrink removes faults, first half of them at a time and at last single ones, as long as a run with
-// the remaining faults still fails. It calls fails at most as often as runs says.
+// the remaining faults still fails. It calls fails at most runs times.
 func Shrink(faults []Fault, runs int, fails func([]Fault) bool) []Fault {
 	for part := len(faults) / 2; part >= 1; part /= 2 {
 		for at := 0; at < len(faults); {
--- a/internal/storebox/storebox.go
+++ b/internal/storebox/storebox.go
@@ -36,9 +36,9 @@
 
 // Errors of a store box.
 var (
-	// ErrMiss says that the block cannot be read, for whatever reason.
+	// ErrMiss means that the block cannot be read, for whatever reason.
 	ErrMiss = merry.Sentinel("the store box does not have the block")
-	// ErrFull says that there is no room for the block.
+	// ErrFull means that there is no space for the block.
 	ErrFull = merry.Sentinel("the store box is full")
 )
 
@@ -121,7 +121,7 @@
 	return data, nil
 }
 
-// Free deletes a block's name and frees its room.
+// Free deletes a block's name and frees its space.
 func (c *Client) Free(ctx context.Context, address string, key prefix.Key) error {
 	return c.call(ctx, http.MethodDelete, "http://"+address+"/v1/names/"+key.String(), nil, nil)
 }
@@ -175,5 +175,5 @@
 	}
 }
 
-// IsFull reports whether an error says that a store box has no room.
+// IsFull reports whether an error means that a store box has no space.
 func IsFull(err error) bool { return errors.Is(err, ErrFull) }
--- a/internal/waitqueue/waitqueue.go
+++ b/internal/waitqueue/waitqueue.go
@@ -1,14 +1,14 @@
-// Package waitqueue orders calls that wait for room by priority and deadline, and predicts which of
+// Package waitqueue orders calls that wait for capacity by priority and deadline, and predicts which of
 // them cannot meet their deadline. It is pure: the time is a parameter, and it starts no goroutine
 // and does not block.
 //
 // The load that it answers: prompts come in bursts, and each takes a part of a runner's memory for
 // about a second. With half of the memory in use on average, bursts repeatedly fill it for some
 // hundred milliseconds. A call that waits for that long still starts in time. One that waits longer
-// is late about half the time, and keeps room from new calls that would be in time. So calls wait
+// is late about half the time, and takes capacity from new calls that would be in time. So calls wait
 // for a short time, and are then refused and sent again.
 //
-// If room becomes free too slowly for all waiting calls, the last of them are refused at once: a
+// If capacity becomes free too slowly for all waiting calls, the last of them are refused at once: a
 // call waits only if its turn should come in time at the recent rate of admissions.
 package waitqueue
 
@@ -31,7 +31,7 @@
 	// rateWindow is the time constant of the admission rate; bursts last about as long.
 	rateWindow = 2 * time.Second
 	// minRate is the lowest rate assumed, in calls a second: few admissions at a box with little
-	// load do not predict how soon the calls of a burst find room.
+	// load do not predict how soon the calls of a burst are admitted.
 	minRate = 50.0
 )
 
@@ -68,7 +68,7 @@
 	return at >= 0
 }
 
-// RecordAdmission records that a call has found room, whether it had waited or not.
+// RecordAdmission records that a call was admitted, whether it had waited or not.
 func (q *Queue[T]) RecordAdmission(now time.Time) {
 	q.decay(now)
 	q.admitted++
@@ -93,7 +93,7 @@
 }
 
 // EstimateWait estimates how long a call, in the queue or not, waits for its turn: as long as the
-// calls before it need to find room.
+// calls before it need to be admitted.
 func (q *Queue[T]) EstimateWait(params Params, now time.Time) time.Duration {
 	ahead := 0
 	for _, entry := range q.entries {
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -48,7 +48,7 @@
 	Orders int64
 }
 
-// Order asks a runner to load a version of a model.
+// Order instructs a runner to load a version of a model.
 type Order struct {
 	Model   string
 	Version int
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -219,7 +219,7 @@
 	srv.sentAtReport = srv.sentTokens
 }
 
-// NoteFailure records that a server could not be reached or gave no response.
+// NoteFailure records that a server could not be reached or sent no response.
 func (v *View) NoteFailure(name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/zonereader/churn_test.go
+++ b/internal/zonereader/churn_test.go
@@ -51,7 +51,7 @@
 	c.boxes.run(ctx, next)
 }
 
-// step restarts a box, deletes a server that has not said that it is leaving, or adds one.
+// step restarts a box, deletes a server that has not announced that it is leaving, or adds one.
 func (c *churn) step(ctx context.Context) {
 	server := c.random.IntN(churnServers)
 	name := fmt.Sprint("server-", server)
--- a/internal/zonereader/follow.go
+++ b/internal/zonereader/follow.go
@@ -44,7 +44,7 @@
 	maxLostInRow      = 2
 )
 
-// errReaderLostLog says that the reader cannot read the log.
+// errReaderLostLog means that the reader cannot read the log.
 var errReaderLostLog = merry.Sentinel("the reader cannot read the log")
 
 // LoopFollow follows the reader that is chosen for this box until ctx ends.
--- a/internal/zonereader/pack.go
+++ b/internal/zonereader/pack.go
@@ -9,7 +9,7 @@
 	"github.com/cometlock/cometlock/internal/partindex"
 )
 
-// errMalformed says that the columns of an update do not match.
+// errMalformed means that the columns of an update do not match.
 var errMalformed = merry.Sentinel("a store box update is malformed")
 
 // packedUpdate is an update with its parts in columns.
--- a/internal/zonereader/zonereader.go
+++ b/internal/zonereader/zonereader.go
@@ -43,7 +43,7 @@
 }
 
 // maxBoxesPerReader bounds the boxes of one reader: 64 of them together send 160 to 600 requests a
-// second, at 0.1 ms each, which a large box of the zone can spare. A store box serves twelve
+// second, at 0.1 ms each, an acceptable load for a large box of the zone. A store box serves twelve
 // pollers, so there must not be more readers than that in a fleet of 360 boxes.
 const maxBoxesPerReader = 64
 
@@ -75,7 +75,7 @@
 	cfg Config
 
 	mu sync.Mutex
-	// following names the reader; it is empty while this box reads directly. roleLogged says that
+	// following names the reader; it is empty while this box reads directly. roleLogged means that
 	// either has been chosen and logged.
 	following  string
 	roleLogged bool
@@ -83,9 +83,9 @@
 	avoided map[string]time.Time
 	// lostInRow counts the readers that were left in a row since they could not read the log.
 	lostInRow int
-	// readerLostLog says that the current reader cannot read the log.
+	// readerLostLog means that the current reader cannot read the log.
 	readerLostLog bool
-	// standby says that this box would be the next reader where one box reads for all.
+	// standby means that this box would be the next reader where one box reads for all.
 	standby bool
 	// followers counts the boxes that are connected to this one.
 	followers int
@@ -118,7 +118,7 @@
 	return m.following
 }
 
-// ReaderLostLog reports whether this box's reader says that it cannot read the log.
+// ReaderLostLog reports whether this box's reader has announced that it cannot read the log.
 func (m *Member) ReaderLostLog() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,7 +132,7 @@
 	return m.standby
 }
 
-// request asks a reader for the changes since the follower's positions.
+// request is a follower's request to its reader for the changes since the follower's positions.
 type request struct {
 	Streams map[sharedlog.Stream]int64    `msgpack:"s"`
 	Stores  map[string]partindex.Position `msgpack:"p"`
@@ -148,7 +148,7 @@
 	Stores  []packedUpdate `msgpack:"p"`
 	// Held is the time from the arrival of the request to the making of the response.
 	Held time.Duration `msgpack:"h"`
-	// LogLost says that the reader cannot read the log.
+	// LogLost means that the reader cannot read the log.
 	LogLost bool `msgpack:"l,omitempty"`
 }
 
--- a/internal/zonereader/zonereader_test.go
+++ b/internal/zonereader/zonereader_test.go
@@ -348,7 +348,7 @@
 	}
 }
 
-// A box must not rely on an update for longer because it was in transit for long.
+// A box must not rely on an update for longer because it was in transit for a long time.
 func TestUpdatesCountAsOldAsTheirContent(t *testing.T) {
 	inBubble(t, 4, func(g *WithT, f *testFleet) {
 		reader := f.reader()
