--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -282,7 +282,6 @@
 	}
 }
 
-// checkServersOf checks the servers of a plain service.
 func (c *checker) checkServersOf(field string, service PlainService) {
 	for s, name := range service.Servers {
 		serverField := fmt.Sprintf("%s.servers[%d]", field, s)
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -12,7 +12,6 @@
 	"github.com/cometlock/cometlock/internal/decide"
 )
 
-// randomZone returns a random query and the runners of a random zone.
 func randomZone(random *rand.Rand) (decide.Query, []decide.Runner) {
 	query := decide.Query{
 		PromptTokens: random.IntN(100_000), FirstTokenWeight: 1 + 3*random.Float64(), RecomputeWeight: 3 * random.Float64(),
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -53,7 +53,6 @@
 	}
 }
 
-// fingerprintOf returns the fingerprint of a request.
 func fingerprintOf(request *flow.Request) fingerprint.Fingerprint {
 	caller := ""
 	if request.Organisation != nil {
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -106,7 +106,6 @@
 	return answer.Choices[0].Message.Content
 }
 
-// engines returns the engines of a fleet.
 func engines(fleet *testfleet.Fleet) []*fakeengine.Engine {
 	var all []*fakeengine.Engine
 	for _, server := range fleet.StandIns().File().BackendServers {
--- a/internal/gateway/prompts_test.go
+++ b/internal/gateway/prompts_test.go
@@ -109,7 +109,6 @@
 	return index
 }
 
-// promptGateway makes a gateway for prompts.
 func promptGateway(protocol call.Protocol, f *fleet.Fleet, index *partindex.Index, c *catalog.Catalog) *Gateway {
 	known := registry.New(registry.Config{Logger: zerolog.Nop()})
 	return New(Config{
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -61,7 +61,6 @@
 	}
 }
 
-// call makes a call and returns its response.
 func (c *crashGateway) call() *httptest.ResponseRecorder {
 	response := httptest.NewRecorder()
 	c.ServeHTTP(response, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -16,7 +16,6 @@
 // queue holds the calls to a service that wait for capacity.
 type queue = admission.Queue[*exchange, placement]
 
-// queue returns the queue of a service.
 func (g *Gateway) queue(service string) *queue {
 	if found, ok := g.queues.Load(service); ok {
 		return found.(*queue)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -11,7 +11,6 @@
 	"github.com/cometlock/cometlock/internal/silence"
 )
 
-// watchState is the state of a watch.
 type watchState uint8
 
 const (
--- a/internal/places/owner.go
+++ b/internal/places/owner.go
@@ -48,7 +48,6 @@
 	return granted
 }
 
-// queue returns the queue of a service.
 func (p *Placer) queue(service string) *queue {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sitebench/call.go
+++ b/internal/sitebench/call.go
@@ -96,7 +96,6 @@
 	sim.result.refused++
 }
 
-// send sends the call to a runner.
 func (c *call) send(r *runner) {
 	j, delay := c.newJob(r)
 	r.work[c.box].add(c.work())
--- a/internal/sitebench/policy.go
+++ b/internal/sitebench/policy.go
@@ -75,7 +75,6 @@
 	return placing.ShouldAskOwner(int(c.tokens()), &candidate, unreported)
 }
 
-// zoneRunners returns the runners of a zone.
 func (sim *simulation) zoneRunners(number int) []*runner {
 	var runners []*runner
 	for i := number % sim.site.Zones; i < len(sim.runners); i += sim.site.Zones {
