--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// recheck places the calls for which there is capacity now, in their order. A call without capacity does
-// not block those behind it: while runners' memory is too full for long prompts, short ones and
-// those for other weights may still fit.
+// recheck places the calls for which there is capacity now, in their order. A call without capacity
+// does not block those behind it: while runners' memory is too full for long prompts, short ones
+// and those for other weights may still fit.
 func (q *Queue[C, P]) recheck() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -86,8 +86,9 @@
 	}
 }
 
-// age raises the urgency of requests that have waited a long time, so that none starves. A review becomes
-// normal after one interval. No request becomes instant, because users wait for instant requests.
+// age raises the urgency of requests that have waited a long time, so that none starves. A review
+// becomes normal after one interval. No request becomes instant, because users wait for instant
+// requests.
 func (q *queue) age(now time.Time, interval time.Duration) {
 	changed := false
 	for _, e := range q.waiting {
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -17,8 +17,9 @@
 	f.coldLimits = limits
 }
 
-// isCold reports whether a server is cold: its entry marks it as cold and that time hasn't passed, or its
-// zone was returned to service so recently that its entry may not be marked yet. The caller holds mu.
+// isCold reports whether a server is cold: its entry marks it as cold and that time hasn't passed,
+// or its zone was returned to service so recently that its entry may not be marked yet. The caller
+// holds mu.
 func (f *Fleet) isCold(state *State, now time.Time) bool {
 	if now.Before(state.coldUntil) {
 		return true
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,8 +48,8 @@
 	// LoadReportAge returns the age of the load reports from other boxes, either those of this
 	// box's zone or those of other zones; nil means that there are none.
 	LoadReportAge func(ownZone bool) time.Duration
-	// Places requests places for long prompts from the owner boxes of runners, on behalf of the box BoxName;
-	// nil where this box places all calls itself.
+	// Places requests places for long prompts from the owner boxes of runners, on behalf of the box
+	// BoxName; nil where this box places all calls itself.
 	Places  *places.Placer
 	BoxName string
 	// Mechanisms records which mechanisms are switched off.
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -1,6 +1,7 @@
 // Placement by owners: one box owns the runners of a zone and places long prompts there, and short
-// ones while runners are busy (package places). This box requests a place from the owner of the zone that it would
-// choose itself. Where there is no capacity, it sends the request to the owner of its own zone, which queues the call.
+// ones while runners are busy (package places). This box requests a place from the owner of the
+// zone that it would choose itself. Where there is no capacity, it sends the request to the owner
+// of its own zone, which queues the call.
 
 package gateway
 
@@ -62,9 +63,9 @@
 	return g.recordPlacement(x, hold, plans), true, true
 }
 
-// askOwners requests a place from the owners of the zones that this box ranks best, starting with the given one if
-// it is not empty, and then the owner of its own zone, where the call waits. A nil hold means that
-// there was no capacity.
+// askOwners requests a place from the owners of the zones that this box ranks best, starting with
+// the given one if it is not empty, and then the owner of its own zone, where the call waits. A nil
+// hold means that there was no capacity.
 func (g *Gateway) askOwners(x *exchange, zone string, query fleet.Query, ownerQuery places.Request) (*fleet.Hold, error) {
 	var askedZones []string
 	otherZones := query
--- a/internal/gateway/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A short prompt is placed by the owner only while the runners are busy: with idle runners that would be a
-// needless request for each call.
+// A short prompt is placed by the owner only while the runners are busy: with idle runners that
+// would be a needless request for each call.
 func TestShortPromptsAskTheOwnerOfBusyRunners(t *testing.T) {
 	g := NewWithT(t)
 	var count atomic.Int64
--- a/internal/gateway/switchover.go
+++ b/internal/gateway/switchover.go
@@ -190,8 +190,8 @@
 	return false
 }
 
-// placeHedge chooses a healthy server for a hedge. It neither waits for capacity nor sends a request to an owner box:
-// the chosen server refuses the call if it has no capacity.
+// placeHedge chooses a healthy server for a hedge. It neither waits for capacity nor sends a
+// request to an owner box: the chosen server refuses the call if it has no capacity.
 func (g *Gateway) placeHedge(x *exchange, pastHedges []*attempt) (placement, bool) {
 	query, plans := g.fleetQuery(x)
 	query.HealthyOnly, query.UncappedOnly = true, true
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -47,7 +47,8 @@
 }
 
 // decodedRecord is a record and, in the servers' stream, the server that it describes. The server
-// is nil when the record deletes it, or when the record could not be decoded; undecodable is set in the latter case.
+// is nil when the record deletes it, or when the record could not be decoded; undecodable is set in
+// the latter case.
 type decodedRecord struct {
 	record      sharedlog.Record
 	server      *fleet.Server
--- a/internal/sitebench/short_test.go
+++ b/internal/sitebench/short_test.go
@@ -14,8 +14,8 @@
 //
 //	late short prompts: expected 37, first_event 802, placed_by this_box
 //
-// A box therefore sends a request to the owner when the unreported work at a runner may exceed the cost of
-// that request.
+// A box therefore sends a request to the owner when the unreported work at a runner may exceed the
+// cost of that request.
 func TestShortPromptsDoNotQueueBehindUnreportedLongOnes(t *testing.T) {
 	for seed := range uint64(3) {
 		g := NewWithT(t)
