--- a/internal/bench/overhead.go
+++ b/internal/bench/overhead.go
@@ -17,24 +17,24 @@
 	"github.com/cometlock/cometlock/internal/testfleet"
 )
 
-// Load of the overhead measurement.
+// Size of the overhead measurement.
 const (
 	overheadRequests = 4000
 	overheadChunks   = 100
 	overheadWorkers  = 4
 )
 
-// target is where the client sends its requests.
+// target is the destination of the client's requests.
 type target struct {
 	url    string
-	host   string // that of the URL where empty
+	host   string // Host header; empty for the host of the URL
 	header http.Header
-	// end stands in the last piece of a whole answer.
-	end string
+	// terminator is contained in the last chunk of a complete answer.
+	terminator string
 }
 
-// measured is what a run of requests came to.
-type measured struct {
+// loadResult is the result of a number of requests.
+type loadResult struct {
 	firstChunk *hdrhistogram.Histogram // microseconds
 	cpu        time.Duration
 	allocs     uint64
@@ -42,17 +42,17 @@
 	chunks     int
 }
 
-func (m measured) cpuPerRequest() float64 { return m.cpu.Seconds() * 1e6 / float64(m.requests) }
+func (m loadResult) cpuPerRequest() float64 { return m.cpu.Seconds() * 1e6 / float64(m.requests) }
 
-func (m measured) allocsPerRequest() float64 { return float64(m.allocs) / float64(m.requests) }
+func (m loadResult) allocsPerRequest() float64 { return float64(m.allocs) / float64(m.requests) }
 
-// overhead compares a client straight to an engine with the same client through
-// an entry box, in turns, so that both see the same machine.
+// overhead compares a client that is connected directly to an engine with the same client through
+// an entry box. The two take turns, so that they run under the same conditions.
 func overhead(out io.Writer) error {
-	if err := inRepository(); err != nil {
+	if err := checkRepository(); err != nil {
 		return err
 	}
-	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a"}, Engine: fakeengine.Config{KeepRuns: time.Second}})
+	fleet, err := testfleet.Start(testfleet.Config{File: sampleFile, Zones: []string{"zone-a"}, Engine: fakeengine.Config{RunRetention: time.Second}})
 	if err != nil {
 		return err
 	}
@@ -63,46 +63,46 @@
 	box := "http://" + fleet.Box(0).CallerAddress()
 	key := http.Header{"Authorization": {"Bearer " + testfleet.KeyNordlys}}
 	const completions, streamEnd = "/v1/chat/completions", "[DONE]"
-	engine := target{url: "http://" + serverAddress(fleet, baselineEngine) + completions, end: streamEnd}
-	few, many := 1, overheadChunks
-	for _, chunks := range []int{few, many} {
+	engine := target{url: "http://" + serverAddress(fleet, baselineEngine) + completions, terminator: streamEnd}
+	single, many := 1, overheadChunks
+	for _, chunks := range []int{single, many} {
 		what := fmt.Sprintf("requests of %d chunks", chunks)
-		if err := compareOverhead(out, what, chunks, engine, target{url: box + completions, header: key, end: streamEnd}); err != nil {
+		if err := compareOverhead(out, what, chunks, engine, target{url: box + completions, header: key, terminator: streamEnd}); err != nil {
 			return err
 		}
 	}
 	// The route booking-desk of the sample file leads to the service booking.
 	const desk, answerEnd = "/desk/1", "run="
-	booking := target{url: "http://" + serverAddress(fleet, "booking-zone-a-1") + desk, end: answerEnd}
-	return compareOverhead(out, "calls by route", 1, booking, target{url: box + desk, host: "booking.example", header: key, end: answerEnd})
+	booking := target{url: "http://" + serverAddress(fleet, "booking-zone-a-1") + desk, terminator: answerEnd}
+	return compareOverhead(out, "calls by route", 1, booking, target{url: box + desk, host: "booking.example", header: key, terminator: answerEnd})
 }
 
-// compareOverhead sends the same straight to a server and through an entry box.
+// compareOverhead sends the same requests directly to a server and through an entry box.
 func compareOverhead(out io.Writer, what string, chunks int, direct, through target) error {
 	const warmUp = overheadRequests / 10
 	for _, at := range []target{direct, through} {
-		if _, err := load(at, warmUp, chunks); err != nil {
+		if _, err := sendLoad(at, warmUp, chunks); err != nil {
 			return err
 		}
 	}
-	straight, err := load(direct, overheadRequests, chunks)
+	directResult, err := sendLoad(direct, overheadRequests, chunks)
 	if err != nil {
 		return err
 	}
-	boxed, err := load(through, overheadRequests, chunks)
+	boxResult, err := sendLoad(through, overheadRequests, chunks)
 	if err != nil {
 		return err
 	}
-	printOverhead(out, what, straight, boxed)
+	printOverhead(out, what, directResult, boxResult)
 	return nil
 }
 
-// baselineEngine is the engine of the sample file that baselines talk to.
+// baselineEngine is the engine of the sample file that the baseline requests go to.
 const baselineEngine = "runner-zone-a-1"
 
-// serverAddress is where a server is that the baseline talks to.
+// serverAddress returns the address of a server of the sample file.
 func serverAddress(fleet *testfleet.Fleet, name string) string {
-	for _, server := range fleet.Set().File().BackendServers {
+	for _, server := range fleet.StandIns().File().BackendServers {
 		if server.Name == name {
 			return server.Address
 		}
@@ -110,17 +110,17 @@
 	return ""
 }
 
-func printOverhead(out io.Writer, what string, straight, boxed measured) {
-	fmt.Fprintf(out, "%d %s, %d at a time, client and stand-in in the same process\n", boxed.requests, what, overheadWorkers)
+func printOverhead(out io.Writer, what string, direct, throughBox loadResult) {
+	fmt.Fprintf(out, "%d %s, %d at a time, client and stand-in in the same process\n", throughBox.requests, what, overheadWorkers)
 	fmt.Fprintf(out, "  %-34s %12s %12s %12s\n", "", "straight", "entry box", "added")
 	for _, quantile := range []float64{50, 95, 99} {
-		a, b := straight.firstChunk.ValueAtQuantile(quantile), boxed.firstChunk.ValueAtQuantile(quantile)
+		a, b := direct.firstChunk.ValueAtQuantile(quantile), throughBox.firstChunk.ValueAtQuantile(quantile)
 		fmt.Fprintf(out, "  first chunk, %gth percentile (µs) %11d %12d %12d\n", quantile, a, b, b-a)
 	}
-	added := boxed.cpuPerRequest() - straight.cpuPerRequest()
-	fmt.Fprintf(out, "  %-34s %12.0f %12.0f %12.0f\n", "CPU a request (µs)", straight.cpuPerRequest(), boxed.cpuPerRequest(), added)
-	fmt.Fprintf(out, "  %-34s %12.1f %12.1f %12.1f\n", "allocations a request", straight.allocsPerRequest(), boxed.allocsPerRequest(), boxed.allocsPerRequest()-straight.allocsPerRequest())
-	fmt.Fprintf(out, "  an entry box on one core carries %.0f such requests, %.0f chunks a second\n", 1e6/added, float64(boxed.chunks)*1e6/added)
+	added := throughBox.cpuPerRequest() - direct.cpuPerRequest()
+	fmt.Fprintf(out, "  %-34s %12.0f %12.0f %12.0f\n", "CPU a request (µs)", direct.cpuPerRequest(), throughBox.cpuPerRequest(), added)
+	fmt.Fprintf(out, "  %-34s %12.1f %12.1f %12.1f\n", "allocations a request", direct.allocsPerRequest(), throughBox.allocsPerRequest(), throughBox.allocsPerRequest()-direct.allocsPerRequest())
+	fmt.Fprintf(out, "  an entry box on one core carries %.0f such requests, %.0f chunks a second\n", 1e6/added, float64(throughBox.chunks)*1e6/added)
 }
 
 func waitReady(box *testfleet.Box) error {
@@ -130,27 +130,27 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return errors.New("the entry box did not get ready")
+	return errors.New("the entry box did not become ready")
 }
 
 func requestBody(chunks int, text string) []byte {
 	return fmt.Appendf(nil, `{"model":"scene-review","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, chunks, text)
 }
 
-// load sends requests and reads their answers whole.
-func load(at target, requests, chunks int) (measured, error) {
+// sendLoad sends requests concurrently and reads their complete answers.
+func sendLoad(at target, requests, chunks int) (loadResult, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: overheadWorkers}}
 	defer client.CloseIdleConnections()
-	result := measured{firstChunk: hdrhistogram.New(1, 60_000_000, 3), requests: requests, chunks: chunks}
+	result := loadResult{firstChunk: hdrhistogram.New(1, 60_000_000, 3), requests: requests, chunks: chunks}
 	var mu sync.Mutex
-	var ended sync.WaitGroup
+	var workers sync.WaitGroup
 	var failure error
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	cpu := cpuTime()
 	for range overheadWorkers {
-		ended.Go(func() {
-			histogram, err := sendMany(client, at, requests/overheadWorkers, chunks)
+		workers.Go(func() {
+			histogram, err := sendRequests(client, at, requests/overheadWorkers, chunks)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -160,30 +160,30 @@
 			result.firstChunk.Merge(histogram)
 		})
 	}
-	ended.Wait()
+	workers.Wait()
 	result.cpu = cpuTime() - cpu
 	runtime.ReadMemStats(&after)
 	result.allocs = after.Mallocs - before.Mallocs
 	return result, failure
 }
 
-func sendMany(client *http.Client, at target, count, chunks int) (*hdrhistogram.Histogram, error) {
+func sendRequests(client *http.Client, at target, count, chunks int) (*hdrhistogram.Histogram, error) {
 	histogram := hdrhistogram.New(1, 60_000_000, 3)
 	body := requestBody(chunks, "Hello")
 	buffer := make([]byte, 32<<10)
 	for range count {
-		took, err := sendOne(client, at, body, buffer)
+		latency, err := sendOne(client, at, body, buffer)
 		if err != nil {
 			return nil, err
 		}
-		if err := histogram.RecordValue(max(1, took.Microseconds())); err != nil {
+		if err := histogram.RecordValue(max(1, latency.Microseconds())); err != nil {
 			return nil, err
 		}
 	}
 	return histogram, nil
 }
 
-// sendOne sends one request and gives the time to its first chunk.
+// sendOne sends one request and returns the time to its first chunk.
 func sendOne(client *http.Client, at target, body, buffer []byte) (time.Duration, error) {
 	request, err := http.NewRequest(http.MethodPost, at.url, bytes.NewReader(body))
 	if err != nil {
@@ -203,18 +203,18 @@
 		return 0, fmt.Errorf("status %d", response.StatusCode)
 	}
 	n, err := response.Body.Read(buffer)
-	took := time.Since(began)
+	latency := time.Since(began)
 	for err == nil {
 		n, err = response.Body.Read(buffer)
 	}
 	if !errors.Is(err, io.EOF) {
 		return 0, err
 	}
-	if n > 0 && !strings.Contains(string(buffer[:n]), at.end) {
-		return 0, errors.New("the answer is not whole")
+	if n > 0 && !strings.Contains(string(buffer[:n]), at.terminator) {
+		return 0, errors.New("the answer is incomplete")
 	}
-	return took, nil
+	return latency, nil
 }
 
-// newBody makes the body of a request for two chunks.
+// newBody returns the body of a request for two chunks.
 func newBody(text string) io.Reader { return bytes.NewReader(requestBody(2, text)) }
--- a/internal/configlog/apply.go
+++ b/internal/configlog/apply.go
@@ -13,53 +13,53 @@
 	"github.com/cometlock/cometlock/internal/logservice"
 )
 
-// BeatenError says that another change came first.
-type BeatenError struct {
-	// Version is the version that beat this one.
+// ConflictError means that another change came first.
+type ConflictError struct {
+	// Version is the version in force.
 	Version int64
-	// ApplyID is the apply that made it, as far as it is known.
+	// ApplyID identifies the apply operation that created Version; empty if unknown.
 	ApplyID string
 }
 
 // Error implements the error interface.
-func (e *BeatenError) Error() string {
+func (e *ConflictError) Error() string {
 	if e.ApplyID == "" {
 		return fmt.Sprintf("version %d is in force, which is not the one that was planned against", e.Version)
 	}
 	return fmt.Sprintf("another change came first: version %d by apply %s is in force", e.Version, e.ApplyID)
 }
 
-// ErrUnknownEnd says that the log gave no answer and that the change was not
-// found in it yet: it may still appear.
-var ErrUnknownEnd = merry.Sentinel("the log service gave no answer; whether the change will take effect is unknown")
+// ErrOutcomeUnknown means that the change was not read back from the log in time: it may still
+// appear.
+var ErrOutcomeUnknown = merry.Sentinel("the log service gave no answer; whether the change will take effect is unknown")
 
-// ErrNothingToDo says that the file says what is already in force.
-var ErrNothingToDo = merry.Sentinel("the file says what is in force already")
+// ErrNoChange means that the file equals the configuration in force.
+var ErrNoChange = merry.Sentinel("the file equals the configuration in force")
 
-// ApplyConfig sets up one Apply.
+// ApplyConfig configures one Apply.
 type ApplyConfig struct {
 	Log logservice.Log
-	// ApplyID names this apply; it must be new.
+	// ApplyID identifies this apply operation; it must be unique.
 	ApplyID string
-	// Base, when set, is the version that the operator planned against; any
-	// other version in force is refused.
-	Base *int64
-	// LookFor is how long to look for a change whose append got no answer.
-	LookFor time.Duration
+	// BaseVersion, if set, is the version that the operator's plan is based on; if another
+	// version is in force, Apply fails.
+	BaseVersion *int64
+	// ReadBackTimeout bounds the time to read the change back from the log after its append.
+	ReadBackTimeout time.Duration
 }
 
-// Apply puts a whole file into force and gives its version. "Accepted" is said
-// only after the record was read back from the log, in order.
+// Apply makes a whole file the configuration in force and returns its version. It reports
+// success only after the record was read back from the log, in order.
 func Apply(ctx context.Context, cfg ApplyConfig, file *config.File) (int64, error) {
 	reader := NewReader(cfg.Log)
 	if err := reader.CatchUp(ctx); err != nil {
 		return 0, merry.Prepend(err, "read the version in force")
 	}
 	state, _ := reader.State()
-	if cfg.Base != nil && *cfg.Base != state.Version {
-		return 0, &BeatenError{Version: state.Version}
+	if cfg.BaseVersion != nil && *cfg.BaseVersion != state.Version {
+		return 0, &ConflictError{Version: state.Version}
 	}
-	record, err := changeTo(state, file, cfg.ApplyID)
+	record, err := newChangeRecord(state, file, cfg.ApplyID)
 	if err != nil {
 		return 0, err
 	}
@@ -73,85 +73,85 @@
 	return readBack(ctx, cfg, reader)
 }
 
-func changeTo(state State, file *config.File, applyID string) (Record, error) {
+func newChangeRecord(state State, file *config.File, applyID string) (Record, error) {
 	target, err := file.Entries()
 	if err != nil {
 		return Record{}, err
 	}
 	change := state.Entries.Diff(target)
 	if change.Empty() {
-		return Record{}, ErrNothingToDo
+		return Record{}, ErrNoChange
 	}
-	return Record{Kind: KindChange, ApplyID: applyID, Base: state.Version, Change: change, Digest: target.Digest()}, nil
+	return Record{Kind: KindChange, ApplyID: applyID, BaseVersion: state.Version, Change: change, Digest: target.Digest()}, nil
 }
 
-// readBack reads on from the state the change was made against until the fold
-// meets it, or a change that beats it. An append without an answer is looked for
-// but never sent again: it may be in the log already, or still on its way.
+// readBack reads the log from the state that the change was based on until the change or one
+// that conflicts with it was applied. An append without a response is never retried: its record
+// may already be in the log, or may still arrive.
 func readBack(ctx context.Context, cfg ApplyConfig, reader *Reader) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, cfg.LookFor)
+	ctx, cancel := context.WithTimeout(ctx, cfg.ReadBackTimeout)
 	defer cancel()
-	search := &search{applyID: cfg.ApplyID}
+	search := &applySearch{applyID: cfg.ApplyID}
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
-		if _, err := reader.Poll(ctx, pollWait, search.see); err != nil {
+		if _, err := reader.Poll(ctx, pollWait, search.observe); err != nil {
 			return struct{}{}, err
 		}
 		if search.verdict == 0 {
-			return struct{}{}, ErrUnknownEnd
+			return struct{}{}, ErrOutcomeUnknown
 		}
 		return struct{}{}, nil
-	}, backoff.WithBackOff(backoff.NewConstantBackOff(pollPause)), backoff.WithMaxElapsedTime(cfg.LookFor))
+	}, backoff.WithBackOff(backoff.NewConstantBackOff(pollDelay)), backoff.WithMaxElapsedTime(cfg.ReadBackTimeout))
 	if err != nil {
-		return 0, merry.Wrap(ErrUnknownEnd, merry.AppendMessage(err.Error()))
+		return 0, merry.Wrap(ErrOutcomeUnknown, merry.AppendMessage(err.Error()))
 	}
-	return search.end()
+	return search.result()
 }
 
-// Pace of looking for a change in the log.
+// Wait of each read, and delay between two reads, while a change is read back.
 const (
 	pollWait  = 100 * time.Millisecond
-	pollPause = 50 * time.Millisecond
+	pollDelay = 50 * time.Millisecond
 )
 
-// search looks for one apply among the records of the stream.
-type search struct {
+// applySearch searches the records of the stream for one apply operation.
+type applySearch struct {
 	applyID string
 	verdict Verdict
 	offset  int64
-	// winner is the first other change accepted before the verdict.
-	winner BeatenError
+	// winner is the first other change that was accepted before the verdict.
+	winner ConflictError
 }
 
-func (s *search) see(event Event) {
+func (s *applySearch) observe(event Event) {
 	switch {
 	case s.verdict != 0 || event.Record.Kind == KindCheckpoint:
 	case event.Record.ApplyID == s.applyID:
 		s.verdict, s.offset = event.Verdict, event.Offset
 	case event.Verdict == Accepted && s.winner.ApplyID == "":
-		s.winner = BeatenError{Version: event.Offset, ApplyID: event.Record.ApplyID}
+		s.winner = ConflictError{Version: event.Offset, ApplyID: event.Record.ApplyID}
 	}
 }
 
-func (s *search) end() (int64, error) {
+func (s *applySearch) result() (int64, error) {
 	switch s.verdict {
 	case Accepted:
 		return s.offset, nil
-	case Beaten:
+	case Conflict:
 		return 0, &s.winner
 	default:
-		return 0, merry.Errorf("the log holds the change in a damaged form, at offset %d", s.offset)
+		return 0, merry.Errorf("the record of the change at offset %d of the log is corrupt", s.offset)
 	}
 }
 
-// AppendCheckpoint writes a checkpoint of a state. Two processes may write the
-// same one: a reader takes either.
+// AppendCheckpoint appends a checkpoint of a state. If two processes append the same one,
+// readers can use either.
 func AppendCheckpoint(ctx context.Context, log logservice.Log, state State) error {
 	data, err := state.Checkpoint().Encode()
 	if err != nil {
 		return err
 	}
 	if len(data) > logservice.MaxRecordBytes {
-		return merry.Errorf("a checkpoint of %d bytes does not fit a record", len(data))
+		return merry.Errorf("a checkpoint of %d bytes does not fit into a record", len(data))
 	}
 	_, err = log.Append(ctx, Stream, data)
 	return err
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -15,22 +15,22 @@
 	"github.com/cometlock/cometlock/internal/retrybudget"
 )
 
-// A way in which an engine deals with a run.
+// The behaviour of an engine when it receives a run.
 const (
-	gone    = "gone"    // nothing listens
-	refuses = "refuses" // answers 503
-	rejects = "rejects" // answers 400
-	drops   = "drops"   // takes the run and closes the connection
+	gone    = "gone"    // refuses connections
+	refuses = "refuses" // responds with status 503
+	rejects = "rejects" // responds with status 400
+	drops   = "drops"   // accepts the run and closes the connection
 )
 
-func serverThat(t *testing.T, way string) *config.BackendServer {
+func newServer(t *testing.T, behaviour string) *config.BackendServer {
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodGet:
-			w.WriteHeader(http.StatusNotFound) // it knows no run by name
-		case way == refuses:
+			w.WriteHeader(http.StatusNotFound) // it has no run with this ID
+		case behaviour == refuses:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case way == rejects:
+		case behaviour == rejects:
 			w.WriteHeader(http.StatusBadRequest)
 		default:
 			panic(http.ErrAbortHandler)
@@ -38,18 +38,18 @@
 	}
 	server := httptest.NewServer(http.HandlerFunc(handler))
 	t.Cleanup(server.Close)
-	if way == gone {
+	if behaviour == gone {
 		server.Close()
 	}
-	return &config.BackendServer{Name: way, Address: server.Listener.Addr().String()}
+	return &config.BackendServer{Name: behaviour, Address: server.Listener.Addr().String()}
 }
 
-// What a caller is told when no engine takes the request hangs on all tries, not
-// on the last one alone.
-func TestWhatIsSaidOfARequestThatNoEngineAnswers(t *testing.T) {
+// The outcome of a request that no engine accepts depends on all attempts, not only on
+// the last one.
+func TestTheOutcomeDependsOnAllAttempts(t *testing.T) {
 	cases := []struct {
 		name       string
-		ways       []string
+		behaviours []string
 		repeatable bool
 		want       apierror.Outcome
 	}{
@@ -60,48 +60,50 @@
 		{"the first may have run it, the next rejects it", []string{drops, rejects}, true, apierror.Unknown},
 		{"the last may have run it", []string{refuses, gone, drops}, true, apierror.Unknown},
 		{"it may not be repeated, and the first may have run it", []string{drops, refuses}, false, apierror.Unknown},
-		{"it may not be repeated, and nobody took it", []string{gone, refuses, gone}, false, apierror.NotRun},
+		{"it may not be repeated, and no engine accepted it", []string{gone, refuses, gone}, false, apierror.NotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			request := flow.NewRequest(t.Context())
 			request.Path, request.Repeatable = "/v1/completions", c.repeatable
-			request.OnEncode(func() []byte { return []byte("{}") })
+			request.SetEncoder(func() []byte { return []byte("{}") })
 			tried := 0
 			choose := func(request *flow.Request, _ []string) *apierror.Error {
-				if tried == len(c.ways) {
-					return apierror.NotReady("none", 0, "no more")
+				if tried == len(c.behaviours) {
+					return apierror.ServiceUnavailable("none", 0, "no more")
 				}
-				request.Placement.Server = serverThat(t, c.ways[tried])
+				request.Placement.Server = newServer(t, c.behaviours[tried])
 				tried++
 				return nil
 			}
 			g.Expect(choose(request, nil)).To(BeNil())
 			d := dispatch.New(dispatch.Config{
-				Engines: engine.NewClient(engine.ClientConfig{}), Choose: choose, Failed: func(string) {}, Budget: retrybudget.New(retrybudget.Config{}),
+				Engines: engine.NewClient(engine.ClientConfig{}), Choose: choose, OnFailure: func(string) {}, Budget: retrybudget.New(retrybudget.Config{}),
 			})
-			_, failure := d.Open(request)
+			_, failure := d.Dispatch(request)
 			g.Expect(failure).NotTo(BeNil())
 			g.Expect(failure.Outcome).To(Equal(c.want))
 		})
 	}
 }
 
-// A request whose engine dropped it took a retry from the budget, and then there was no other
-// engine: the retry was gone, and requests that would have found one a moment later had none.
-func TestARetryThatFindsNoEngineIsGivenBack(t *testing.T) {
+// A retry withdrawn from the budget must be refunded if there is no other engine. Otherwise the
+// budget lacks it for requests that could be retried a moment later.
+func TestARetryWithoutAnEngineIsRefunded(t *testing.T) {
 	g := NewWithT(t)
 	request := flow.NewRequest(t.Context())
 	request.Path, request.Repeatable = "/v1/completions", true
-	request.OnEncode(func() []byte { return []byte("{}") })
-	request.Placement.Server = serverThat(t, drops)
+	request.SetEncoder(func() []byte { return []byte("{}") })
+	request.Placement.Server = newServer(t, drops)
 	budget := retrybudget.New(retrybudget.Config{})
 	d := dispatch.New(dispatch.Config{
-		Engines: engine.NewClient(engine.ClientConfig{}), Failed: func(string) {}, Budget: budget,
-		Choose: func(*flow.Request, []string) *apierror.Error { return apierror.NotReady("none", 0, "no more") },
+		Engines: engine.NewClient(engine.ClientConfig{}), OnFailure: func(string) {}, Budget: budget,
+		Choose: func(*flow.Request, []string) *apierror.Error {
+			return apierror.ServiceUnavailable("none", 0, "no more")
+		},
 	})
-	_, failure := d.Open(request)
+	_, failure := d.Dispatch(request)
 	g.Expect(failure).NotTo(BeNil())
 	g.Expect(budget.State().Balance).To(BeEquivalentTo(retrybudget.DefaultBurst))
 }
--- a/internal/engine/resume.go
+++ b/internal/engine/resume.go
@@ -8,25 +8,26 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Pace of taking a run up again.
+// Limits of the attempts to resume a run.
 const (
-	// MaxResumes bounds the tries in a row that bring nothing.
-	MaxResumes  = 6
-	firstResume = 20 * time.Millisecond
-	maxResume   = 500 * time.Millisecond
+	// MaxResumeAttempts is the maximum number of consecutive attempts without a new chunk.
+	MaxResumeAttempts  = 6
+	initialResumeDelay = 20 * time.Millisecond
+	maxResumeDelay     = 500 * time.Millisecond
 )
 
-// ResumeSoon takes a run up after a chunk, trying for a second or two. It gives
-// up at once when the engine says that the run is not there.
-func (c *Client) ResumeSoon(ctx context.Context, address string, run Run, after int) (*Stream, error) {
+// ResumeWithRetry resumes a run after a chunk, and retries with exponential backoff for one
+// to two seconds. It does not retry if the engine no longer has the run or responds with
+// another weight version.
+func (c *Client) ResumeWithRetry(ctx context.Context, address string, run Run, after int) (*Stream, error) {
 	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = firstResume
-	waits.MaxInterval = maxResume
+	waits.InitialInterval = initialResumeDelay
+	waits.MaxInterval = maxResumeDelay
 	return backoff.Retry(ctx, func() (*Stream, error) {
 		stream, err := c.Resume(ctx, address, run, after)
 		if errors.Is(err, ErrUnknownRun) || errors.Is(err, ErrWrongWeights) {
 			return nil, backoff.Permanent(err)
 		}
 		return stream, err
-	}, backoff.WithBackOff(waits), backoff.WithMaxTries(MaxResumes))
+	}, backoff.WithBackOff(waits), backoff.WithMaxTries(MaxResumeAttempts))
 }
--- a/internal/gateway/outdated.go
+++ b/internal/gateway/outdated.go
@@ -16,7 +16,7 @@
 	// before that. A higher factor would make calls late, which costs callers more.
 	outdatedCostFactor = 0.3
 	// outdatedMargin is how long before the time limit of outdated weights the last call is placed
-	// at them, since a call may wait at its runner. The runner gives the call up
+	// at them, since a call may wait at its runner. The runner aborts the call
 	// outdatedRunnerMargin before that limit.
 	outdatedMargin       = 2 * time.Second
 	outdatedRunnerMargin = 300 * time.Millisecond
@@ -55,7 +55,7 @@
 	if chosen.namespace == "" {
 		return timeout
 	}
-	newer, outdated := g.cfg.Weights.OutdatedSince(x.facts.Prompt.Model, chosen.hold.Weights())
+	newer, outdated := g.cfg.Weights.OutdatedSince(x.info.Prompt.Model, chosen.hold.Weights())
 	if !outdated || newer.Undated() {
 		return timeout
 	}
--- a/internal/gateway/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A short prompt asks the owner only while the runners are busy: with idle runners that would be a
-// needless request for each call.
+// A short prompt is placed by the owner only while the runners are busy: with idle runners that
+// would be a needless request for each call.
 func TestShortPromptsAskTheOwnerOfBusyRunners(t *testing.T) {
 	g := NewWithT(t)
 	var count atomic.Int64
@@ -73,7 +73,7 @@
 	startRunner(t, f, "r", countingRunner(&count)) // with 4 slots
 	c := promptCatalog(g)
 	protocol := newPlanProtocol()
-	protocol.facts.Prompt.Tokens, protocol.facts.Prompt.Parts = 100, protocol.facts.Prompt.Parts[1:]
+	protocol.info.Prompt.Tokens, protocol.info.Prompt.Parts = 100, protocol.info.Prompt.Parts[1:]
 	gateway := promptGateway(protocol, f, emptyIndex(c), c)
 	var asked atomic.Int64
 	gateway.cfg.Places = places.New(places.Config{
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -61,7 +61,6 @@
 	}
 }
 
-// call makes a call and returns its response.
 func (c *crashGateway) call() *httptest.ResponseRecorder {
 	response := httptest.NewRecorder()
 	c.ServeHTTP(response, httptest.NewRequest(http.MethodPost, "http://example.com/", nil))
@@ -117,7 +116,7 @@
 	g := NewWithT(t)
 	e := newCrashGateway(g, false)
 	protocol := newPlanProtocol()
-	protocol.facts.Prompt = largeMemoryPrompt()
+	protocol.info.Prompt = largeMemoryPrompt()
 	e.cfg.Protocol = protocol
 	release := make(chan struct{})
 	defer close(release)
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -82,16 +82,16 @@
 		return stepSwitched
 	}
 	repeatedCrash := a.isRepeatedCrash(end)
-	if a.x.route.MayRepeat() && !outOfTime && !repeatedCrash {
+	if a.x.route.IsRepeatable() && !outOfTime && !repeatedCrash {
 		return stepNextServer
 	}
 	a.gateway.endCall(a.x, reason, 0)
 	return stepDone
 }
 
-// handleRefusal handles a response which says that the server did not run the call.
-func (a *attempt) handleRefusal(response *handover.Response, marks call.Marks) nextStep {
-	a.recordRefusal(response, marks)
+// handleRefusal handles a response which reports that the server did not run the call.
+func (a *attempt) handleRefusal(response *handover.Response, info call.ResponseInfo) nextStep {
+	a.recordRefusal(response, info)
 	if a.watch.switchToHedge() {
 		return stepSwitched
 	}
@@ -104,10 +104,10 @@
 
 // recordRefusal records that the server did not run the call, and what the refusal shows about the
 // server.
-func (a *attempt) recordRefusal(response *handover.Response, marks call.Marks) {
+func (a *attempt) recordRefusal(response *handover.Response, info call.ResponseInfo) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBytes)) // so that the connection can be reused
 	server := a.chosen.hold.Server()
-	replaced := marks.Server != "" && marks.Server != server.TargetName()
+	replaced := info.Server != "" && info.Server != server.TargetName()
 	switch {
 	case response.Status == http.StatusMisdirectedRequest && replaced:
 		a.release(fleet.OutcomeReplaced)
@@ -118,16 +118,16 @@
 	}
 	a.log("server_refused", strconv.Itoa(response.Status))
 	if replaced {
-		a.gateway.cfg.Logger.Info().Str("server", server.Incarnation).Str("address", server.Address).Str("found", marks.Server).Msg("address_reused")
+		a.gateway.cfg.Logger.Info().Str("server", server.Incarnation).Str("address", server.Address).Str("found", info.Server).Msg("address_reused")
 	}
 }
 
 // release frees the call's place at its server. Unless the server served the call, it will hardly
-// have saved the parts that it was asked to, so another server may be asked.
+// have saved the parts that the call's plan assigned to it, so another server may save them.
 func (a *attempt) release(end fleet.Outcome) {
 	a.chosen.hold.Done(end)
 	if end != fleet.OutcomeServed && a.chosen.namespace != "" {
-		a.gateway.cfg.Parts.DropSaves(a.chosen.namespace, a.x.facts.Prompt.Parts, a.chosen.plan)
+		a.gateway.cfg.Parts.DropSaves(a.chosen.namespace, a.x.info.Prompt.Parts, a.chosen.plan)
 	}
 }
 
@@ -152,7 +152,7 @@
 func (a *attempt) log(event, reason string) {
 	server := a.chosen.hold.Server()
 	a.gateway.metrics.attemptFailed(event)
-	a.gateway.cfg.Logger.Info().Str("request", a.x.facts.RequestID).Str("server", server.Incarnation).Str("service", server.Service).
+	a.gateway.cfg.Logger.Info().Str("request", a.x.info.RequestID).Str("server", server.Incarnation).Str("service", server.Service).
 		Int("try", a.number).Str("reason", reason).Bool("silent", a.watch.hasSwitched()).Stringer("fingerprint", a.x.fingerprint).
 		Str("ended_by", string(a.closedBy())).Dur("left", boottime.Until(a.x.deadline)).Int("servers_seen", a.serversReached).
 		Float64("retries_saved", a.gateway.cfg.Budget.State().Balance).Msg(event)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -93,11 +93,11 @@
 	return g.busyBackoff(x)
 }
 
-// busyBackoff returns when a call that found no room should be sent again: soon when none of its
+// busyBackoff returns when a call that found no capacity should be sent again: soon when none of its
 // servers can be reached, and after some prompts have been processed when they are busy. For
 // prompts it is random, so that calls refused together do not come back together.
 func (g *Gateway) busyBackoff(x *exchange) time.Duration {
-	if x.facts.Prompt == nil {
+	if x.info.Prompt == nil {
 		return retryAfterNoServers
 	}
 	objective := x.route.Objective
@@ -148,5 +148,5 @@
 
 // mayRetry reports whether the call may run once more after it may have run.
 func (x *exchange) mayRetry() bool {
-	return x.route.MayRepeat() && x.serversReached < x.maxServers()
+	return x.route.IsRepeatable() && x.serversReached < x.maxServers()
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -11,7 +11,6 @@
 	"github.com/cometlock/cometlock/internal/silence"
 )
 
-// watchState is the state of a watch.
 type watchState uint8
 
 const (
@@ -60,7 +59,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastReceivedAt = boottime.Now()
-	if w.current.x.route.MayRepeat() {
+	if w.current.x.route.IsRepeatable() {
 		w.scheduleCheck(w.observe(w.lastReceivedAt).IdleLimit())
 	}
 }
--- a/internal/handover/pool.go
+++ b/internal/handover/pool.go
@@ -27,8 +27,8 @@
 	DialTimeout time.Duration
 	// MaxIdlePerServer bounds the idle connections to one server.
 	MaxIdlePerServer int
-	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	// Mechanisms records which mechanisms are switched off.
+	Mechanisms mechanism.Switches
 	// OnDial is called for each new connection, for the metrics; it may be nil.
 	OnDial func()
 }
@@ -46,7 +46,7 @@
 
 const (
 	// userTimeout is the TCP user timeout: a connection is closed when sent bytes stay
-	// unacknowledged for so long, because the server is gone or partitioned. It is above the
+	// unacknowledged for so long, because the server has failed or is partitioned. It is above the
 	// longest retransmission delay on a link that loses some packets.
 	userTimeout = 2 * time.Second
 	// keepAliveInterval is the time between keep-alive probes on an idle connection.
@@ -164,7 +164,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := cmp.Or(p.maxIdle[address], maxIdleLimit)
-	if !p.cfg.Off.Enabled(mechanism.KeptConnections) {
+	if !p.cfg.Mechanisms.Enabled(mechanism.KeptConnections) {
 		limit, open = minIdleLimit, true
 	}
 	if open {
@@ -249,7 +249,7 @@
 }
 
 // enableKeepAlive turns on TCP keep-alive probes. The server's kernel answers them even if the
-// process is stopped. If the machine is gone or partitioned, they stay unanswered and the
+// process is stopped. If the machine has failed or is partitioned, they stay unanswered and the
 // connection breaks after userTimeout. So the box detects a lost machine without giving up calls at
 // servers that only stall.
 func (c *connection) enableKeepAlive() error {
--- a/internal/kept/export.go
+++ b/internal/kept/export.go
@@ -9,101 +9,103 @@
 	"github.com/cometlock/cometlock/internal/prefix"
 )
 
-// Exports: contexts on their way from a runner into a store box, and the room
-// that is made for them.
+// This file exports contexts from runners to store boxes, and evicts blocks from full
+// store boxes.
 
-// Loop exports contexts until ctx ends.
-func (k *Keeper) Loop(ctx context.Context) {
+// Loop exports contexts until ctx is cancelled.
+func (o *Offloader) Loop(ctx context.Context) {
 	for {
-		next, err := k.exports.Pop(ctx)
+		next, err := o.exports.Pop(ctx)
 		if err != nil {
 			return
 		}
-		k.export(ctx, next)
+		o.export(ctx, next)
 	}
 }
 
-// export has a runner put a context into the store box of its home. Blocks that
-// are there already, such as a beginning that several contexts share, are kept
-// once: they have the same names.
-func (k *Keeper) export(ctx context.Context, offered export) {
-	to := k.home(offered.keys[len(offered.keys)-1])
-	if to == nil || !to.awaitBudget(ctx, offered.bytes) {
-		k.drop()
+// export has a runner write a context to its store box. Blocks that the store box already
+// has, such as a prefix that several contexts share, have the same keys and are stored
+// once.
+func (o *Offloader) export(ctx context.Context, job exportJob) {
+	box := o.storeFor(job.keys[len(job.keys)-1])
+	if box == nil || !box.waitForBudget(ctx, job.bytes) {
+		o.countDropped()
 		return
 	}
-	answer, err := k.cfg.Engines.Export(ctx, offered.server.Address, engine.Transfer{Store: to.server.Address, Keys: offered.keys})
-	whole := err == nil && answer.Blocks == len(offered.keys)
-	if answer.Full {
-		k.makeRoom(ctx, to)
+	result, err := o.cfg.Engines.Export(ctx, job.server.Address, engine.Transfer{Store: box.server.Address, Keys: job.keys})
+	complete := err == nil && result.Blocks == len(job.keys)
+	if result.Full {
+		o.makeRoom(ctx, box)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.counts.Exports++
-	if !whole {
-		k.counts.ExportsDropped++
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.counts.Exports++
+	if !complete {
+		o.counts.ExportsDropped++
 		return
 	}
-	for len(k.held) >= k.cfg.MaxContexts {
-		if oldest, ok := k.recent.Back().Value.(keptContext); ok {
-			k.forget(oldest.last)
+	for len(o.contexts) >= o.cfg.MaxContexts {
+		if oldest, ok := o.lru.Back().Value.(storedContext); ok {
+			o.removeContext(oldest.last)
 		}
 	}
-	kept := keptContext{last: offered.keys[len(offered.keys)-1], keys: offered.keys, store: to.server.Name}
-	k.held[kept.last] = k.recent.PushFront(kept)
+	stored := storedContext{last: job.keys[len(job.keys)-1], keys: job.keys, store: box.server.Name}
+	o.contexts[stored.last] = o.lru.PushFront(stored)
 }
 
-// maxExportWait is how long an export may wait for its link. Meanwhile others
-// queue up behind it, and those that find no room are dropped.
+// maxExportWait is how long an export may wait for its link. Other exports queue behind
+// it, and are dropped when the queue is full.
 const maxExportWait = 5 * time.Second
 
-// awaitBudget waits until the link has room for an export.
-func (s *store) awaitBudget(ctx context.Context, size int64) bool {
+// waitForBudget waits until the link's budget for exports covers the given size, and
+// reports whether it does within maxExportWait.
+func (s *storeBox) waitForBudget(ctx context.Context, size int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, maxExportWait)
 	defer cancel()
-	return s.exports.WaitN(ctx, int(size)) == nil
+	return s.exportLimiter.WaitN(ctx, int(size)) == nil
 }
 
-// home gives the store box of a context, by rendezvous hashing.
-func (k *Keeper) home(last prefix.Key) *store {
+// storeFor returns the store box of a context by rendezvous hashing.
+func (o *Offloader) storeFor(last prefix.Key) *storeBox {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	var best *store
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	var best *storeBox
 	var highest uint64
-	for name, candidate := range k.stores {
+	for name, candidate := range o.stores {
 		if !candidate.usable(now) {
 			continue
 		}
-		if rank := rankOf(name, last); best == nil || rank > highest {
+		if rank := rendezvousRank(name, last); best == nil || rank > highest {
 			best, highest = candidate, rank
 		}
 	}
 	return best
 }
 
-// rankOf ranks a store box for a context.
-func rankOf(name string, last prefix.Key) uint64 {
+// rendezvousRank returns the rank of a store box for a context; the highest wins.
+func rendezvousRank(name string, last prefix.Key) uint64 {
 	return xxhash.Sum64String(name + last.String())
 }
 
-// maxFreed is how many blocks make room at once, about one long context.
-const maxFreed = 64
+// maxFreedBlocks is the maximum number of blocks to evict at once, about the size of one
+// long context.
+const maxFreedBlocks = 64
 
-// makeRoom frees what was looked up least lately in a full store box. The box
-// itself tells what that is: blocks of contexts that this entry box never knew,
-// because another one had them put there and was replaced, must go too.
-func (k *Keeper) makeRoom(ctx context.Context, in *store) {
-	keys, err := k.cfg.Stores.LeastRecent(ctx, in.server.Address, maxFreed)
+// makeRoom evicts the least recently used blocks of a full store box. It requests their
+// keys from the store box: this entry box has no record of blocks that were stored by
+// an entry box that has since been replaced, and they must be evicted too.
+func (o *Offloader) makeRoom(ctx context.Context, box *storeBox) {
+	keys, err := o.cfg.Stores.LeastRecent(ctx, box.server.Address, maxFreedBlocks)
 	if err != nil {
 		return
 	}
 	for _, key := range keys {
-		if err := k.cfg.Stores.Free(ctx, in.server.Address, key); err != nil {
+		if err := o.cfg.Stores.Free(ctx, box.server.Address, key); err != nil {
 			return
 		}
-		k.mu.Lock()
-		k.forget(key)
-		k.mu.Unlock()
+		o.mu.Lock()
+		o.removeContext(key)
+		o.mu.Unlock()
 	}
 }
--- a/internal/loadshare/links.go
+++ b/internal/loadshare/links.go
@@ -1,7 +1,7 @@
 // The links of a box, that is, the boxes to which it sends. In a small fleet a box sends to all
 // others. Otherwise each box follows the hub of its zone and sends to that hub only. A hub sends to
 // all listed boxes of its zone, including those that do not report to it, and to the hubs of the
-// other zones. In addition a box sends to every box that asks for its reports: boxes may disagree
+// other zones. In addition a box sends to every box that requests its reports: boxes may disagree
 // for a short time on which box is the hub, and the hub of its zone contacts a box that cannot read
 // the list.
 //
@@ -50,7 +50,7 @@
 
 // usesHubs reports whether boxes send through hubs. The caller holds mu.
 func (s *Share) usesHubs() bool {
-	return s.listLoaded && len(s.peers)+1 > maxDirectBoxes && s.cfg.Off.Enabled(mechanism.Hubs)
+	return s.listLoaded && len(s.peers)+1 > maxDirectBoxes && s.cfg.Mechanisms.Enabled(mechanism.Hubs)
 }
 
 // Hub returns the name of the hub that this box follows; empty for a hub, and without hubs.
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -49,11 +49,11 @@
 }
 
 // A box that starts while the log is unavailable cannot find any other box. Boxes that already know
-// its address send it their reports, and a snapshot of the log when it asks for one.
+// its address send it their reports, and a snapshot of the log when it requests one.
 func TestABoxThatStartsWithoutTheLogReceivesTheConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	log, away := fakesharedlog.New(), fakesharedlog.New()
-	away.Faults().SetFaults(fakelog.Faults{Down: true})
+	away.Underlying().SetFaults(fakelog.Faults{Down: true})
 	want := registry.Snapshot{
 		Operator: []sharedlog.Record{{Key: "config", Value: []byte("v"), Offset: 7}}, Servers: []sharedlog.Record{{Key: "s", Value: []byte("ready"), Offset: 9}},
 	}
--- a/internal/partindex/partindex.go
+++ b/internal/partindex/partindex.go
@@ -1,7 +1,7 @@
 // Package partindex tracks which parts of prompts (shared pieces of KV cache) store boxes hold,
 // and plans for each prompt which parts to fetch, which to save and where.
 //
-// A store box holds a part until it is told to free it. A fetch is planned only for a part that
+// A store box holds a part until a box orders it to free it. A fetch is planned only for a part that
 // the store box itself has reported as complete in its current epoch, and only while that report
 // is recent. A report may be out of date; the part is then missing and is prefilled. Two rules
 // prevent a part from being read while it is being written. A box that observes a new epoch of a
@@ -74,10 +74,10 @@
 	clock   int64
 	clockAt time.Time
 
-	// resumePolling ends waits for updates from another box, and news wakes those that wait to send
+	// resumePolling ends waits for updates from another box, and changed wakes those that wait to send
 	// changes of store boxes to other boxes.
 	resumePolling waiting.Signal
-	news          *waiting.Signal
+	changed       *waiting.Signal
 	// polls reports whether this box polls the store boxes itself, and following whether another
 	// box sends it their state. Both are false at the start, until that is decided.
 	polls     bool
@@ -86,10 +86,10 @@
 
 // Config configures an Index.
 type Config struct {
-	// News is signalled when a store box or a runner reports a change; it may be nil.
-	News *waiting.Signal
-	// Off holds the mechanisms that are switched off.
-	Off mechanism.Switches
+	// Changed is signalled when a store box or a runner reports a change; it may be nil.
+	Changed *waiting.Signal
+	// Mechanisms records which mechanisms are switched off.
+	Mechanisms mechanism.Switches
 	// PollDelay is how long new store boxes are not polled unless this box polls for itself, so
 	// that a box that is about to follow another need not poll them. When each of 295 boxes polled
 	// each of 47 store boxes at startup, most were refused.
@@ -98,8 +98,8 @@
 
 // New returns an empty index.
 func New(cfg Config) *Index {
-	cfg.News = cmp.Or(cfg.News, &waiting.Signal{})
-	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, news: cfg.News}
+	cfg.Changed = cmp.Or(cfg.Changed, &waiting.Signal{})
+	return &Index{cfg: cfg, pendingSaves: map[Key]save{}, changed: cfg.Changed}
 }
 
 // Configure replaces the set of store boxes.
@@ -122,12 +122,12 @@
 		}
 		s.name, s.config = service.Name, *service.Store
 		stores = append(stores, s)
-		if lowestLatency < 0 || s.config.FirstByte < lowestLatency {
-			lowestLatency = s.config.FirstByte
+		if lowestLatency < 0 || s.config.FirstByteLatency < lowestLatency {
+			lowestLatency = s.config.FirstByteLatency
 		}
 	}
 	for _, s := range stores {
-		s.fast = s.config.FirstByte == lowestLatency || !x.cfg.Off.Enabled(mechanism.StoreKinds)
+		s.fast = s.config.FirstByteLatency == lowestLatency || !x.cfg.Mechanisms.Enabled(mechanism.StoreKinds)
 	}
 	slices.SortFunc(stores, func(a, b *store) int { return compare(a.config.Address, b.config.Address) })
 	x.stores = stores
@@ -191,7 +191,7 @@
 	s.setUnfinished(report.Unfinished)
 	x.markListed(s, report.AsOf)
 	s.relay.recordCorrections(before, s.held)
-	x.news.Broadcast()
+	x.changed.Broadcast()
 }
 
 // heldInEpoch returns a copy of the parts that a store box is known to hold, or nil if its known
@@ -239,7 +239,7 @@
 	s.relay.record(s.next, report)
 	x.applyReport(s, report)
 	if len(report.Changes) > 0 {
-		x.news.Broadcast()
+		x.changed.Broadcast()
 	}
 	return true
 }
--- a/internal/peer/message_test.go
+++ b/internal/peer/message_test.go
@@ -12,16 +12,16 @@
 	"github.com/cometlock/cometlock/internal/follow"
 )
 
-func TestMessagesTravelWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	entries := config.Entries{{Name: "a", Value: []byte("1")}}
 	state := configlog.State{Version: 3, ReadTo: 4, Digest: entries.Digest(), Entries: entries}
 	cases := []struct {
 		name    string
 		message Message
 	}{
-		{"status", Message{Status: Status{Box: "b", Zone: "z", Incarnation: "i", Version: 7, Leaving: true}, Want: true}},
+		{"status", Message{Status: Status{Box: "b", Zone: "z", Incarnation: "i", Version: 7, Leaving: true}, WantsConfig: true}},
 		{"state", Message{State: &state}},
-		{"changes", Message{Changes: []follow.Change{{Offset: 3, Record: configlog.Record{Kind: configlog.KindChange, ApplyID: "x", Base: 1, Digest: entries.Digest()}}}}},
+		{"changes", Message{Changes: []follow.Change{{Offset: 3, Record: configlog.Record{Kind: configlog.KindChange, ApplyID: "x", BaseVersion: 1, Digest: entries.Digest()}}}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAMessageThatIsTooLargeIsRefusedUnread(t *testing.T) {
+func TestOversizedMessagesAreRejectedUnread(t *testing.T) {
 	g := NewWithT(t)
 	_, err := readMessage(bufio.NewReader(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff})))
 	g.Expect(err).To(MatchError(ContainSubstring("too large")))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -16,43 +16,44 @@
 	"github.com/cometlock/cometlock/internal/follow"
 )
 
-// Source is what peers are told about: the configuration in force.
-type Source interface {
-	// State gives the configuration in force.
+// ConfigSource provides the current configuration, and accepts newer ones from peers.
+type ConfigSource interface {
+	// State returns the current configuration.
 	State() configlog.State
-	// Since gives the changes that lead on from a version.
+	// Since returns the changes since a version, and false if some are missing.
 	Since(version int64) ([]follow.Change, bool)
-	// Offer and OfferChanges hand over what a peer knows.
+	// Offer and OfferChanges pass on the configuration or changes from a peer.
+	// OfferChanges returns false if the changes could not be applied.
 	Offer(state configlog.State)
 	OfferChanges(changes []follow.Change) bool
-	// LogReachable reports whether the log answers.
+	// LogReachable reports whether the log responds.
 	LogReachable() bool
 }
 
-// Config sets up an Exchange.
+// Config configures a Gossiper.
 type Config struct {
-	// Self describes this box; its version is filled in.
+	// Self is the status of this box. Its version is set for each message.
 	Self Status
-	// Address is where this box listens for peers, as others reach it.
+	// Address is the address at which peers reach this box.
 	Address string
 	// Seeds are addresses of peers from the settings.
 	Seeds []string
-	// Boxes is the platform's list.
-	Boxes boxlist.List
-	// Listed is told of each reading of the list.
-	Listed func([]boxlist.Box)
-	// Source is the configuration in force.
-	Source Source
-	// Advised gives what backend servers said of themselves in answers to this box, and TakeAdvised
-	// takes over what they said to another one; both may be nil.
-	Advised     func() map[string]*advisory.Report
-	TakeAdvised func(map[string]*advisory.Report)
-	Logger      zerolog.Logger
-	// Interval is the time between two rounds; Fanout the peers of a round.
+	// BoxList is the platform's list of entry boxes.
+	BoxList boxlist.List
+	// OnBoxList is called with the list each time it has been read.
+	OnBoxList func([]boxlist.Box)
+	// Source provides the current configuration.
+	Source ConfigSource
+	// AdvisoryReports returns the advisories that this box received from backend servers, and
+	// ApplyAdvisoryReports applies those that another box received; both may be nil.
+	AdvisoryReports      func() map[string]*advisory.Report
+	ApplyAdvisoryReports func(map[string]*advisory.Report)
+	Logger               zerolog.Logger
+	// Interval is the time between two rounds, Fanout the number of peers per round.
 	Interval time.Duration
 	Fanout   int
-	// ServerTLS and ClientTLS, when set, secure the connections; ClientTLS is
-	// asked at each dial, since files may have changed.
+	// ServerTLS and ClientTLS, if set, enable TLS. ClientTLS is called for each dial,
+	// since the certificate files may have changed.
 	ServerTLS *tls.Config
 	ClientTLS func() *tls.Config
 }
@@ -63,219 +64,221 @@
 	DefaultFanout   = 3
 )
 
-// Timing of the exchange.
+// Timeouts and intervals.
 const (
-	// ioTimeout bounds one exchange.
+	// ioTimeout is the timeout of one exchange of messages.
 	ioTimeout = 2 * time.Second
-	// patience is how long a box that reaches the log waits for it before it
-	// asks a peer for a version it has heard of.
-	patience = 1500 * time.Millisecond
-	// forgetAfter is how long a peer that is not heard of is counted.
-	forgetAfter = 10 * time.Second
-	// listEvery is the time between two looks at the platform's list.
-	listEvery = 5 * time.Second
+	// logGracePeriod is how long a box that can reach the log waits to receive a newer
+	// version from the log before it requests the version from a peer.
+	logGracePeriod = 1500 * time.Millisecond
+	// peerTimeout is how long a peer counts as live after its last status.
+	peerTimeout = 10 * time.Second
+	// listInterval is the time between two reads of the platform's list.
+	listInterval = 5 * time.Second
 )
 
-// Exchange talks to the other entry boxes.
-type Exchange struct {
+// Gossiper exchanges status and configuration with the other entry boxes.
+type Gossiper struct {
 	cfg Config
 
 	mu          sync.Mutex
 	leaving     bool
 	listed      []boxlist.Box
-	peers       map[string]*known // by box name
+	peers       map[string]*peerInfo // by box name
 	behindSince time.Time
 	sentBytes   int64
 	connections map[string]*connection
 }
 
-// known is a peer that was heard of.
-type known struct {
-	status  Status
-	heardAt time.Time
+// peerInfo is the last status of a peer.
+type peerInfo struct {
+	status     Status
+	receivedAt time.Time
 }
 
-// New makes an exchange that knows no peers.
-func New(cfg Config) *Exchange {
+// New creates a Gossiper without peers.
+func New(cfg Config) *Gossiper {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
 	}
 	if cfg.Fanout == 0 {
 		cfg.Fanout = DefaultFanout
 	}
-	return &Exchange{cfg: cfg, peers: map[string]*known{}, connections: map[string]*connection{}}
+	return &Gossiper{cfg: cfg, peers: map[string]*peerInfo{}, connections: map[string]*connection{}}
 }
 
-// SetLeaving tells peers from now on that this box is about to stop.
-func (x *Exchange) SetLeaving() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.leaving = true
+// SetLeaving marks this box as leaving in the status that it sends.
+func (g *Gossiper) SetLeaving() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.leaving = true
 }
 
-func (x *Exchange) self() Status {
-	status := x.cfg.Self
-	status.Version = x.cfg.Source.State().Version
-	if x.cfg.Advised != nil {
-		status.Advised = x.cfg.Advised()
+func (g *Gossiper) selfStatus() Status {
+	status := g.cfg.Self
+	status.Version = g.cfg.Source.State().Version
+	if g.cfg.AdvisoryReports != nil {
+		status.AdvisoryReports = g.cfg.AdvisoryReports()
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	status.Leaving = x.leaving
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	status.Leaving = g.leaving
 	return status
 }
 
-// Loop exchanges with peers until ctx ends.
-func (x *Exchange) Loop(ctx context.Context) {
-	ticker := time.NewTicker(x.cfg.Interval)
+// Loop exchanges messages with peers until ctx is cancelled.
+func (g *Gossiper) Loop(ctx context.Context) {
+	ticker := time.NewTicker(g.cfg.Interval)
 	defer ticker.Stop()
-	var lookedAt time.Time
+	var listReadAt time.Time
 	for {
-		if time.Since(lookedAt) >= listEvery || x.alone() {
-			lookedAt = time.Now()
-			x.look(ctx)
+		if time.Since(listReadAt) >= listInterval || g.hasNoPeers() {
+			listReadAt = time.Now()
+			g.readBoxList(ctx)
 		}
-		x.round(ctx)
+		g.round(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			x.closeConnections()
+			g.closeConnections()
 			return
 		}
 	}
 }
 
-// alone reports whether no peer has been heard of yet. The list lags, so a box
-// that starts into an empty one looks again in every round.
-func (x *Exchange) alone() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return len(x.peers) == 0
+// hasNoPeers reports whether no peer has sent a status yet. The platform's list lags, so
+// a box without peers reads it in every round.
+func (g *Gossiper) hasNoPeers() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return len(g.peers) == 0
 }
 
-// look reads the platform's list. A list that cannot be read leaves the last.
-func (x *Exchange) look(ctx context.Context) {
-	boxes, err := x.cfg.Boxes.Boxes(ctx)
+// readBoxList reads the platform's list. If that fails, the previous list stays in use.
+func (g *Gossiper) readBoxList(ctx context.Context) {
+	boxes, err := g.cfg.BoxList.Boxes(ctx)
 	if err != nil {
-		x.cfg.Logger.Warn().Str("error", err.Error()).Msg("box_list_lost")
+		g.cfg.Logger.Warn().Str("error", err.Error()).Msg("box_list_lost")
 		return
 	}
-	if x.cfg.Listed != nil {
-		x.cfg.Listed(boxes)
+	if g.cfg.OnBoxList != nil {
+		g.cfg.OnBoxList(boxes)
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.listed = boxes
-	x.dropGone(time.Now())
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.listed = boxes
+	g.removeStale(time.Now())
 }
 
-// dropAfter is how long a peer that is not heard of is remembered at all. Boxes
-// are replaced hundreds of times a day, under other names.
-const dropAfter = 10 * time.Minute
+// peerRetention is how long the record of a peer is retained after its last status. Boxes
+// are replaced hundreds of times a day, by boxes with other names.
+const peerRetention = 10 * time.Minute
 
-// dropGone forgets peers that are long gone, and connections to addresses that
-// nobody names any more. The caller holds mu.
-func (x *Exchange) dropGone(now time.Time) {
-	for name, peer := range x.peers {
-		if now.Sub(peer.heardAt) > dropAfter {
-			delete(x.peers, name)
+// removeStale removes peers that have sent no status for peerRetention, and connections
+// to addresses that are neither seeds nor on the platform's list. The caller holds mu.
+func (g *Gossiper) removeStale(now time.Time) {
+	for name, peer := range g.peers {
+		if now.Sub(peer.receivedAt) > peerRetention {
+			delete(g.peers, name)
 		}
 	}
-	for address, c := range x.connections {
-		named := slices.Contains(x.cfg.Seeds, address) ||
-			slices.ContainsFunc(x.listed, func(box boxlist.Box) bool { return box.Peer == address })
-		if !named && c.mu.TryLock() {
+	for address, c := range g.connections {
+		inUse := slices.Contains(g.cfg.Seeds, address) ||
+			slices.ContainsFunc(g.listed, func(box boxlist.Box) bool { return box.Peer == address })
+		if !inUse && c.mu.TryLock() {
 			c.close()
-			delete(x.connections, address)
+			delete(g.connections, address)
 			c.mu.Unlock()
 		}
 	}
 }
 
-// round exchanges with a few peers, chosen anew each time, so that what one box
-// knows reaches all within a few rounds whatever is cut off.
-func (x *Exchange) round(ctx context.Context) {
-	var ended sync.WaitGroup
-	for _, address := range x.choose() {
-		ended.Go(func() { x.exchange(ctx, address) })
+// round exchanges messages with a few peers. They are chosen at random in each round, so
+// that an update spreads to all boxes within a few rounds despite unreachable boxes.
+func (g *Gossiper) round(ctx context.Context) {
+	var group sync.WaitGroup
+	for _, address := range g.choose() {
+		group.Go(func() { g.exchange(ctx, address) })
 	}
-	ended.Wait()
+	group.Wait()
 }
 
-func (x *Exchange) choose() []string {
-	candidates := x.addresses()
+func (g *Gossiper) choose() []string {
+	candidates := g.addresses()
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	return candidates[:min(x.cfg.Fanout, len(candidates))]
+	return candidates[:min(g.cfg.Fanout, len(candidates))]
 }
 
-// addresses lists where peers may be: the platform's list and the seeds.
-func (x *Exchange) addresses() []string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// addresses returns the addresses of possible peers, from the platform's list and the
+// seeds.
+func (g *Gossiper) addresses() []string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	var addresses []string
-	for _, box := range x.listed {
-		if box.Peer != "" && box.Peer != x.cfg.Address && box.Name != x.cfg.Self.Box {
+	for _, box := range g.listed {
+		if box.Peer != "" && box.Peer != g.cfg.Address && box.Name != g.cfg.Self.Box {
 			addresses = append(addresses, box.Peer)
 		}
 	}
-	for _, seed := range x.cfg.Seeds {
-		if seed != x.cfg.Address && !slices.Contains(addresses, seed) {
+	for _, seed := range g.cfg.Seeds {
+		if seed != g.cfg.Address && !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
 		}
 	}
 	return addresses
 }
 
-// exchange tells one peer this box's status and takes over what it knows.
-func (x *Exchange) exchange(ctx context.Context, address string) {
-	answer, err := x.call(ctx, address, Message{Status: x.self(), Want: x.wants()})
+// exchange sends this box's status to one peer, and applies its reply.
+func (g *Gossiper) exchange(ctx context.Context, address string) {
+	reply, err := g.call(ctx, address, Message{Status: g.selfStatus(), WantsConfig: g.shouldRequestConfig()})
 	if err != nil {
-		return // the peer may be gone; another round asks others
+		return // the peer may be down; other rounds choose other peers
 	}
-	x.heard(answer.Status)
-	x.takeContent(answer)
-	if answer.Want {
-		// The peer is behind and wants what leads on from its version.
-		message := Message{Status: x.self()}
-		x.addContent(&message, answer.Status.Version)
-		_, _ = x.call(ctx, address, message)
+	g.handleStatus(reply.Status)
+	g.applyConfig(reply)
+	if reply.WantsConfig {
+		// The peer has an older version and requests the changes.
+		message := Message{Status: g.selfStatus()}
+		g.addConfig(&message, reply.Status.Version)
+		_, _ = g.call(ctx, address, message)
 	}
 }
 
-// wants reports whether this box should ask for content: it has no log, or has
-// been behind for longer than the log takes.
-func (x *Exchange) wants() bool {
-	if !x.cfg.Source.LogReachable() {
+// shouldRequestConfig reports whether this box should request the configuration from
+// peers: it cannot reach the log, or a peer has had a newer version for logGracePeriod.
+func (g *Gossiper) shouldRequestConfig() bool {
+	if !g.cfg.Source.LogReachable() {
 		return true
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return !x.behindSince.IsZero() && time.Since(x.behindSince) >= patience
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return !g.behindSince.IsZero() && time.Since(g.behindSince) >= logGracePeriod
 }
 
-func (x *Exchange) heard(status Status) {
-	if x.cfg.TakeAdvised != nil && status.Box != x.cfg.Self.Box {
-		x.cfg.TakeAdvised(status.Advised)
+// handleStatus records the status of a peer.
+func (g *Gossiper) handleStatus(status Status) {
+	if g.cfg.ApplyAdvisoryReports != nil && status.Box != g.cfg.Self.Box {
+		g.cfg.ApplyAdvisoryReports(status.AdvisoryReports)
 	}
-	version := x.cfg.Source.State().Version
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if status.Box == x.cfg.Self.Box || status.Box == "" {
+	version := g.cfg.Source.State().Version
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if status.Box == g.cfg.Self.Box || status.Box == "" {
 		return
 	}
-	x.peers[status.Box] = &known{status: status, heardAt: time.Now()}
+	g.peers[status.Box] = &peerInfo{status: status, receivedAt: time.Now()}
 	switch {
 	case status.Version <= version:
-		if !x.anyAhead(version) {
-			x.behindSince = time.Time{}
+		if !g.hasNewerPeer(version) {
+			g.behindSince = time.Time{}
 		}
-	case x.behindSince.IsZero():
-		x.behindSince = time.Now()
+	case g.behindSince.IsZero():
+		g.behindSince = time.Now()
 	}
 }
 
-func (x *Exchange) anyAhead(version int64) bool {
-	for _, peer := range x.peers {
+func (g *Gossiper) hasNewerPeer(version int64) bool {
+	for _, peer := range g.peers {
 		if peer.status.Version > version {
 			return true
 		}
@@ -283,31 +286,31 @@
 	return false
 }
 
-// addContent adds what leads on from a version: the changes when all are known,
-// or else everything.
-func (x *Exchange) addContent(message *Message, version int64) {
-	state := x.cfg.Source.State()
+// addConfig adds the changes since a version to a message, or the complete configuration
+// if some of the changes are missing.
+func (g *Gossiper) addConfig(message *Message, version int64) {
+	state := g.cfg.Source.State()
 	if state.Version <= version {
 		return
 	}
-	if changes, ok := x.cfg.Source.Since(version); ok {
+	if changes, ok := g.cfg.Source.Since(version); ok {
 		message.Changes = changes
 		return
 	}
 	message.State = &state
 }
 
-func (x *Exchange) takeContent(message Message) {
-	if len(message.Changes) > 0 && x.cfg.Source.OfferChanges(message.Changes) {
+func (g *Gossiper) applyConfig(message Message) {
+	if len(message.Changes) > 0 && g.cfg.Source.OfferChanges(message.Changes) {
 		return
 	}
 	if message.State != nil {
-		x.cfg.Source.Offer(*message.State)
+		g.cfg.Source.Offer(*message.State)
 	}
 }
 
-func (x *Exchange) countSent(n int) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.sentBytes += int64(n)
+func (g *Gossiper) countSent(n int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.sentBytes += int64(n)
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -1,4 +1,4 @@
-// The side of the exchange that is asked.
+// The server side of the gossip protocol.
 
 package peer
 
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// answer gives the answer to a peer's message.
-func (x *Exchange) answer(message Message) Message {
-	x.heard(message.Status)
-	x.takeContent(message)
-	own := x.self()
-	answer := Message{Status: own, Want: message.Status.Version > own.Version && x.wants()}
-	if message.Want {
-		x.addContent(&answer, message.Status.Version)
+// handleMessage applies a peer's message and returns the reply.
+func (g *Gossiper) handleMessage(message Message) Message {
+	g.handleStatus(message.Status)
+	g.applyConfig(message)
+	self := g.selfStatus()
+	reply := Message{Status: self, WantsConfig: message.Status.Version > self.Version && g.shouldRequestConfig()}
+	if message.WantsConfig {
+		g.addConfig(&reply, message.Status.Version)
 	}
-	return answer
+	return reply
 }
 
-// Serve answers peers on a listener until ctx ends.
-func (x *Exchange) Serve(ctx context.Context, listener net.Listener) {
-	if x.cfg.ServerTLS != nil {
-		listener = tls.NewListener(listener, x.cfg.ServerTLS)
+// Serve accepts connections from peers on a listener until ctx is cancelled.
+func (g *Gossiper) Serve(ctx context.Context, listener net.Listener) {
+	if g.cfg.ServerTLS != nil {
+		listener = tls.NewListener(listener, g.cfg.ServerTLS)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -34,21 +34,21 @@
 		if err != nil {
 			return
 		}
-		server := &serving{exchange: x, conn: conn}
+		server := &serverConn{gossiper: g, conn: conn}
 		go server.loop(ctx)
 	}
 }
 
-// serving is one connection that a peer opened.
-type serving struct {
-	exchange *Exchange
+// serverConn is a connection that a peer opened.
+type serverConn struct {
+	gossiper *Gossiper
 	conn     net.Conn
 }
 
-// idleTimeout ends connections that peers no longer use.
+// idleTimeout is the time after which an idle connection is closed.
 const idleTimeout = time.Minute
 
-func (s *serving) loop(ctx context.Context) {
+func (s *serverConn) loop(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	defer func() { _ = s.conn.Close() }()
@@ -61,8 +61,8 @@
 		if err != nil {
 			return
 		}
-		n, err := writeMessage(s.conn, s.exchange.answer(message))
-		s.exchange.countSent(n)
+		n, err := writeMessage(s.conn, s.gossiper.handleMessage(message))
+		s.gossiper.countSent(n)
 		if err != nil {
 			return
 		}
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -8,56 +8,56 @@
 	"github.com/cometlock/cometlock/internal/advisory"
 )
 
-// Neighbor is the part of a state dump that describes one peer.
-type Neighbor struct {
+// BoxState is the part of a state dump that describes one peer.
+type BoxState struct {
 	Status
-	HeardAgo string `json:"heard_ago"`
+	StatusAge string `json:"heard_ago"`
 }
 
-// State is the part of a state dump that describes the exchange.
+// State is the part of a state dump that describes the Gossiper.
 type State struct {
 	Listed    int        `json:"listed_boxes"`
-	Peers     []Neighbor `json:"peers"`
+	Peers     []BoxState `json:"peers"`
 	SentBytes int64      `json:"sent_bytes"`
 }
 
-// State describes what is known of the peers.
-func (x *Exchange) State() State {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	state := State{Listed: len(x.listed), SentBytes: x.sentBytes}
-	for _, peer := range x.peers {
-		state.Peers = append(state.Peers, Neighbor{Status: peer.status, HeardAgo: time.Since(peer.heardAt).Round(time.Millisecond).String()})
+// State returns the peers and the bytes sent.
+func (g *Gossiper) State() State {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	state := State{Listed: len(g.listed), SentBytes: g.sentBytes}
+	for _, peer := range g.peers {
+		state.Peers = append(state.Peers, BoxState{Status: peer.status, StatusAge: time.Since(peer.receivedAt).Round(time.Millisecond).String()})
 	}
-	slices.SortFunc(state.Peers, func(a, b Neighbor) int { return cmp.Compare(a.Box, b.Box) })
+	slices.SortFunc(state.Peers, func(a, b BoxState) int { return cmp.Compare(a.Box, b.Box) })
 	return state
 }
 
-// BoxesInZone counts the entry boxes of this box's zone that were heard of
-// lately, this one included.
-func (x *Exchange) BoxesInZone() int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// BoxesInZone returns the number of live entry boxes in this box's zone, including this
+// one.
+func (g *Gossiper) BoxesInZone() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	count := 1
-	for _, peer := range x.peers {
-		if peer.status.Zone == x.cfg.Self.Zone && !peer.status.Leaving && time.Since(peer.heardAt) < forgetAfter {
+	for _, peer := range g.peers {
+		if peer.status.Zone == g.cfg.Self.Zone && !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout {
 			count++
 		}
 	}
 	return count
 }
 
-// Live lists the boxes that were heard of lately and do not leave, this one
-// included, in name order.
-func (x *Exchange) Live() []string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// LiveBoxes returns the sorted names of the boxes that sent a status within peerTimeout
+// and are not leaving, including this one.
+func (g *Gossiper) LiveBoxes() []string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	live := []string{}
-	if !x.leaving {
-		live = append(live, x.cfg.Self.Box)
+	if !g.leaving {
+		live = append(live, g.cfg.Self.Box)
 	}
-	for name, peer := range x.peers {
-		if !peer.status.Leaving && time.Since(peer.heardAt) < forgetAfter {
+	for name, peer := range g.peers {
+		if !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout {
 			live = append(live, name)
 		}
 	}
@@ -65,42 +65,42 @@
 	return live
 }
 
-// LimitPosition says where this box stands among those that share the rate limit of a server: those of
-// this box's zone, or all.
-func (x *Exchange) LimitPosition(server string, inZone bool) advisory.Position {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// LimitPosition returns the position of this box among the live boxes that share the rate limit of a
+// server: those of this box's zone, or all boxes.
+func (g *Gossiper) LimitPosition(server string, inZone bool) advisory.Position {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	var others []string
-	for name, peer := range x.peers {
-		live := !peer.status.Leaving && time.Since(peer.heardAt) < forgetAfter
-		if live && (!inZone || peer.status.Zone == x.cfg.Self.Zone) {
+	for name, peer := range g.peers {
+		isLive := !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout
+		if isLive && (!inZone || peer.status.Zone == g.cfg.Self.Zone) {
 			others = append(others, name)
 		}
 	}
 	listed := 0
-	for _, box := range x.listed {
-		if box.Peer != "" && (!inZone || box.Zone == x.cfg.Self.Zone) {
+	for _, box := range g.listed {
+		if box.Peer != "" && (!inZone || box.Zone == g.cfg.Self.Zone) {
 			listed++
 		}
 	}
-	// In a round a box reaches some of the others, and as many reach it.
-	rounds := 1 + len(x.peers)/(2*x.cfg.Fanout)
+	// In each round a box contacts Fanout others, and on average Fanout others contact it.
+	rounds := 1 + len(g.peers)/(2*g.cfg.Fanout)
 	return advisory.Position{
-		Rank: advisory.Rank(x.cfg.Self.Box, others, server), Present: len(others) + 1, Listed: listed, ReportLag: time.Duration(rounds) * x.cfg.Interval,
+		Rank: advisory.Rank(g.cfg.Self.Box, others, server), Present: len(others) + 1, Listed: listed, ReportLag: time.Duration(rounds) * g.cfg.Interval,
 	}
 }
 
-// FirstInZone reports whether this box is the first by name of the boxes of its
-// zone that are believed to be live. Two boxes may both believe it for a while.
-func (x *Exchange) FirstInZone() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.leaving {
+// FirstInZone reports whether this box has the lowest name of the live boxes of its zone.
+// It is a best-effort leader election: two boxes may both be first for a short time.
+func (g *Gossiper) FirstInZone() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.leaving {
 		return false
 	}
-	for name, peer := range x.peers {
-		live := !peer.status.Leaving && time.Since(peer.heardAt) < forgetAfter
-		if live && peer.status.Zone == x.cfg.Self.Zone && name < x.cfg.Self.Box {
+	for name, peer := range g.peers {
+		isLive := !peer.status.Leaving && time.Since(peer.receivedAt) < peerTimeout
+		if isLive && peer.status.Zone == g.cfg.Self.Zone && name < g.cfg.Self.Box {
 			return false
 		}
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -57,7 +57,7 @@
 	// time need not read them at all.
 	FirstReadDelay time.Duration
 	// HasReader reports whether this box follows a reader, which will report when the log has
-	// recovered, and ReaderLostLog whether that reader says that it cannot read the log either.
+	// recovered, and ReaderLostLog whether that reader reports that it cannot read the log either.
 	// Where they are nil, both are false.
 	HasReader     func() bool
 	ReaderLostLog func() bool
@@ -103,7 +103,7 @@
 	serversReadAt atomic.Pointer[time.Time]
 
 	// readDirectly is signalled when this box must read the log itself instead of waiting for its
-	// reader, and direct says that this has ever happened.
+	// reader, and direct is set once this has happened.
 	readDirectly waiting.Signal
 	direct       bool
 	// logBack is signalled when the operators' stream can be read again.
@@ -269,7 +269,7 @@
 	known := r.state(sharedlog.Servers).entries[record.Key].undecodable
 	r.mu.Unlock()
 	if !known {
-		r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("server_not_understood")
+		r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("server_entry_invalid")
 	}
 }
 
@@ -289,7 +289,7 @@
 		declaration, err := r.cfg.Decoder.Declaration(record)
 		switch {
 		case err != nil:
-			r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("declaration_not_understood")
+			r.cfg.Logger.Error().Str("key", record.Key).Int64("offset", record.Offset).Str("error", err.Error()).Msg("declaration_invalid")
 		case declaration == nil:
 		case declaration.Catalog != nil:
 			r.applyCatalog(declaration.Catalog, record.Offset)
--- a/internal/review/history_test.go
+++ b/internal/review/history_test.go
@@ -21,18 +21,18 @@
 func TestMain(m *testing.M) { rapidtest.Main(m, rapidtest.Config{Checks: 60, Steps: 30}) }
 
 const (
-	retention   = 24 * time.Hour
-	keepAnswers = 36 * time.Hour
+	retention       = 24 * time.Hour
+	resultRetention = 36 * time.Hour
 )
 
-// fleet is a few boxes that keep reviews in one log, in virtual time.
+// fleet is a set of boxes that share one log, in virtual time.
 type fleet struct {
 	log   *fakelog.Log
 	mu    sync.Mutex
 	names []string
 	boxes map[string]*review.Service
 	runs  map[string]int
-	// fail says how many coming runs fail, and outage until when all do.
+	// fail is how many of the next runs fail; all runs fail until outage.
 	fail    int
 	outage  time.Time
 	runTime time.Duration
@@ -48,15 +48,15 @@
 	return append([]string(nil), f.names...)
 }
 
-// start starts a box; view is what it believes to be live, or nil for the truth.
+// start starts a box; view is the set of boxes it considers live, or nil for the actual one.
 func (f *fleet) start(name string, view []string) *review.Service {
 	live := f.live
 	if view != nil {
 		live = func() []string { return view }
 	}
 	box := review.New(review.Config{
-		Log: f.log, Logger: zerolog.Nop(), Box: name, Live: live, Retention: retention,
-		KeepAnswers: func() time.Duration { return keepAnswers }, Parallel: func() int { return 4 },
+		Log: f.log, Logger: zerolog.Nop(), BoxName: name, LiveBoxes: live, Retention: retention,
+		ResultRetention: func() time.Duration { return resultRetention }, MaxParallel: func() int { return 4 },
 		Interval: 30 * time.Second, PollWait: 30 * time.Minute,
 		Run: func(ctx context.Context, task review.Task) ([]byte, error) { return f.run(ctx, name, task) },
 	})
@@ -86,7 +86,7 @@
 	return []byte(fmt.Sprintf("answer of %s to %s", box, task.Request)), nil
 }
 
-// kill ends a box without warning.
+// kill stops a box without draining it.
 func (f *fleet) kill(name string) {
 	f.mu.Lock()
 	box := f.boxes[name]
@@ -108,7 +108,7 @@
 }
 
 func meta(id string) review.Meta {
-	return review.Meta{ID: id, Organisation: "one", Model: "m", Accepted: time.Now()}
+	return review.Meta{ID: id, Organisation: "one", Model: "m", AcceptedAt: time.Now()}
 }
 
 func accept(box *review.Service, id string) error {
@@ -118,7 +118,7 @@
 	return err
 }
 
-// event is one thing that happens to the fleet.
+// event is one random operation on the fleet.
 type event struct {
 	kind  string
 	box   int
@@ -134,7 +134,7 @@
 	if e.kind == "fault" {
 		e.fault = rapid.SampledFrom([]fakelog.Faults{
 			{Down: true},
-			{LoseAnswers: 2},
+			{LoseResponses: 2},
 			{LateAppends: 2, Delay: 7 * time.Second},
 			{Delay: 2 * time.Second},
 		}).Draw(t, "fault")
@@ -142,17 +142,16 @@
 	return e
 }
 
-// trial plays events and remembers what was accepted.
+// trial applies events and records which reviews were accepted.
 type trial struct {
 	*fleet
 	accepted []string
-	// refused holds the reviews of which the caller was told that they were
-	// not accepted.
-	refused []string
-	answers map[string]string
-	changed string
-	faults  int
-	serial  int
+	// rejected holds the reviews whose caller received ErrNotAccepted.
+	rejected      []string
+	results       map[string]string
+	resultChanged string
+	faults        int
+	serial        int
 }
 
 func (tr *trial) play(e event) {
@@ -172,7 +171,7 @@
 		case err == nil:
 			tr.accepted = append(tr.accepted, id)
 		case errors.Is(err, review.ErrNotAccepted):
-			tr.refused = append(tr.refused, id)
+			tr.rejected = append(tr.rejected, id)
 		}
 	case "kill":
 		tr.faults++
@@ -200,14 +199,14 @@
 		tr.outage = time.Now().Add(30 * time.Hour)
 		tr.mu.Unlock()
 	case "wait long":
-		tr.pass(5 * time.Hour)
+		tr.advance(5 * time.Hour)
 	}
-	tr.observe()
+	tr.collectResults()
 }
 
-// observe looks at all answers that any box has now, and notes one that differs
-// from what was seen before.
-func (tr *trial) observe() {
+// collectResults reads the results of all boxes and records any that differs from an earlier
+// read.
+func (tr *trial) collectResults() {
 	for _, name := range tr.live() {
 		tr.mu.Lock()
 		box := tr.boxes[name]
@@ -217,25 +216,25 @@
 			if err != nil || known.Status != review.StatusCompleted {
 				continue
 			}
-			if answer, err := box.Answer(context.Background(), "one", id); err == nil {
-				tr.see(id, string(answer))
+			if answer, err := box.Result(context.Background(), "one", id); err == nil {
+				tr.noteResult(id, string(answer))
 			}
 		}
 	}
 }
 
-func (tr *trial) see(id, answer string) {
-	if known, ok := tr.answers[id]; ok && known != answer {
-		tr.changed = fmt.Sprintf("%s changed from %q to %q", id, known, answer)
+func (tr *trial) noteResult(id, answer string) {
+	if known, ok := tr.results[id]; ok && known != answer {
+		tr.resultChanged = fmt.Sprintf("%s changed from %q to %q", id, known, answer)
 	}
-	tr.answers[id] = answer
+	tr.results[id] = answer
 }
 
-// pass lets time go by, in which records expire as at the platform.
-func (tr *trial) pass(d time.Duration) {
+// advance advances the time while the log expires records as the platform does.
+func (tr *trial) advance(d time.Duration) {
 	if len(tr.live()) == 0 {
-		// Records outlive the death of all boxes by the log's retention; some
-		// box must come back before that is over.
+		// After the crash of all boxes, records remain only for the log's retention, so a box
+		// must start before that time is over.
 		tr.serial++
 		tr.start(fmt.Sprint("box-", tr.serial), nil)
 	}
@@ -245,31 +244,31 @@
 	}
 }
 
-// violation says what promise was broken, or nothing. It is called when all has
-// healed.
+// violation describes the invariant that was violated, or is empty. It is called after all
+// faults have been removed.
 func (tr *trial) violation() string {
-	tr.pass(31 * time.Hour) // the longest outage is over
+	tr.advance(31 * time.Hour) // longer than any outage
 	for round := range 2 {
-		// Other boxes than those that ran the reviews answer for them.
+		// New boxes, other than those that ran the reviews, must return the results.
 		for _, name := range tr.live() {
 			tr.kill(name)
 		}
 		box := tr.start(fmt.Sprint("late-", round), nil)
 		time.Sleep(10 * time.Minute)
-		tr.observe()
+		tr.collectResults()
 		for _, id := range tr.accepted {
-			if _, seen := tr.answers[id]; !seen {
-				return id + " is lost"
+			if _, seen := tr.results[id]; !seen {
+				return id + " was lost"
 			}
 		}
-		for _, id := range tr.refused {
-			if _, err := box.Get("one", id); !errors.Is(err, review.ErrMissing) {
-				return id + " was refused and is there"
+		for _, id := range tr.rejected {
+			if _, err := box.Get("one", id); !errors.Is(err, review.ErrNotFound) {
+				return id + " was rejected but exists"
 			}
 		}
-		tr.pass(3 * time.Hour)
+		tr.advance(3 * time.Hour)
 	}
-	return tr.changed
+	return tr.resultChanged
 }
 
 func TestEveryAcceptedReviewArrivesExactlyOnce(t *testing.T) {
@@ -278,9 +277,9 @@
 		events := rapid.SliceOfN(rapid.Custom(drawEvent), 5, 25).Draw(rt, "events")
 		var violation string
 		synctest.Test(t, func(*testing.T) {
-			tr := &trial{fleet: newFleet(), answers: map[string]string{}}
+			tr := &trial{fleet: newFleet(), results: map[string]string{}}
 			tr.start("box-a", nil)
-			tr.start("box-b", []string{"box-b"}) // believes itself alone: runs all
+			tr.start("box-b", []string{"box-b"}) // considers itself the only live box: runs all reviews
 			time.Sleep(time.Minute)
 			for _, e := range events {
 				tr.play(e)
--- a/internal/review/runner.go
+++ b/internal/review/runner.go
@@ -10,100 +10,101 @@
 	"github.com/cometlock/cometlock/internal/waiting"
 )
 
-// Timing of running reviews.
+// Settings for scheduling and retrying runs.
 const (
-	// patience is how long a review without a deadline may wait: it counts as
-	// due then, so that later ones with near deadlines cannot starve it.
-	patience = time.Hour
-	// riskPart is the part of the time between acceptance and deadline that must
-	// be left; a review that still waits with less is at risk.
-	riskPart = 3
-	// firstRunSeconds is the guess for a run's time before any was seen.
-	firstRunSeconds = 10.0
-	// learning is the weight of the newest run in the learnt time.
-	learning = 0.2
-	// firstRetry and lastRetry bound the pause after a run that failed.
-	firstRetry = time.Second
-	lastRetry  = 30 * time.Second
-	// endPause is the pause between tries to state an end while the log is down.
-	endPause = 500 * time.Millisecond
+	// maxWaitWithoutDeadline bounds the wait of a review without a deadline, or with a later
+	// one: it is due after this time, so that newer reviews with near deadlines cannot starve
+	// it.
+	maxWaitWithoutDeadline = time.Hour
+	// riskFactor decides when a waiting review is at risk: when less than 1/riskFactor of the
+	// time between acceptance and deadline is left, or less than riskFactor average runs.
+	riskFactor = 3
+	// initialRunSeconds is the estimated time of a run before the first one has finished.
+	initialRunSeconds = 10.0
+	// runTimeWeight is the weight of the newest run in the moving average of run times.
+	runTimeWeight = 0.2
+	// minRetryDelay and maxRetryDelay bound the delay after a failed run.
+	minRetryDelay = time.Second
+	maxRetryDelay = 30 * time.Second
+	// endRetryDelay is the delay between attempts to append an end while the log is down.
+	endRetryDelay = 500 * time.Millisecond
 )
 
-// run is a review that runs here.
+// run is a review that is running on this box.
 type run struct {
 	cancel context.CancelFunc
 }
 
-// retry says when a review that failed may run again.
+// retry is the time at which a review that failed may run again, and the delay until then.
 type retry struct {
 	at    time.Time
-	pause time.Duration
+	delay time.Duration
 }
 
-// dueTime is when a review should be done: its deadline, or its patience.
+// dueTime returns when a review should be done: at its deadline, or maxWaitWithoutDeadline
+// after it was accepted if that is earlier.
 func dueTime(e *entry) time.Time {
-	due := e.meta.Accepted.Add(patience)
+	due := e.meta.AcceptedAt.Add(maxWaitWithoutDeadline)
 	if !e.meta.Deadline.IsZero() && e.meta.Deadline.Before(due) {
 		return e.meta.Deadline
 	}
 	return due
 }
 
-// loop looks at what is to be done until ctx ends.
+// loop starts runs, logs reviews at risk and appends copies until ctx ends.
 func (s *Service) loop(ctx context.Context) {
 	ticker := time.NewTicker(s.cfg.Interval)
 	defer ticker.Stop()
 	for {
-		s.startDue(ctx)
-		s.warn()
-		s.repeatDue(ctx)
+		s.startRuns(ctx)
+		s.warnAtRisk()
+		s.reappendDue(ctx)
 		select {
 		case <-ticker.C:
-		case <-s.news():
+		case <-s.nextChange():
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *Service) news() <-chan struct{} {
+func (s *Service) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// startDue starts the most pressing reviews that fall to this box.
-func (s *Service) startDue(ctx context.Context) {
-	live := s.cfg.Live()
-	limit := s.cfg.Parallel()
+// startRuns starts the reviews that this box owns, the earliest due first.
+func (s *Service) startRuns(ctx context.Context) {
+	live := s.cfg.LiveBoxes()
+	limit := s.cfg.MaxParallel()
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready {
 		return
 	}
-	for _, e := range s.pressing() {
+	for _, e := range s.byDueTime() {
 		if len(s.running) >= limit {
 			return
 		}
 		_, here := s.running[e.meta.ID]
-		if here || s.retries[e.meta.ID].at.After(now) || ownerOf(e.meta.ID, live) != s.cfg.Box {
+		if here || s.retries[e.meta.ID].at.After(now) || ownerOf(e.meta.ID, live) != s.cfg.BoxName {
 			continue
 		}
 		runCtx, cancel := context.WithCancel(ctx)
 		s.running[e.meta.ID] = &run{cancel: cancel}
 		task := Task{Meta: e.meta, Urgent: s.atRisk(e, now)}
-		lies := e.accepted
-		s.ended.Go(func() {
+		loc := e.request
+		s.workers.Go(func() {
 			defer cancel()
-			s.runOne(runCtx, task, lies)
+			s.runOne(runCtx, task, loc)
 		})
 	}
 }
 
-// ownerOf gives the box that a review falls to, by rendezvous hashing over the
-// boxes believed to be live. Where beliefs differ, two boxes run it, or for a
-// moment none.
+// ownerOf returns the box that runs a review, by rendezvous hashing over the boxes considered
+// live. While boxes disagree on that set, two of them may run the review, or for a moment none.
 func ownerOf(id string, live []string) string {
 	var owner string
 	var highest uint64
@@ -115,18 +116,18 @@
 	return owner
 }
 
-// runOne runs a review and states its end.
-func (s *Service) runOne(ctx context.Context, task Task, lies place) {
+// runOne runs a review and appends its end.
+func (s *Service) runOne(ctx context.Context, task Task, loc location) {
 	began := time.Now()
-	answer, err := s.answer(ctx, task, lies)
+	response, err := s.execute(ctx, task, loc)
 	permanent, failed := errors.AsType[*PermanentError](err)
 	switch {
 	case err == nil:
-		s.learn(time.Since(began))
-		s.stateEnd(ctx, KindCompleted, task.Meta, answer)
+		s.recordRunTime(time.Since(began))
+		s.appendEnd(ctx, KindCompleted, task.Meta, response)
 	case failed:
 		task.Meta.Reason = permanent.Reason
-		s.stateEnd(ctx, KindFailed, task.Meta, nil)
+		s.appendEnd(ctx, KindFailed, task.Meta, nil)
 	default:
 		s.postpone(task.Meta.ID, err)
 	}
@@ -135,8 +136,8 @@
 	delete(s.running, task.Meta.ID)
 }
 
-func (s *Service) answer(ctx context.Context, task Task, lies place) ([]byte, error) {
-	request, err := s.content(ctx, lies)
+func (s *Service) execute(ctx context.Context, task Task, loc location) ([]byte, error) {
+	request, err := s.readContent(ctx, loc)
 	if err != nil {
 		return nil, err
 	}
@@ -144,52 +145,52 @@
 	return s.cfg.Run(ctx, task)
 }
 
-// stateEnd appends the end of a review until the log has one, be it this or
-// another box's.
-func (s *Service) stateEnd(ctx context.Context, kind Kind, meta Meta, answer []byte) {
-	packed, err := pack(answer)
+// appendEnd appends the end of a review, and repeats that until an end from this or another box
+// has been read back from the log.
+func (s *Service) appendEnd(ctx context.Context, kind Kind, meta Meta, response []byte) {
+	packed, err := pack(response)
 	if err != nil {
 		s.postpone(meta.ID, err)
 		return
 	}
 	for ctx.Err() == nil {
-		if err := s.append(ctx, split(kind, meta, original, packed)); err == nil && s.endSeen(ctx, meta) {
-			s.cfg.Logger.Info().Str("review", meta.ID).Str("organisation", meta.Organisation).Int("bytes", len(answer)).Msg("review_ended")
+		if err := s.append(ctx, split(kind, meta, original, packed)); err == nil && s.confirmEnd(ctx, meta) {
+			s.cfg.Logger.Info().Str("review", meta.ID).Str("organisation", meta.Organisation).Int("bytes", len(response)).Msg("review_ended")
 			return
 		}
-		waiting.For(ctx, endPause)
+		waiting.For(ctx, endRetryDelay)
 	}
 }
 
-// endWait is how long to wait for an appended end to come back from the log
-// before it is appended again. A second one does no harm.
-const endWait = 5 * time.Second
+// endReadTimeout is how long to wait until an appended end is read back from the log before it
+// is appended again. A duplicate is harmless.
+const endReadTimeout = 5 * time.Second
 
-func (s *Service) endSeen(ctx context.Context, meta Meta) bool {
-	ctx, cancel := context.WithTimeout(ctx, endWait)
+func (s *Service) confirmEnd(ctx context.Context, meta Meta) bool {
+	ctx, cancel := context.WithTimeout(ctx, endReadTimeout)
 	defer cancel()
-	// The end that comes also ends this run's context, so what AwaitEnd saw last
-	// may be older than it.
+	// Reading the end also cancels this run's context, so AwaitEnd may have returned an earlier
+	// state.
 	_, _ = s.AwaitEnd(ctx, meta.Organisation, meta.ID)
-	known, err := s.Get(meta.Organisation, meta.ID)
-	return errors.Is(err, ErrMissing) || known.Status.Ended()
+	found, err := s.Get(meta.Organisation, meta.ID)
+	return errors.Is(err, ErrNotFound) || found.Status.IsFinal()
 }
 
-func (s *Service) learn(took time.Duration) {
+func (s *Service) recordRunTime(took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seconds += learning * (took.Seconds() - s.seconds)
+	s.runSeconds += runTimeWeight * (took.Seconds() - s.runSeconds)
 }
 
 func (s *Service) postpone(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := min(max(2*s.retries[id].pause, firstRetry), lastRetry)
-	s.retries[id] = retry{at: time.Now().Add(pause), pause: pause}
-	s.cfg.Logger.Warn().Str("review", id).Str("error", err.Error()).Dur("pause_ms", pause).Msg("review_postponed")
+	delay := min(max(2*s.retries[id].delay, minRetryDelay), maxRetryDelay)
+	s.retries[id] = retry{at: time.Now().Add(delay), delay: delay}
+	s.cfg.Logger.Warn().Str("review", id).Str("error", err.Error()).Dur("pause_ms", delay).Msg("review_postponed")
 }
 
-// cancelRun stops the run of a review that has ended. The caller holds mu.
+// cancelRun cancels the run of a review that has ended. The caller holds mu.
 func (s *Service) cancelRun(id string) {
 	delete(s.retries, id)
 	delete(s.warned, id)
@@ -198,24 +199,23 @@
 	}
 }
 
-// atRisk reports whether a waiting review will probably miss its deadline: less
-// than a third of its time is left, or less than what the reviews before it
-// take. The caller holds mu.
+// atRisk reports whether a waiting review will probably miss its deadline: less than a third of
+// its time is left, or less than the time of three average runs. The caller holds mu.
 func (s *Service) atRisk(e *entry, now time.Time) bool {
 	if e.meta.Deadline.IsZero() {
 		return false
 	}
 	left := e.meta.Deadline.Sub(now)
-	whole := e.meta.Deadline.Sub(e.meta.Accepted)
-	return left < whole/riskPart || left.Seconds() < riskPart*s.seconds
+	whole := e.meta.Deadline.Sub(e.meta.AcceptedAt)
+	return left < whole/riskFactor || left.Seconds() < riskFactor*s.runSeconds
 }
 
-// warn logs each review at risk once.
-func (s *Service) warn() {
+// warnAtRisk logs each review at risk once.
+func (s *Service) warnAtRisk() {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range s.fold.reviews {
+	for _, e := range s.table.reviews {
 		if !e.waiting() || s.warned[e.meta.ID] || !s.atRisk(e, now) {
 			continue
 		}
@@ -225,73 +225,73 @@
 	}
 }
 
-// repetition is a content that must be appended again.
-type repetition struct {
-	kind  Kind
-	meta  Meta
-	lies  place
-	first int64
+// reappend is a content that must be appended again.
+type reappend struct {
+	kind   Kind
+	meta   Meta
+	source location
+	copyOf int64
 }
 
-// maxRepetitions bounds the contents that are appended again in one look.
-const maxRepetitions = 16
+// maxReappends bounds the contents that are appended again in one pass of the loop.
+const maxReappends = 16
 
-// repeatDue appends again what would expire, as far as it falls to this box, and
-// forgets what is no longer needed.
-func (s *Service) repeatDue(ctx context.Context) {
-	for _, r := range s.dueRepetitions() {
-		content, err := s.packedContent(ctx, r)
+// reappendDue appends copies of the contents that would expire, if this box owns the review,
+// and removes reviews that are no longer needed.
+func (s *Service) reappendDue(ctx context.Context) {
+	for _, r := range s.selectReappends() {
+		content, err := s.readPacked(ctx, r)
 		if err != nil {
-			continue // tried again at the next look
+			continue // retried in the next pass of the loop
 		}
-		if err := s.append(ctx, split(r.kind, r.meta, r.first, content)); err == nil {
+		if err := s.append(ctx, split(r.kind, r.meta, r.copyOf, content)); err == nil {
 			s.mu.Lock()
-			s.repeats++
+			s.reappends++
 			s.mu.Unlock()
 		}
 	}
 }
 
-func (s *Service) dueRepetitions() []repetition {
-	live := s.cfg.Live()
+func (s *Service) selectReappends() []reappend {
+	live := s.cfg.LiveBoxes()
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready {
 		return nil
 	}
-	var due []repetition
-	for id, e := range s.fold.reviews {
-		if e.forgettable(now, s.cfg.KeepAnswers(), s.cfg.Retention) {
-			delete(s.fold.reviews, id)
+	var due []reappend
+	for id, e := range s.table.reviews {
+		if e.evictable(now, s.cfg.ResultRetention(), s.cfg.Retention) {
+			delete(s.table.reviews, id)
 			continue
 		}
-		kind := e.due(now, s.cfg.Retention)
-		if kind == 0 || len(due) >= maxRepetitions || ownerOf(id, live) != s.cfg.Box {
+		kind := e.reappendKind(now, s.cfg.Retention)
+		if kind == 0 || len(due) >= maxReappends || ownerOf(id, live) != s.cfg.BoxName {
 			continue
 		}
-		due = append(due, e.repetition(kind))
+		due = append(due, e.newReappend(kind))
 	}
 	return due
 }
 
-func (e *entry) repetition(kind Kind) repetition {
+func (e *entry) newReappend(kind Kind) reappend {
 	switch kind {
 	case KindAccepted:
-		return repetition{kind: kind, meta: e.meta, lies: e.accepted, first: e.firstAccepted}
+		return reappend{kind: kind, meta: e.meta, source: e.request, copyOf: e.acceptedOffset}
 	case KindDeleted:
-		return repetition{kind: kind, meta: e.meta, first: original}
+		return reappend{kind: kind, meta: e.meta, copyOf: original}
 	default:
-		return repetition{kind: kind, meta: e.meta, lies: e.ended, first: e.endedFirst}
+		return reappend{kind: kind, meta: e.meta, source: e.result, copyOf: e.endOffset}
 	}
 }
 
-// packedContent reads a content that is to be appended again.
-func (s *Service) packedContent(ctx context.Context, r repetition) ([]byte, error) {
-	if !r.lies.known() {
+// readPacked reads a content that must be appended again, and compresses it.
+func (s *Service) readPacked(ctx context.Context, r reappend) ([]byte, error) {
+	if !r.source.isSet() {
 		return nil, nil
 	}
-	content, err := s.content(ctx, r.lies)
+	content, err := s.readContent(ctx, r.source)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/review/service.go
+++ b/internal/review/service.go
@@ -18,51 +18,52 @@
 
 // Errors of the service.
 var (
-	// ErrNotAccepted says that the review is certainly not in the log.
-	ErrNotAccepted = merry.Sentinel("the log service does not take reviews now")
-	// ErrUnknown says that the review may have been accepted.
-	ErrUnknown = merry.Sentinel("whether the review was accepted is not known")
-	// ErrNotReady says that the log has not been read to its end yet.
-	ErrNotReady = merry.Sentinel("the reviews are not read back yet")
-	// ErrMissing says that the organisation has no such review.
-	ErrMissing = merry.Sentinel("there is no such review")
-	// ErrOtherRequest says that the name belongs to another request.
-	ErrOtherRequest = merry.Sentinel("another review has this name")
-	// ErrTooLarge says that the request does not fit the log.
+	// ErrNotAccepted means that the review is certainly not in the log.
+	ErrNotAccepted = merry.Sentinel("the log service did not accept the review")
+	// ErrOutcomeUnknown means that the review, or a decision on it, may have reached the log.
+	ErrOutcomeUnknown = merry.Sentinel("it is unknown whether the log accepted the record")
+	// ErrNotReady means that the log has not been read to its end yet.
+	ErrNotReady = merry.Sentinel("the reviews have not been read from the log yet")
+	// ErrNotFound means that the organisation has no such review.
+	ErrNotFound = merry.Sentinel("review not found")
+	// ErrIDReused means that a different request has the same ID.
+	ErrIDReused = merry.Sentinel("a different request has the same review ID")
+	// ErrTooLarge means that the request does not fit into the log.
 	ErrTooLarge = merry.Sentinel("the review is too large")
 )
 
-// Config sets up a Service.
+// Config configures a Service.
 type Config struct {
 	Log    logservice.Log
 	Logger zerolog.Logger
-	// Box names this entry box; Live lists the boxes believed to be live.
-	Box  string
-	Live func() []string
-	// Retention is for how long the log keeps records at least.
+	// BoxName is the name of this entry box; LiveBoxes returns the boxes considered live.
+	BoxName   string
+	LiveBoxes func() []string
+	// Retention is the minimum time for which the log keeps records.
 	Retention time.Duration
-	// KeepAnswers gives for how long an ended review can be fetched.
-	KeepAnswers func() time.Duration
-	// Run answers a review. It is called on a goroutine of its own.
-	Run Runner
-	// Parallel gives how many reviews this box runs at once.
-	Parallel func() int
-	// Interval is the time between two looks at what is to be done.
+	// ResultRetention returns how long an ended review can be fetched.
+	ResultRetention func() time.Duration
+	// Run runs a review. It is called in a new goroutine.
+	Run RunFunc
+	// MaxParallel returns how many reviews this box may run at once.
+	MaxParallel func() int
+	// Interval bounds the time between two passes of the loop that starts runs and appends
+	// copies; a new record in the log also starts a pass.
 	Interval time.Duration
-	// PollWait is how long a read may wait at the log.
+	// PollWait is how long the log may hold a read open while it waits for a new record.
 	PollWait time.Duration
 }
 
-// Runner answers one review. An error that is Permanent ends the review as
-// failed; any other has it tried again later.
-type Runner func(ctx context.Context, task Task) (answer []byte, err error)
+// RunFunc runs one review. A PermanentError ends the review as failed; after any other error it
+// is retried later.
+type RunFunc func(ctx context.Context, task Task) (response []byte, err error)
 
-// Task is a review to be answered.
+// Task is a review to run.
 type Task struct {
 	Meta Meta
-	// Request is the body as the caller's protocol has it.
+	// Request is the request body in the caller's protocol.
 	Request []byte
-	// Urgent says that the review should no longer give way to others.
+	// Urgent means that the review should no longer yield to other requests.
 	Urgent bool
 }
 
@@ -74,70 +75,70 @@
 // Error implements the error interface.
 func (e *PermanentError) Error() string { return e.Reason }
 
-// DefaultInterval is the Interval where none is given.
+// DefaultInterval is the default of Config.Interval.
 const DefaultInterval = 250 * time.Millisecond
 
-// Service keeps the reviews of a deployment.
+// Service stores and runs the reviews of a deployment.
 type Service struct {
 	cfg  Config
 	tail *tail.Tail
-	life context.Context
+	ctx  context.Context
 	stop context.CancelFunc
 
-	mu      sync.Mutex
-	fold    *fold
-	ready   bool
-	changed chan struct{} // closed and replaced whenever the log brings news
-	running map[string]*run
-	retries map[string]retry
-	warned  map[string]bool
-	seconds float64 // learnt time of a run
-	ended   sync.WaitGroup
-	repeats int64
+	mu         sync.Mutex
+	table      *reviewTable
+	ready      bool
+	changed    chan struct{} // closed and replaced after each record of the log
+	running    map[string]*run
+	retries    map[string]retry
+	warned     map[string]bool
+	runSeconds float64 // moving average of the time of a run
+	workers    sync.WaitGroup
+	reappends  int64
 }
 
-// New makes a service; it does nothing before Start.
+// New creates a service; it is inactive until Start.
 func New(cfg Config) *Service {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
 	}
-	life, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	s := &Service{
-		cfg: cfg, life: life, stop: stop, fold: newFold(), changed: make(chan struct{}),
-		running: map[string]*run{}, retries: map[string]retry{}, warned: map[string]bool{}, seconds: firstRunSeconds,
+		cfg: cfg, ctx: ctx, stop: stop, table: newReviewTable(), changed: make(chan struct{}),
+		running: map[string]*run{}, retries: map[string]retry{}, warned: map[string]bool{}, runSeconds: initialRunSeconds,
 	}
 	s.tail = tail.New(tail.Config{Log: cfg.Log, Stream: Stream, Sink: s, PollWait: cfg.PollWait})
 	return s
 }
 
-// Start follows the log and runs reviews until Close.
+// Start reads the log and runs reviews until Close.
 func (s *Service) Start() {
-	s.ended.Go(func() { s.tail.Loop(s.life) })
-	s.ended.Go(func() { s.loop(s.life) })
+	s.workers.Go(func() { s.tail.Loop(s.ctx) })
+	s.workers.Go(func() { s.loop(s.ctx) })
 }
 
-// Close ends the service. Reviews that run here are run anew elsewhere.
+// Close stops the service. Reviews that were running here start again on other boxes.
 func (s *Service) Close() {
 	s.stop()
-	s.ended.Wait()
+	s.workers.Wait()
 }
 
-// drainTick is how often Drain looks whether all runs have ended.
-const drainTick = 20 * time.Millisecond
+// drainPollInterval is how often Drain checks whether all runs have ended.
+const drainPollInterval = 20 * time.Millisecond
 
-// Drain waits until the reviews that run here have ended, or ctx ends. No new
-// one begins meanwhile if Parallel gives 0.
+// Drain waits until the reviews that run on this box have ended, or until ctx ends. No new run
+// starts meanwhile if MaxParallel returns 0.
 func (s *Service) Drain(ctx context.Context) {
 	for s.State().Running > 0 && ctx.Err() == nil {
-		waiting.For(ctx, drainTick)
+		waiting.For(ctx, drainPollInterval)
 	}
 }
 
-// Take implements tail.Sink.
-func (s *Service) Take(record logservice.Record) {
+// ApplyRecord implements tail.Sink.
+func (s *Service) ApplyRecord(record logservice.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.fold.apply(record.Offset, record.Time, record.Data)
+	e := s.table.apply(record.Offset, record.Time, record.Data)
 	if e != nil && !e.waiting() {
 		s.cancelRun(e.meta.ID)
 	}
@@ -145,25 +146,25 @@
 	s.changed = make(chan struct{})
 }
 
-// Restart implements tail.Sink. All that is still needed was appended again in
-// time, so reading on from the earliest held record finds it; what was known
-// stays known.
-func (s *Service) Restart(int64, time.Time) {
+// Reset implements tail.Sink. Everything that is still needed was appended again before it
+// expired, so reading from the earliest stored record finds it, and the reviews in memory stay
+// valid.
+func (s *Service) Reset(int64, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = false
-	s.fold.parts = newFold().parts
+	s.table.partials = newReviewTable().partials
 }
 
-// AtEnd implements tail.Sink.
-func (s *Service) AtEnd() {
+// CaughtUp implements tail.Sink.
+func (s *Service) CaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = true
 }
 
-// Accept makes a review durable. It returns once the log has it, in order; the
-// review may by then have been accepted before under the same name.
+// Accept writes a review to the log and returns after it was read back in log order. If the
+// same review was accepted before under the same ID, it returns that one.
 func (s *Service) Accept(ctx context.Context, meta Meta, request []byte) (Review, error) {
 	packed, err := pack(request)
 	if err != nil {
@@ -172,13 +173,13 @@
 	if !s.isReady() {
 		return Review{}, ErrNotReady
 	}
-	if known, err := s.sameAs(meta); err == nil || errors.Is(err, ErrOtherRequest) {
-		return known, err
+	if found, err := s.findSame(meta); err == nil || errors.Is(err, ErrIDReused) {
+		return found, err
 	}
 	if err := s.append(ctx, split(KindAccepted, meta, original, packed)); err != nil {
 		return Review{}, err
 	}
-	return s.await(ctx, meta)
+	return s.awaitAccepted(ctx, meta)
 }
 
 func (s *Service) isReady() bool {
@@ -187,23 +188,23 @@
 	return s.ready
 }
 
-// sameAs gives the review that already has a name.
-func (s *Service) sameAs(meta Meta) (Review, error) {
+// findSame returns the accepted review with the same ID, organisation and request.
+func (s *Service) findSame(meta Meta) (Review, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.fold.reviews[meta.ID]
-	if !ok || !e.accepted.known() {
-		return Review{}, ErrMissing
+	e, ok := s.table.reviews[meta.ID]
+	if !ok || !e.request.isSet() {
+		return Review{}, ErrNotFound
 	}
 	if e.meta.Organisation != meta.Organisation || e.meta.Digest != meta.Digest {
-		return Review{}, ErrOtherRequest
+		return Review{}, ErrIDReused
 	}
 	return s.describe(e), nil
 }
 
-// append adds records one after the other. Only a first one that was not taken
-// proves that nothing is there; the fold wants all parts, so the rest of a
-// content that cannot be finished is never acted upon.
+// append appends records one after the other. Only a rejected first record proves that nothing
+// is in the log. A content takes effect only when all its parts are in the log, so the parts of
+// one that cannot be finished are ignored.
 func (s *Service) append(ctx context.Context, records []Record) error {
 	for _, record := range records {
 		data, err := record.encode()
@@ -212,39 +213,39 @@
 		}
 		_, err = s.cfg.Log.Append(ctx, Stream, data)
 		switch {
-		case errors.Is(err, logservice.ErrNotTaken):
+		case errors.Is(err, logservice.ErrNotAppended):
 			return ErrNotAccepted
-		case err != nil && record.Part < record.Parts-1:
-			return ErrNotAccepted // the parts after this one were never sent
+		case err != nil && record.PartIndex < record.PartCount-1:
+			return ErrNotAccepted // the parts after this one are not sent
 		case err != nil:
-			return nil // await sees whether it got there
+			return nil // the caller waits to read the record back
 		}
 	}
 	return nil
 }
 
-// await waits until the log brings the review of a name.
-func (s *Service) await(ctx context.Context, meta Meta) (Review, error) {
+// awaitAccepted waits until the review with this ID has been read from the log.
+func (s *Service) awaitAccepted(ctx context.Context, meta Meta) (Review, error) {
 	for {
 		s.mu.Lock()
 		changed := s.changed
 		s.mu.Unlock()
-		known, err := s.sameAs(meta)
-		if err == nil || errors.Is(err, ErrOtherRequest) {
-			return known, err
+		found, err := s.findSame(meta)
+		if err == nil || errors.Is(err, ErrIDReused) {
+			return found, err
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return Review{}, ErrUnknown
+			return Review{}, ErrOutcomeUnknown
 		}
 	}
 }
 
-// content reads the parts of a content out of the log.
-func (s *Service) content(ctx context.Context, lies place) ([]byte, error) {
+// readContent reads the parts of a content from the log and decompresses it.
+func (s *Service) readContent(ctx context.Context, loc location) ([]byte, error) {
 	var packed bytes.Buffer
-	for _, offset := range lies.offsets {
+	for _, offset := range loc.offsets {
 		page, err := backoff.Retry(ctx, func() (logservice.Page, error) {
 			return s.cfg.Log.Read(ctx, Stream, logservice.ReadOptions{From: offset, Limit: 1})
 		}, backoff.WithMaxTries(readTries))
@@ -252,7 +253,7 @@
 			return nil, err
 		}
 		if len(page.Records) == 0 {
-			return nil, merry.Errorf("the log no longer has record %d", offset)
+			return nil, merry.Errorf("record %d has expired from the log", offset)
 		}
 		record, err := decode(page.Records[0].Data)
 		if err != nil {
@@ -263,5 +264,5 @@
 	return unpack(packed.Bytes())
 }
 
-// readTries bounds the tries to read one record.
+// readTries bounds the attempts to read one record.
 const readTries = 3
--- a/internal/review/state.go
+++ b/internal/review/state.go
@@ -17,7 +17,7 @@
 // State is the part of a state dump that describes the reviews.
 type State struct {
 	Ready bool `json:"ready"`
-	// Known counts all reviews that are remembered, Running those of this box.
+	// Known counts all reviews in memory, Running those that run on this box.
 	Known   int   `json:"known"`
 	Running int   `json:"running"`
 	AtRisk  int   `json:"at_risk"`
@@ -28,11 +28,11 @@
 	Waiting       []WaitingState `json:"waiting"`
 }
 
-// State describes the reviews as they are now.
+// State describes the current reviews.
 func (s *Service) State() State {
 	waiting := s.Waiting()
 	s.mu.Lock()
-	state := State{Ready: s.ready, Known: len(s.fold.reviews), Running: len(s.running), Repeats: s.repeats, Waiting: []WaitingState{}}
+	state := State{Ready: s.ready, Known: len(s.table.reviews), Running: len(s.running), Repeats: s.reappends, Waiting: []WaitingState{}}
 	s.mu.Unlock()
 	for _, review := range waiting {
 		state.add(review)
@@ -43,7 +43,7 @@
 func (s *State) add(review Review) {
 	described := WaitingState{
 		ID: review.Meta.ID, Organisation: review.Meta.Organisation, Model: review.Meta.Model, Status: review.Status,
-		Accepted: review.Meta.Accepted, AtRisk: review.AtRisk, Missed: review.Missed,
+		Accepted: review.Meta.AcceptedAt, AtRisk: review.AtRisk, Missed: review.Missed,
 	}
 	if !review.Meta.Deadline.IsZero() {
 		described.Deadline = &review.Meta.Deadline
@@ -54,6 +54,6 @@
 	if review.Missed {
 		s.Missed++
 	}
-	s.OldestSeconds = max(s.OldestSeconds, time.Since(review.Meta.Accepted).Seconds())
+	s.OldestSeconds = max(s.OldestSeconds, time.Since(review.Meta.AcceptedAt).Seconds())
 	s.Waiting = append(s.Waiting, described)
 }
--- a/internal/sitebench/arrivals.go
+++ b/internal/sitebench/arrivals.go
@@ -1,22 +1,25 @@
-// What a box expects to have come to runners unseen, as in package fleet.
+// Estimate of the work that boxes have sent to runners but not reported to each other yet, as in
+// package fleet.
 
 package sitebench
 
 import "math"
 
-// arrivalsMillis is the time over which a box observes what it places.
-const arrivalsMillis = 2000.0
+// arrivalDecayMillis is the time constant with which earlier work decays in the estimate.
+const arrivalDecayMillis = 2000.0
 
-// arrivals observes the work in milliseconds that a box places.
-type arrivals struct{ work, at float64 }
+// arrivalRate is an exponentially decaying sum of the work, in milliseconds, that a box has
+// placed.
+type arrivalRate struct{ work, at float64 }
 
-func (a *arrivals) note(now, work float64) {
-	a.work = a.work*math.Exp((a.at-now)/arrivalsMillis) + work
+func (a *arrivalRate) record(now, work float64) {
+	a.work = a.work*math.Exp((a.at-now)/arrivalDecayMillis) + work
 	a.at = now
 }
 
-// unseen estimates the work that came to each of some runners from all boxes since these told.
-func (a *arrivals) unseen(w *world, runners int) float64 {
-	a.note(w.now, 0)
-	return a.work / arrivalsMillis * float64(w.site.Boxes) * w.site.TellMillis / float64(max(1, runners))
+// unreported estimates the work, in milliseconds, that all boxes have sent to each of the given
+// number of runners since the last load reports.
+func (a *arrivalRate) unreported(sim *simulation, runners int) float64 {
+	a.record(sim.now, 0)
+	return a.work / arrivalDecayMillis * float64(sim.site.Boxes) * sim.site.ReportMillis / float64(max(1, runners))
 }
--- a/internal/sitebench/call.go
+++ b/internal/sitebench/call.go
@@ -1,5 +1,5 @@
-// One call: it is placed by a box, perhaps after a wait for room, its shared part is
-// fetched or read, and its answer is worth what the class says.
+// A call is placed by a box, possibly after waiting for a free runner. Its shared part is fetched
+// or prefilled, and the worth of its answer depends on its class and its latency.
 
 package sitebench
 
@@ -9,198 +9,201 @@
 	"github.com/cometlock/cometlock/internal/placing"
 )
 
-// What boxes do with a call here as in package gateway.
+// Constants of the boxes, with the same meaning as in package gateway.
 const (
-	// waitStep is the time in milliseconds between two looks for room.
-	waitStep = 10.0
-	// outdatedPart is the part of the aim that a call waits longer for the newest
-	// weights, at the end of the time in which older ones are of use.
-	outdatedPart = 0.3
+	// retryMillis is the time in milliseconds between two attempts to place a waiting call.
+	retryMillis = 10.0
+	// outdatedCostShare is how much longer a call may wait for the newest weights: the largest
+	// extra cost of a runner with outdated weights, as a share of the call's target latency. The
+	// cost grows to this value over the time in which answers by older weights still have worth.
+	outdatedCostShare = 0.3
 )
 
-// A caller that is refused is told to come back after so many times its aim: at least
-// leastComeBack, and up to comeBackSpread more, so that not all come back at once.
+// A caller that is refused retries after a multiple of its target latency: at least minRetryAfter,
+// and up to retryAfterSpread more, so that the callers do not retry all at once.
 const (
-	leastComeBack  = 1
-	comeBackSpread = 2
+	minRetryAfter    = 1
+	retryAfterSpread = 2
 )
 
-// call is one call of a caller, with its second try if it has one.
+// call is one call, including its second try if it has one.
 type call struct {
-	world *world
-	class int
-	thing int
-	box   int
-	// own is the prompt besides its shared part, in tokens, and steps the length of its
-	// answer.
-	own   float64
-	steps float64
-	// spread breaks ties.
-	spread uint64
-
-	began float64
-	// lookUntil ends the waiting for room of this try; tries counts them.
-	lookUntil float64
+	sim     *simulation
+	class   int
+	context int
+	box     int
+	// ownTokens is the length of the prompt without its shared part. steps is the length of the
+	// answer in steps of the runner's batch.
+	ownTokens float64
+	steps     float64
+	// tieBreaker breaks ties between runners.
+	tieBreaker uint64
+
+	startedAt float64
+	// waitUntil is when this try stops waiting for a runner. tries counts the tries.
+	waitUntil float64
 	tries     int
-	pending   int // at its runner, until it has been read
-	// workMillis is the work that it brings its runner.
+	pending   int // prompt tokens at its runner, until they are prefilled
+	// workMillis is the prefill time that the call adds to its runner.
 	workMillis float64
-	// asks says that owners give this try its place.
-	asks bool
+	// viaOwner means that the owners of the runners place this try.
+	viaOwner bool
 }
 
-func (w *world) newCall(class int) *call {
-	kind := w.site.Classes[class]
+func (sim *simulation) newCall(class int) *call {
+	config := sim.site.Classes[class]
 	return &call{
-		world: w, class: class, thing: w.random.IntN(kind.Things), box: w.random.IntN(w.site.Boxes),
-		own: kind.OwnTokens.draw(w.random), steps: kind.Steps.draw(w.random), spread: w.random.Uint64(),
+		sim: sim, class: class, context: sim.random.IntN(config.Contexts), box: sim.random.IntN(sim.site.Boxes),
+		ownTokens: config.OwnTokens.sample(sim.random), steps: config.Steps.sample(sim.random), tieBreaker: sim.random.Uint64(),
 	}
 }
 
-func (c *call) kind() Class                 { return c.world.site.Classes[c.class] }
-func (c *call) shared() float64             { return c.world.things[c.class][c.thing].tokens }
-func (c *call) tokens() float64             { return c.own + c.shared() }
-func (c *call) partOf(weights int) part     { return part{c.class, c.thing, weights} }
-func (c *call) since(began float64) float64 { return c.world.now - began }
+func (c *call) classConfig() Class            { return c.sim.site.Classes[c.class] }
+func (c *call) sharedTokens() float64         { return c.sim.contexts[c.class][c.context].tokens }
+func (c *call) tokens() float64               { return c.ownTokens + c.sharedTokens() }
+func (c *call) keyFor(weights int) contextKey { return contextKey{c.class, c.context, weights} }
+func (c *call) since(start float64) float64   { return c.sim.now - start }
 
-// arrive begins a try.
+// arrive starts a try.
 func (c *call) arrive() {
 	if c.tries++; c.tries == 1 {
-		c.began = c.world.now
-		c.world.result.owed += c.kind().Worth
-		c.world.result.calls++
+		c.startedAt = c.sim.now
+		c.sim.result.offeredWorth += c.classConfig().Worth
+		c.sim.result.calls++
 	}
-	c.lookUntil = c.world.now + placing.WaitFraction*c.kind().AimMillis
-	c.look()
+	c.waitUntil = c.sim.now + placing.WaitFraction*c.classConfig().TargetMillis
+	c.place()
 }
 
-// look places the call, or waits a little for room, or refuses it.
-func (c *call) look() {
-	w := c.world
-	if chosen := w.policy.choose(c); chosen != nil {
-		c.handOver(chosen)
+// place sends the call to a runner, retries shortly afterwards if there is none, or refuses the
+// call when its waiting time is over.
+func (c *call) place() {
+	sim := c.sim
+	if chosen := sim.policy.choose(c); chosen != nil {
+		c.send(chosen)
 		return
 	}
-	if w.now < c.lookUntil {
-		w.after(waitStep, c.look)
+	if sim.now < c.waitUntil {
+		sim.schedule(retryMillis, c.place)
 		return
 	}
-	// The caller comes back once, when it was told to.
-	wait := c.kind().AimMillis * (leastComeBack + comeBackSpread*w.random.Float64())
-	if c.tries == 1 && c.since(c.began)+wait < c.kind().PatienceMillis {
-		w.after(wait, c.arrive)
+	// A refused caller retries once, after the delay that the box returned.
+	wait := c.classConfig().TargetMillis * (minRetryAfter + retryAfterSpread*sim.random.Float64())
+	if c.tries == 1 && c.since(c.startedAt)+wait < c.classConfig().PatienceMillis {
+		sim.schedule(wait, c.arrive)
 		return
 	}
-	w.result.refused++
+	sim.result.refused++
 }
 
-// handOver gives the call to a runner.
-func (c *call) handOver(r *runner) {
-	j, begins := c.newJob(r)
+func (c *call) send(r *runner) {
+	j, delay := c.newJob(r)
 	r.work[c.box].add(c.work())
-	c.world.arrivals[c.box].note(c.world.now, c.workMillis)
-	if c.asks {
-		r.granted.add(c.work())
+	c.sim.arrivals[c.box].record(c.sim.now, c.workMillis)
+	if c.viaOwner {
+		r.reserved.add(c.work())
 	}
-	c.world.after(begins+c.world.site.FirstMillis, func() { r.take(j) })
+	c.sim.schedule(delay+c.sim.site.FirstEventMillis, func() { r.enqueue(j) })
 }
 
-// work is what the call is to its runner when it gets there.
+// work returns the load that the call adds to its runner on arrival.
 func (c *call) work() boxWork { return boxWork{1, c.pending, int(c.tokens())} }
 
-// newJob makes the prompt as a runner gets it, and gives the milliseconds until its shared
-// part is there: it is fetched if a store box keeps it, and otherwise read and saved.
-func (c *call) newJob(r *runner) (j *job, begins float64) {
-	w := c.world
-	p := c.partOf(r.weights)
+// newJob creates the job for a runner and returns the milliseconds until its shared part is
+// available. The part is fetched if a store box holds it, and is otherwise prefilled and saved.
+func (c *call) newJob(r *runner) (j *job, delay float64) {
+	sim := c.sim
+	p := c.keyFor(r.weights)
 	j = &job{call: c}
-	c.pending = int(c.own)
-	switch from := w.holding(p); {
-	case w.policy.clairvoyant && w.read[p]: // nothing has to be moved
+	c.pending = int(c.ownTokens)
+	switch from := sim.storeHolding(p); {
+	case sim.policy.clairvoyant && sim.prefilled[p]: // no transfer needed
 	case from != nil:
-		ends := from.move(w, c.shared())
-		begins = min(ends-w.now, fetchMillis)
-		if ends-w.now > fetchMillis {
-			j.shared = true
-			w.result.lateFetches++
+		ends := from.transfer(sim, c.sharedTokens())
+		delay = min(ends-sim.now, fetchMillis)
+		if ends-sim.now > fetchMillis {
+			j.prefillShared = true
+			sim.result.lateFetches++
 		}
 	default:
-		j.shared = true
+		j.prefillShared = true
 		c.pending = int(c.tokens())
-		if r.weights >= w.newest {
-			if j.saveTo = w.place(p, c.shared()); j.saveTo != nil {
-				w.saving[p] = w.now + savingMillis
+		if r.weights >= sim.newest {
+			if j.saveTo = sim.chooseStore(p, c.sharedTokens()); j.saveTo != nil {
+				sim.saving[p] = sim.now + savingMillis
 			}
 		}
 	}
-	return j, begins
+	return j, delay
 }
 
-// Worth of answers by older weights: a fifth is lost after a moment, and all in the end.
+// Worth of answers by outdated weights: a fifth is lost after outdatedMillis, and all after
+// worthlessMillis.
 const (
-	outdatedMillis = 1500.0
-	outdatedLoss   = 0.2
-	uselessMillis  = 12_000.0
+	outdatedMillis  = 1500.0
+	outdatedLoss    = 0.2
+	worthlessMillis = 12_000.0
 )
 
-// answered ends the wait for the first event.
-func (c *call) answered(r *runner) {
-	w, kind := c.world, c.kind()
+// firstEvent records the first event of the answer.
+func (c *call) firstEvent(r *runner) {
+	sim, config := c.sim, c.classConfig()
 	r.work[c.box].sub(boxWork{0, c.pending, 0})
-	took := c.since(c.began)
-	worth := kind.Worth
+	elapsed := c.since(c.startedAt)
+	worth := config.Worth
 	switch {
-	case took > kind.PatienceMillis:
+	case elapsed > config.PatienceMillis:
 		worth = 0
-		w.result.tooLate++
-	case took > kind.AimMillis:
-		worth = kind.LateWorth
-		w.result.lateAnswers++
-	}
-	if newer, named := w.namedAt[r.weights+1]; named {
-		switch age := w.now - newer; {
-		case age > uselessMillis:
+		sim.result.abandoned++
+	case elapsed > config.TargetMillis:
+		worth = config.LateWorth
+		sim.result.lateAnswers++
+	}
+	if announced, outdated := sim.announcedAt[r.weights+1]; outdated {
+		switch age := sim.now - announced; {
+		case age > worthlessMillis:
 			worth = 0
 		case age > outdatedMillis:
 			worth *= 1 - outdatedLoss
 		}
 	}
-	w.result.earned += worth
-	w.result.add(c.class, took)
+	sim.result.earnedWorth += worth
+	sim.result.add(c.class, elapsed)
 }
 
-// describe writes down a runner as a box knows it, for the policy.
-func (c *call) describe(r *runner, owner bool) placing.Candidate {
-	seen := r.seenBy(c.box)
+// candidateFor returns the state of a runner as a box knows it, for the policy. An owner uses the
+// reports of all boxes and its own reservations.
+func (c *call) candidateFor(r *runner, owner bool) placing.Candidate {
+	known := r.knownTo(c.box)
 	if owner {
-		seen = r.toldByAll
-		seen.add(r.granted)
+		known = r.reportedTotal
+		known.add(r.reserved)
 	}
-	work := c.own
-	if c.world.holding(c.partOf(r.weights)) == nil {
+	work := c.ownTokens
+	if c.sim.storeHolding(c.keyFor(r.weights)) == nil {
 		work = c.tokens()
 	}
 	candidate := placing.Candidate{
-		Name: r.name, InFlight: seen.calls, Slots: c.world.site.Slots, PendingTokens: seen.pending, HeldTokens: seen.held, PrefillTokens: int(work),
+		Name: r.name, InFlight: known.calls, Slots: c.sim.site.Slots, PendingTokens: known.pending, HeldTokens: known.held, PrefillTokens: int(work),
 		Headroom: r.owner == c.box || owner,
 	}
-	if newer, named := c.world.namedAt[r.weights+1]; named {
-		candidate.ExtraCost = outdatedPart * c.kind().AimMillis * math.Min(1, (c.world.now-newer)/uselessMillis)
+	if announced, outdated := c.sim.announcedAt[r.weights+1]; outdated {
+		candidate.ExtraCost = outdatedCostShare * c.classConfig().TargetMillis * math.Min(1, (c.sim.now-announced)/worthlessMillis)
 	}
 	return candidate
 }
 
-// query asks the policy for this call as a box does.
+// query returns the placement query that a box makes for this call.
 func (c *call) query() placing.Query {
-	site := c.world.site
+	site := c.sim.site
 	query := placing.Query{
-		TokenCost: 1 / site.ReadRate, TieBreaker: c.spread, PrefillLimit: placing.PrefillFraction * c.kind().AimMillis, Tokens: int(c.tokens()),
+		TokenCost: 1 / site.PrefillRate, TieBreaker: c.tieBreaker, PrefillLimit: placing.PrefillFraction * c.classConfig().TargetMillis, Tokens: int(c.tokens()),
 	}
 	if c.tokens() >= placing.MinAffinityTokens {
 		query.Memory = int(site.MemoryTokens)
 	}
-	if c.shared() >= placing.MinAffinityTokens && c.world.holding(c.partOf(c.world.newest)) == nil {
-		query.AffinityKey = c.partOf(c.world.newest).number() | 1 // zero would be no home
+	if c.sharedTokens() >= placing.MinAffinityTokens && c.sim.storeHolding(c.keyFor(c.sim.newest)) == nil {
+		query.AffinityKey = c.keyFor(c.sim.newest).hash() | 1 // zero would mean no affinity
 	}
 	return query
 }
--- a/internal/sitebench/events.go
+++ b/internal/sitebench/events.go
@@ -1,23 +1,23 @@
-// Virtual time: what is planned happens in its order, and the clock goes from one moment
-// to the next, so that a day takes as long as its events take to compute.
+// Virtual time: events run in the order of their times, and the clock jumps from one event to the
+// next, so that a simulation takes only as long as its events take to compute.
 
 package sitebench
 
 import "container/heap"
 
-// event is something that happens at a moment. Events of one moment happen in the order
-// in which they were planned.
+// event is a function that is scheduled for a given time. Events of the same time run in the order
+// in which they were scheduled.
 type event struct {
-	at     float64
-	number int
-	do     func()
+	at       float64
+	sequence int
+	run      func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].number < e[j].number
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
@@ -31,17 +31,17 @@
 	return last
 }
 
-// after plans something for so many milliseconds from now.
-func (w *world) after(millis float64, do func()) {
-	w.count++
-	heap.Push(&w.planned, event{w.now + millis, w.count, do})
+// schedule schedules an event after a delay in milliseconds.
+func (sim *simulation) schedule(millis float64, run func()) {
+	sim.sequence++
+	heap.Push(&sim.pending, event{sim.now + millis, sim.sequence, run})
 }
 
-// playAll lets all that is planned happen, and what it plans in turn.
-func (w *world) playAll() {
-	for len(w.planned) > 0 {
-		next := heap.Pop(&w.planned).(event)
-		w.now = next.at
-		next.do()
+// runAll runs all scheduled events, including those that they schedule.
+func (sim *simulation) runAll() {
+	for len(sim.pending) > 0 {
+		next := heap.Pop(&sim.pending).(event)
+		sim.now = next.at
+		next.run()
 	}
 }
--- a/internal/sitebench/experiment.go
+++ b/internal/sitebench/experiment.go
@@ -1,5 +1,5 @@
-// Experiments: a quantity is varied, each policy plays the same days, and the means over
-// some seeds go into a table, a file and a plot.
+// Experiments vary one quantity and run all policies on the same scenarios. The means over several
+// seeds go into a table, a file and a plot.
 
 package sitebench
 
@@ -12,71 +12,71 @@
 	"strings"
 )
 
-// Seeds is how many seeds each row is the mean of.
+// Seeds is the number of seeds that each row averages over.
 const Seeds = 3
 
-// Row is a policy at one value of what an experiment varies.
+// Row is the result of a policy at one value of the varied quantity.
 type Row struct {
 	Site   string  `json:"site"`
 	Day    string  `json:"day"`
 	Varied string  `json:"varied"`
 	Value  float64 `json:"value"`
 	Policy string  `json:"policy"`
-	// Figures are means over the seeds, and WorthLeast and WorthMost the spread of the
-	// first.
-	Figures    map[string]float64 `json:"figures"`
-	WorthLeast float64            `json:"worth_least"`
-	WorthMost  float64            `json:"worth_most"`
+	// Figures are means over the seeds. WorthMin and WorthMax are the range of the worth over the
+	// seeds.
+	Figures  map[string]float64 `json:"figures"`
+	WorthMin float64            `json:"worth_least"`
+	WorthMax float64            `json:"worth_most"`
 }
 
-// experiment varies one quantity of a day.
+// experiment varies one quantity of a scenario.
 type experiment struct {
 	varied string
 	values []float64
-	set    func(day *Day, value float64)
+	set    func(scenario *Scenario, value float64)
 }
 
 func experiments() []experiment {
 	return []experiment{
-		{"load", []float64{0.6, 0.8, 1, 1.2, 1.4}, func(day *Day, value float64) { day.Load = value }},
-		{"store room", []float64{0, 0.25, 0.5, 1, 2}, func(day *Day, value float64) { day.Room = value }},
+		{"load", []float64{0.6, 0.8, 1, 1.2, 1.4}, func(scenario *Scenario, value float64) { scenario.Load = value }},
+		{"store room", []float64{0, 0.25, 0.5, 1, 2}, func(scenario *Scenario, value float64) { scenario.StoreCapacity = value }},
 	}
 }
 
-// compare plays a day by all policies at one value.
-func compare(site Site, day Day, varied string, value float64, seeds int) []Row {
+// compare runs all policies on a scenario at one value.
+func compare(site Site, scenario Scenario, varied string, value float64, seeds int) []Row {
 	var rows []Row
 	for _, policy := range Policies() {
-		row := Row{Site: site.Name, Day: day.Name, Varied: varied, Value: value, Policy: policy.Name, Figures: map[string]float64{}, WorthLeast: 1}
+		row := Row{Site: site.Name, Day: scenario.Name, Varied: varied, Value: value, Policy: policy.Name, Figures: map[string]float64{}, WorthMin: 1}
 		for seed := range seeds {
-			result := Play(site, day, policy, uint64(seed))
+			result := Simulate(site, scenario, policy, uint64(seed))
 			for _, figure := range figures() {
 				row.Figures[figure.name] += figure.of(result) / float64(seeds)
 			}
-			row.WorthLeast, row.WorthMost = min(row.WorthLeast, result.Worth), max(row.WorthMost, result.Worth)
+			row.WorthMin, row.WorthMax = min(row.WorthMin, result.Worth), max(row.WorthMax, result.Worth)
 		}
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-// Where Run leaves the rows and the plots.
+// Output paths of Run.
 const (
 	OutputFile = "bench-sites.json"
 	PlotFolder = "bench-plots"
 )
 
-// Run plays all experiments, prints their tables, and writes the rows as JSON and a plot
-// of each.
+// Run runs all experiments, prints their tables, and writes the rows as JSON and several plots per
+// experiment.
 func Run(out io.Writer) error {
 	if err := os.MkdirAll(PlotFolder, 0o755); err != nil {
 		return err
 	}
 	var all []Row
 	for _, site := range Sites() {
-		for _, day := range Days() {
+		for _, scenario := range Scenarios() {
 			for _, experiment := range experiments() {
-				rows := experiment.run(out, site, day)
+				rows := experiment.run(out, site, scenario)
 				all = append(all, rows...)
 				if err := plotAll(rows); err != nil {
 					return err
@@ -93,7 +93,7 @@
 
 // plotAll writes the plots of one experiment.
 func plotAll(rows []Row) error {
-	for _, figure := range plotted {
+	for _, figure := range plottedFigures {
 		name := fmt.Sprintf("%s-%s-%s-by-%s.svg", rows[0].Site, rows[0].Day, figure, rows[0].Varied)
 		if err := plot(filepath.Join(PlotFolder, strings.ReplaceAll(name, " ", "-")), figure, rows); err != nil {
 			return err
@@ -102,10 +102,10 @@
 	return nil
 }
 
-func (e experiment) run(out io.Writer, site Site, day Day) []Row {
+func (e experiment) run(out io.Writer, site Site, scenario Scenario) []Row {
 	var all []Row
 	for _, value := range e.values {
-		varied := day
+		varied := scenario
 		e.set(&varied, value)
 		rows := compare(site, varied, e.varied, value, Seeds)
 		printRows(out, rows)
@@ -127,6 +127,6 @@
 		for _, figure := range figures() {
 			fmt.Fprintf(out, " %12.3f", row.Figures[figure.name])
 		}
-		fmt.Fprintf(out, "  %.3f to %.3f\n", row.WorthLeast, row.WorthMost)
+		fmt.Fprintf(out, "  %.3f to %.3f\n", row.WorthMin, row.WorthMax)
 	}
 }
--- a/internal/sitebench/runner.go
+++ b/internal/sitebench/runner.go
@@ -1,5 +1,5 @@
-// Runners: they read one prompt after the other, urgent ones first, answer in batches,
-// and keep shared context until its memory is wanted.
+// Runners prefill one prompt at a time, urgent ones first, decode in batches, and cache shared
+// parts as long as their memory is not needed for runs.
 
 package sitebench
 
@@ -8,224 +8,229 @@
 	"slices"
 )
 
-// runner is one model runner.
+// runner is a model of one model runner.
 type runner struct {
-	world *world
-	name  string
-	// owner is the box that the headroom of the memory belongs to.
+	sim  *simulation
+	name string
+	// owner is the box that may use the headroom of the memory.
 	owner int
 
 	weights int
-	// out says that boxes send nothing: it is about to load, or loads.
-	out bool
-	// dark says that the runner does nothing, missed that boxes have noticed it.
-	dark, missed bool
-	// drained is called when the last run ends; nil while nobody waits for that.
-	drained func()
-
-	reading        bool
-	urgent, others []*job
+	// draining means that boxes send no calls, because the runner is about to load weights or is
+	// loading them.
+	draining bool
+	// hung means that the runner does nothing, and hangDetected that the boxes have detected it.
+	hung, hangDetected bool
+	// onDrained is called when the last run has ended. It is nil while no load of weights waits
+	// for that.
+	onDrained func()
+
+	prefilling     bool
+	urgent, normal []*job
 	running        int
-	// runs are the prompts that are read or answered.
-	runs []*job
-	// held is the memory of runs, kept that of parts, the last used last.
-	held float64
-	kept []keptPart
-
-	// work is what each box has here now, and told what it last told the others.
-	work, told []boxWork
-	// toldByAll is the sum of told.
-	toldByAll boxWork
-	// granted is what the owner of the runner gave places to since boxes last told.
-	granted boxWork
-}
-
-// keptPart is a part in a runner's memory.
-type keptPart struct {
-	part   part
+	// active are the jobs that are being prefilled or decoded.
+	active []*job
+	// activeTokens is the memory of the active jobs. cached are the cached parts, the most
+	// recently used last.
+	activeTokens float64
+	cached       []cachedContext
+
+	// work is the current work of each box at this runner, and reported is the work that each box
+	// last reported to the others.
+	work, reported []boxWork
+	// reportedTotal is the sum of reported.
+	reportedTotal boxWork
+	// reserved is the work that the runner's owner has placed here since the last reports.
+	reserved boxWork
+}
+
+// cachedContext is a shared part in a runner's cache.
+type cachedContext struct {
+	key    contextKey
 	tokens float64
 }
 
 // job is a prompt at a runner.
 type job struct {
 	call *call
-	// shared says that the shared part is to be read unless the runner keeps it.
-	shared bool
-	// saveTo keeps the shared part when it has been read.
+	// prefillShared means that the shared part must be prefilled unless the runner has it cached.
+	prefillShared bool
+	// saveTo is the store box that saves the shared part once it has been prefilled, or nil.
 	saveTo *store
-	// handed is when the runner got it, endsAt when its answer ends if no other prompt is
-	// read meanwhile. Lost ones are on a runner that went dark.
-	handed, endsAt float64
-	answered, lost bool
+	// queuedAt is when the runner received the job. finishAt is when its answer ends if no other
+	// prompt is prefilled meanwhile. A lost job was at a runner that hung.
+	queuedAt, finishAt float64
+	streaming, lost    bool
 }
 
-func newRunner(w *world, number int) *runner {
+func newRunner(sim *simulation, number int) *runner {
 	return &runner{
-		world: w, name: fmt.Sprint("runner-", number), owner: number % w.site.Boxes, weights: firstWeights,
-		work: make([]boxWork, w.site.Boxes), told: make([]boxWork, w.site.Boxes),
+		sim: sim, name: fmt.Sprint("runner-", number), owner: number % sim.site.Boxes, weights: firstWeights,
+		work: make([]boxWork, sim.site.Boxes), reported: make([]boxWork, sim.site.Boxes),
 	}
 }
 
-// tell lets other boxes know what each box has here now.
-func (r *runner) tell() {
-	r.granted = boxWork{}
-	r.toldByAll = boxWork{}
+// report sends the current work of each box at this runner to the other boxes.
+func (r *runner) report() {
+	r.reserved = boxWork{}
+	r.reportedTotal = boxWork{}
 	for box, work := range r.work {
-		r.told[box] = work
-		r.toldByAll.add(work)
+		r.reported[box] = work
+		r.reportedTotal.add(work)
 	}
 }
 
-// seenBy gives the work here as a box knows it: its own as it is, that of others as told.
-func (r *runner) seenBy(box int) boxWork {
-	seen := r.toldByAll
-	seen.sub(r.told[box])
-	seen.add(r.work[box])
-	return seen
+// knownTo returns the work at this runner as far as a box knows it: its own current work and the
+// reported work of the others.
+func (r *runner) knownTo(box int) boxWork {
+	known := r.reportedTotal
+	known.sub(r.reported[box])
+	known.add(r.work[box])
+	return known
 }
 
-// take takes a prompt in.
-func (r *runner) take(j *job) {
-	j.handed = r.world.now
-	if r.dark {
-		r.lose(j)
+// enqueue queues a job.
+func (r *runner) enqueue(j *job) {
+	j.queuedAt = r.sim.now
+	if r.hung {
+		r.reroute(j)
 		return
 	}
-	if r.world.site.Classes[j.call.class].Urgent {
+	if r.sim.site.Classes[j.call.class].Urgent {
 		r.urgent = append(r.urgent, j)
 	} else {
-		r.others = append(r.others, j)
+		r.normal = append(r.normal, j)
 	}
-	r.readNext()
+	r.prefillNext()
 }
 
-// readNext begins to read the next prompt, if there are a slot and memory for it.
-func (r *runner) readNext() {
+// prefillNext starts the next prefill, if there are a free slot and enough memory.
+func (r *runner) prefillNext() {
 	queue := &r.urgent
 	if len(*queue) == 0 {
-		queue = &r.others
+		queue = &r.normal
 	}
-	if r.reading || len(*queue) == 0 || r.running >= r.world.site.Slots {
+	if r.prefilling || len(*queue) == 0 || r.running >= r.sim.site.Slots {
 		return
 	}
 	j := (*queue)[0]
-	if r.running > 0 && r.held+j.call.tokens() > r.world.site.MemoryTokens {
+	if r.running > 0 && r.activeTokens+j.call.tokens() > r.sim.site.MemoryTokens {
 		return
 	}
 	*queue = (*queue)[1:]
-	r.reading = true
+	r.prefilling = true
 	r.running++
-	r.runs = append(r.runs, j)
-	r.held += j.call.tokens()
-	r.makeRoom()
-	if r.world.site.Interleaved && !j.shared && r.world.now-j.handed > fetchMillis {
-		j.shared = true // it waited for so long that what was fetched was thrown away
-		r.world.result.lateFetches++
-	}
-	tokens := j.call.own
-	if j.shared && !r.uses(j.call.partOf(r.weights)) {
-		tokens += j.call.shared()
+	r.active = append(r.active, j)
+	r.activeTokens += j.call.tokens()
+	r.evict()
+	if r.sim.site.Interleaved && !j.prefillShared && r.sim.now-j.queuedAt > fetchMillis {
+		j.prefillShared = true // it was queued for so long that the fetched part was discarded
+		r.sim.result.lateFetches++
+	}
+	tokens := j.call.ownTokens
+	if j.prefillShared && !r.touch(j.call.keyFor(r.weights)) {
+		tokens += j.call.sharedTokens()
 	} else {
-		j.shared = false
+		j.prefillShared = false
 	}
-	reading := tokens / r.world.site.ReadRate
-	if r.world.site.Interleaved {
-		for _, other := range r.runs {
-			other.endsAt += reading
+	prefillMillis := tokens / r.sim.site.PrefillRate
+	if r.sim.site.Interleaved {
+		for _, other := range r.active {
+			other.finishAt += prefillMillis
 		}
 	}
-	r.world.after(reading+r.stepMillis(), func() { r.wasRead(j) })
+	r.sim.schedule(prefillMillis+r.stepMillis(), func() { r.prefillDone(j) })
 }
 
-// stepMillis is how long a step of the batch takes now.
+// stepMillis returns the current time of a batch step.
 func (r *runner) stepMillis() float64 {
-	return r.world.site.StepMillis + r.world.site.StepMillisPerRun*float64(r.running)
+	return r.sim.site.StepMillis + r.sim.site.StepMillisPerRun*float64(r.running)
 }
 
-// wasRead ends the reading of a prompt: its answer begins.
-func (r *runner) wasRead(j *job) {
+// prefillDone ends the prefill of a job and starts its answer.
+func (r *runner) prefillDone(j *job) {
 	if j.lost {
 		return
 	}
-	w := r.world
-	r.reading = false
-	p := j.call.partOf(r.weights)
-	if j.shared {
-		if w.read[p] {
-			w.result.again += j.call.shared()
+	sim := r.sim
+	r.prefilling = false
+	p := j.call.keyFor(r.weights)
+	if j.prefillShared {
+		if sim.prefilled[p] {
+			sim.result.recomputed += j.call.sharedTokens()
 		}
-		w.read[p] = true
-		w.result.sharedRead += j.call.shared()
+		sim.prefilled[p] = true
+		sim.result.sharedPrefilled += j.call.sharedTokens()
 		if j.saveTo != nil {
-			j.saveTo.save(w, p, j.call.shared())
+			j.saveTo.save(sim, p, j.call.sharedTokens())
 		}
 	}
-	r.keep(p, j.call.shared())
-	j.answered = true
-	j.call.answered(r)
-	j.endsAt = w.now + j.call.steps*r.stepMillis()
-	w.after(j.call.steps*r.stepMillis(), func() { r.ended(j) })
-	r.readNext()
+	r.cache(p, j.call.sharedTokens())
+	j.streaming = true
+	j.call.firstEvent(r)
+	j.finishAt = sim.now + j.call.steps*r.stepMillis()
+	sim.schedule(j.call.steps*r.stepMillis(), func() { r.finish(j) })
+	r.prefillNext()
 }
 
-// ended ends a run.
-func (r *runner) ended(j *job) {
+// finish ends a job.
+func (r *runner) finish(j *job) {
 	if j.lost {
 		return
 	}
-	if left := j.endsAt - r.world.now; left > 0 {
-		r.world.after(left, func() { r.ended(j) })
+	if left := j.finishAt - r.sim.now; left > 0 {
+		r.sim.schedule(left, func() { r.finish(j) })
 		return
 	}
 	r.running--
-	r.runs = slices.DeleteFunc(r.runs, func(run *job) bool { return run == j })
-	r.held -= j.call.tokens()
+	r.active = slices.DeleteFunc(r.active, func(run *job) bool { return run == j })
+	r.activeTokens -= j.call.tokens()
 	r.work[j.call.box].sub(boxWork{1, 0, int(j.call.tokens())})
-	r.readNext()
-	r.tellDrained()
+	r.prefillNext()
+	r.notifyDrained()
 }
 
-// tellDrained tells who waits for the end of the last run, if that was it.
-func (r *runner) tellDrained() {
-	if r.drained != nil && r.running == 0 && len(r.urgent)+len(r.others) == 0 {
-		drained := r.drained
-		r.drained = nil
-		drained()
+// notifyDrained calls onDrained if the runner has no jobs left.
+func (r *runner) notifyDrained() {
+	if r.onDrained != nil && r.running == 0 && len(r.urgent)+len(r.normal) == 0 {
+		callback := r.onDrained
+		r.onDrained = nil
+		callback()
 	}
 }
 
-// uses reports whether a part is kept here, which is then the last used.
-func (r *runner) uses(p part) bool {
-	for i, kept := range r.kept {
-		if kept.part == p {
-			r.kept = append(append(r.kept[:i:i], r.kept[i+1:]...), kept)
+// touch reports whether a part is cached, and marks it as the most recently used.
+func (r *runner) touch(p contextKey) bool {
+	for i, entry := range r.cached {
+		if entry.key == p {
+			r.cached = append(append(r.cached[:i:i], r.cached[i+1:]...), entry)
 			return true
 		}
 	}
 	return false
 }
 
-// keep keeps a part that was read or fetched.
-func (r *runner) keep(p part, tokens float64) {
-	if !r.uses(p) {
-		r.kept = append(r.kept, keptPart{p, tokens})
+// cache adds a part that was prefilled or fetched to the cache.
+func (r *runner) cache(p contextKey, tokens float64) {
+	if !r.touch(p) {
+		r.cached = append(r.cached, cachedContext{p, tokens})
 	}
-	r.makeRoom()
+	r.evict()
 }
 
-// makeRoom drops the parts unused for longest.
-func (r *runner) makeRoom() {
-	total := r.held
-	for _, kept := range r.kept {
-		total += kept.tokens
+// evict removes the least recently used parts until the memory suffices.
+func (r *runner) evict() {
+	total := r.activeTokens
+	for _, entry := range r.cached {
+		total += entry.tokens
 	}
-	for len(r.kept) > 0 && total > r.world.site.MemoryTokens {
-		total -= r.kept[0].tokens
-		r.kept = r.kept[1:]
+	for len(r.cached) > 0 && total > r.sim.site.MemoryTokens {
+		total -= r.cached[0].tokens
+		r.cached = r.cached[1:]
 	}
 }
 
-// boxWork is what one box has at a runner.
+// boxWork is the work of one box at a runner: calls, tokens to prefill, and tokens of memory.
 type boxWork struct{ calls, pending, held int }
 
 func (b *boxWork) add(other boxWork) {
--- a/internal/sitebench/site.go
+++ b/internal/sitebench/site.go
@@ -1,12 +1,11 @@
-// Package sitebench measures the placing of prompts in virtual time: the policy that
-// entry boxes use (package placing, and the times of package retire) and others, against
-// a model of a site with runners, store boxes, several boxes that know of each other late,
-// and new weights.
+// Package sitebench simulates the placement of prompts in virtual time. It compares the policy
+// that entry boxes use (package placing, with the delays of package retire) with others on a model
+// of a site: runners, store boxes, several boxes that know of each other's work with a delay, and
+// new weights.
 //
-// It shows which way a change of the policy goes, in seconds and without noise from
-// anything but the seeds. It is no promise of what a site does: runners read and answer
-// by a few numbers here. docs/design/placement.md says how far it agrees with the users'
-// bench.
+// A simulation takes seconds, and only the seeds cause variance, so it shows whether a change of
+// the policy helps. It does not predict what a real site does: runners are modelled by a few
+// numbers. docs/design/placement.md describes how far it agrees with the users' bench.
 package sitebench
 
 import (
@@ -15,126 +14,127 @@
 	"slices"
 )
 
-// Spread is a distribution of sizes: log-normal by its mean and the deviation of its
-// logarithm, and cut off.
-type Spread struct {
-	Mean, Deviation, Most float64
+// Distribution is a log-normal distribution of sizes, with the given mean and the standard
+// deviation of the logarithm, clamped to the range from 1 to Max.
+type Distribution struct {
+	Mean, Deviation, Max float64
 }
 
-func (s Spread) draw(random *rand.Rand) float64 {
-	shift := math.Log(s.Mean) - s.Deviation*s.Deviation/2
-	return max(1, min(s.Most, math.Exp(shift+s.Deviation*random.NormFloat64())))
+func (d Distribution) sample(random *rand.Rand) float64 {
+	shift := math.Log(d.Mean) - d.Deviation*d.Deviation/2
+	return max(1, min(d.Max, math.Exp(shift+d.Deviation*random.NormFloat64())))
 }
 
-// Class is a kind of prompts.
+// Class is a class of prompts.
 type Class struct {
 	Name      string
 	PerSecond float64
-	// Worth is that of an answer that begins within AimMillis of the first try, and
-	// LateWorth that of a later one; after PatienceMillis the caller leaves.
-	Worth, LateWorth          float64
-	AimMillis, PatienceMillis float64
-	// Things is the number of shared contexts, of which each prompt holds one.
-	Things       int
-	SharedTokens Spread
-	OwnTokens    Spread
-	// Steps is the length of an answer in steps of the runner's batch.
-	Steps Spread
-	// Urgent prompts are read before others.
+	// Worth is the worth of an answer that starts within TargetMillis of the first try, and
+	// LateWorth that of a later one. The caller leaves after PatienceMillis.
+	Worth, LateWorth             float64
+	TargetMillis, PatienceMillis float64
+	// Contexts is the number of shared contexts. Each prompt contains one of them.
+	Contexts     int
+	SharedTokens Distribution
+	OwnTokens    Distribution
+	// Steps is the length of an answer, in steps of the runner's batch.
+	Steps Distribution
+	// Urgent prompts are prefilled before others.
 	Urgent bool
 }
 
-// StoreBox keeps shared contexts.
+// StoreBox is a box that stores shared contexts.
 type StoreBox struct {
 	Tokens float64
-	// TokensPerMilli is how fast its link moves context, FirstMillis the wait before.
-	TokensPerMilli, FirstMillis float64
+	// TokensPerMilli is the throughput of its link, and LatencyMillis the latency of a transfer.
+	TokensPerMilli, LatencyMillis float64
 }
 
-// Site is a fleet with what is sent to it.
+// Site is a deployment and the load on it.
 type Site struct {
 	Name    string
 	Seconds float64
 	Boxes   int
-	// TellMillis is the time between two words of a box on its work.
-	TellMillis float64
-	Runners    int
-	Slots      int
-	// MemoryTokens is what a runner's memory takes, of running and kept context.
+	// ReportMillis is the interval between the load reports of a box.
+	ReportMillis float64
+	Runners      int
+	Slots        int
+	// MemoryTokens is the capacity of a runner's memory, which running and cached contexts share.
 	MemoryTokens float64
-	// ReadRate is how many prompt tokens a runner reads in a millisecond.
-	ReadRate float64
-	// FirstMillis is the time to the first event besides reading; a step of a batch
-	// takes StepMillis and StepMillisPerRun for each run in it.
-	FirstMillis, StepMillis, StepMillisPerRun float64
-	// Zones divides boxes and runners; zero where all are in one and boxes place by themselves.
-	// Long prompts then get their places from the owner of a zone's runners.
+	// PrefillRate is the number of prompt tokens that a runner prefills per millisecond.
+	PrefillRate float64
+	// FirstEventMillis is the time to the first event besides prefill. A step of a batch takes
+	// StepMillis, plus StepMillisPerRun for each run in the batch.
+	FirstEventMillis, StepMillis, StepMillisPerRun float64
+	// Zones is the number of zones that boxes and runners are divided into. Long prompts are then
+	// placed by the owner of a zone's runners. Zero means a single zone in which boxes place all
+	// calls themselves.
 	Zones int
-	// Interleaved says that reading a prompt holds up the answers of its runner, whose steps
-	// come between the pieces that are read, and that a prompt's parts are fetched when it
-	// begins to run. The figures of the two older sites are without this.
+	// Interleaved means that a prefill delays the answers of its runner, whose decode steps run
+	// between the chunks of the prefill, and that a prompt's parts are fetched when it starts to
+	// run. The two older sites do not use it.
 	Interleaved bool
-	// LoadMillis is how long a runner loads new weights.
+	// LoadMillis is the time that a runner takes to load new weights.
 	LoadMillis float64
 	StoreBoxes []StoreBox
-	// AgainWorth is the price of a thousand shared tokens that are read again.
-	AgainWorth float64
-	Classes    []Class
+	// RecomputePrice is the price of a thousand shared tokens that are prefilled again.
+	RecomputePrice float64
+	Classes        []Class
 }
 
-// Large gives a fifth of the users' large site: few slots for each runner, and room for as
-// much as is shared.
+// Large returns a fifth of the users' large site, which has few slots per runner and enough
+// storage for all shared contexts.
 func Large() Site {
 	return Site{
-		Name: "a fifth of fjordlinje-render-large", Seconds: 30, Boxes: 59, Zones: 6, TellMillis: 240, Runners: 33, Slots: 12, MemoryTokens: 86_716, ReadRate: 54.6,
-		FirstMillis: 61, StepMillis: 5.61, StepMillisPerRun: 0.121, Interleaved: true, LoadMillis: 1100, AgainWorth: 0.84,
+		Name: "a fifth of fjordlinje-render-large", Seconds: 30, Boxes: 59, Zones: 6, ReportMillis: 240, Runners: 33, Slots: 12, MemoryTokens: 86_716, PrefillRate: 54.6,
+		FirstEventMillis: 61, StepMillis: 5.61, StepMillisPerRun: 0.121, Interleaved: true, LoadMillis: 1100, RecomputePrice: 0.84,
 		StoreBoxes: storeBoxes(4, StoreBox{285_477, 434, 0.5}, 5, StoreBox{799_336, 271, 6}),
 		Classes: []Class{
 			{
-				Name: "design-brief-review", PerSecond: 50, Worth: 8.3, LateWorth: 1.7, AimMillis: 1000, PatienceMillis: 10_000, Things: 403,
-				SharedTokens: Spread{12800, 0.6, 34000}, OwnTokens: Spread{4260, 0.7, 17000}, Steps: Spread{120, 1.4, 480},
+				Name: "design-brief-review", PerSecond: 50, Worth: 8.3, LateWorth: 1.7, TargetMillis: 1000, PatienceMillis: 10_000, Contexts: 403,
+				SharedTokens: Distribution{12800, 0.6, 34000}, OwnTokens: Distribution{4260, 0.7, 17000}, Steps: Distribution{120, 1.4, 480},
 			},
 			{
-				Name: "material-tag-suggest", PerSecond: 283, Worth: 1.9, LateWorth: 0.38, AimMillis: 600, PatienceMillis: 5000, Things: 2260,
-				SharedTokens: Spread{301, 0.5, 656}, OwnTokens: Spread{82, 0.7, 328}, Steps: Spread{45, 1.4, 181}, Urgent: true,
+				Name: "material-tag-suggest", PerSecond: 283, Worth: 1.9, LateWorth: 0.38, TargetMillis: 600, PatienceMillis: 5000, Contexts: 2260,
+				SharedTokens: Distribution{301, 0.5, 656}, OwnTokens: Distribution{82, 0.7, 328}, Steps: Distribution{45, 1.4, 181}, Urgent: true,
 			},
 		},
 	}
 }
 
-// Sites gives the two sites of today's users, by the figures of their own page.
+// Sites returns the two sites of today's users, with the figures of the users' own page.
 func Sites() []Site {
 	long := func(class Class) Class {
-		class.SharedTokens, class.OwnTokens = Spread{12800, 0.6, 34000}, Spread{4260, 0.7, 17000}
+		class.SharedTokens, class.OwnTokens = Distribution{12800, 0.6, 34000}, Distribution{4260, 0.7, 17000}
 		return class
 	}
 	short := func(class Class) Class {
-		class.SharedTokens, class.OwnTokens, class.Urgent = Spread{301, 0.5, 656}, Spread{82, 0.7, 328}, true
+		class.SharedTokens, class.OwnTokens, class.Urgent = Distribution{301, 0.5, 656}, Distribution{82, 0.7, 328}, true
 		return class
 	}
 	return []Site{
 		{
-			Name: "lspf-ops", Seconds: 44, Boxes: 8, TellMillis: 80, Runners: 14, Slots: 16, MemoryTokens: 110_777, ReadRate: 157,
-			FirstMillis: 26, StepMillis: 3.55, StepMillisPerRun: 0.0462, LoadMillis: 1100, AgainWorth: 0.84,
+			Name: "lspf-ops", Seconds: 44, Boxes: 8, ReportMillis: 80, Runners: 14, Slots: 16, MemoryTokens: 110_777, PrefillRate: 157,
+			FirstEventMillis: 26, StepMillis: 3.55, StepMillisPerRun: 0.0462, LoadMillis: 1100, RecomputePrice: 0.84,
 			StoreBoxes: storeBoxes(3, StoreBox{499_901, 1288, 0.5}, 2, StoreBox{2_385_895, 814, 6}),
 			Classes: []Class{
-				long(Class{Name: "dispute-verdict", PerSecond: 60.7, Worth: 7.6, LateWorth: 1.5, AimMillis: 400, PatienceMillis: 6000, Things: 485, Steps: Spread{17.1, 1.4, 68}}),
-				short(Class{Name: "plate-match", PerSecond: 308, Worth: 1.9, LateWorth: 0.38, AimMillis: 250, PatienceMillis: 3000, Things: 2466, Steps: Spread{6.45, 1.4, 26}}),
+				long(Class{Name: "dispute-verdict", PerSecond: 60.7, Worth: 7.6, LateWorth: 1.5, TargetMillis: 400, PatienceMillis: 6000, Contexts: 485, Steps: Distribution{17.1, 1.4, 68}}),
+				short(Class{Name: "plate-match", PerSecond: 308, Worth: 1.9, LateWorth: 0.38, TargetMillis: 250, PatienceMillis: 3000, Contexts: 2466, Steps: Distribution{6.45, 1.4, 26}}),
 			},
 		},
 		{
-			Name: "fjordlinje-render", Seconds: 44, Boxes: 8, TellMillis: 80, Runners: 18, Slots: 32, MemoryTokens: 87_295, ReadRate: 54.6,
-			FirstMillis: 61, StepMillis: 5.61, StepMillisPerRun: 0.121, LoadMillis: 1100, AgainWorth: 0.84,
+			Name: "fjordlinje-render", Seconds: 44, Boxes: 8, ReportMillis: 80, Runners: 18, Slots: 32, MemoryTokens: 87_295, PrefillRate: 54.6,
+			FirstEventMillis: 61, StepMillis: 5.61, StepMillisPerRun: 0.121, LoadMillis: 1100, RecomputePrice: 0.84,
 			StoreBoxes: storeBoxes(4, StoreBox{173_179, 434, 0.5}, 3, StoreBox{734_702, 271, 6}),
 			Classes: []Class{
-				long(Class{Name: "design-brief-review", PerSecond: 26.5, Worth: 11, LateWorth: 2.2, AimMillis: 800, PatienceMillis: 10_000, Things: 212, Steps: Spread{29.9, 1.4, 120}}),
-				short(Class{Name: "material-tag-suggest", PerSecond: 221, Worth: 1.9, LateWorth: 0.38, AimMillis: 600, PatienceMillis: 5000, Things: 1767, Steps: Spread{11.3, 1.4, 45}}),
+				long(Class{Name: "design-brief-review", PerSecond: 26.5, Worth: 11, LateWorth: 2.2, TargetMillis: 800, PatienceMillis: 10_000, Contexts: 212, Steps: Distribution{29.9, 1.4, 120}}),
+				short(Class{Name: "material-tag-suggest", PerSecond: 221, Worth: 1.9, LateWorth: 0.38, TargetMillis: 600, PatienceMillis: 5000, Contexts: 1767, Steps: Distribution{11.3, 1.4, 45}}),
 			},
 		},
 	}
 }
 
-// storeBoxes gives some small store boxes that answer soon, and then some large ones.
+// storeBoxes returns small store boxes with low latency, followed by large ones.
 func storeBoxes(small int, smallBox StoreBox, large int, largeBox StoreBox) []StoreBox {
 	return append(slices.Repeat([]StoreBox{smallBox}, small), slices.Repeat([]StoreBox{largeBox}, large)...)
 }
--- a/internal/zonereader/follow.go
+++ b/internal/zonereader/follow.go
@@ -44,7 +44,7 @@
 	maxLostInRow      = 2
 )
 
-// errReaderLostLog says that the reader cannot read the log.
+// errReaderLostLog means that the reader cannot read the log.
 var errReaderLostLog = merry.Sentinel("the reader cannot read the log")
 
 // LoopFollow follows the reader that is chosen for this box until ctx ends.
@@ -69,7 +69,7 @@
 // choose returns the reader to follow among the boxes that respond, or false if this box is to read
 // directly.
 func (m *Member) choose() (Box, bool) {
-	if !m.cfg.Off.Enabled(mechanism.ZoneReaders) {
+	if !m.cfg.Mechanisms.Enabled(mechanism.ZoneReaders) {
 		return Box{}, false
 	}
 	others := m.cfg.Others()
--- a/internal/zonereader/zonereader_test.go
+++ b/internal/zonereader/zonereader_test.go
@@ -178,7 +178,7 @@
 	b.fleet = fleet.New(fleet.Config{Logger: zerolog.Nop()})
 	b.registry = registry.New(registry.Config{Log: b.log, Decoder: decoder{}, Fleet: b.fleet, Logger: zerolog.Nop(), StreamsChanged: changed})
 	b.member = zonereader.New(zonereader.Config{
-		Registry: b.registry, Parts: partindex.New(partindex.Config{News: changed}), Logger: zerolog.Nop(), Self: b.self, StreamsChanged: changed, PartsChanged: changed,
+		Registry: b.registry, Parts: partindex.New(partindex.Config{Changed: changed}), Logger: zerolog.Nop(), Self: b.self, StreamsChanged: changed, PartsChanged: changed,
 		Others: func() []zonereader.Box { return f.others(b) }, Dial: f.dial,
 	})
 }
@@ -348,7 +348,7 @@
 	}
 }
 
-// A box must not rely on an update for longer because it was in transit for long.
+// A box must not rely on an update for longer because it was in transit for a long time.
 func TestUpdatesCountAsOldAsTheirContent(t *testing.T) {
 	inBubble(t, 4, func(g *WithT, f *testFleet) {
 		reader := f.reader()
@@ -389,7 +389,7 @@
 // An outage of the log is no reason to leave the reader, nor to change the view.
 func TestLogOutageChangesNothing(t *testing.T) {
 	inBubble(t, 5, func(g *WithT, f *testFleet) {
-		f.log.Faults().SetFaults(fakelog.Faults{Down: true})
+		f.log.Underlying().SetFaults(fakelog.Faults{Down: true})
 		time.Sleep(20 * time.Second)
 		g.Expect(f.countVersion(1)).To(Equal(5))
 		f.log.Put(sharedlog.Operator, "config", []byte("vv")) // the write also ends the outage
